--- a/cmd/arrowcleat/platform.go
+++ b/cmd/arrowcleat/platform.go
@@ -82,7 +82,7 @@
 	if errors.As(err, &p) {
 		return err
 	}
-	log.Warn("marshal has ended", "refused_behind", m.Behind(), "requests", &m.Front.Counts)
+	log.Warn("marshal has ended", "refused_behind", m.Behind(), "requests", &m.Front.Counters)
 	return err
 }
 
@@ -124,7 +124,7 @@
 				stop = nil
 				continue
 			}
-			r.log.Warn("draining", "signal", s.String(), "open", r.m.Front.Open())
+			r.log.Warn("draining", "signal", s.String(), "open", r.m.Front.OpenInvocations())
 			ended, hurry = nil, make(chan struct{})
 			go func(hurry <-chan struct{}) {
 				r.m.Drain(hurry) // End gives its error again
--- a/cmd/arrowcleat/serve.go
+++ b/cmd/arrowcleat/serve.go
@@ -82,7 +82,7 @@
 	select {
 	case <-m.Ended():
 	case s := <-stop:
-		log.Info("stopping: nothing new is taken", "signal", s.String(), "open", m.Front.Open())
+		log.Info("stopping: nothing new is taken", "signal", s.String(), "open", m.Front.OpenInvocations())
 		ended := make(chan struct{})
 		go func() {
 			select {
@@ -100,7 +100,7 @@
 	if errors.As(err, &p) {
 		return err
 	}
-	log.Info("marshal has ended", "refused_behind", m.Behind(), "requests", &m.Front.Counts)
+	log.Info("marshal has ended", "refused_behind", m.Behind(), "requests", &m.Front.Counters)
 	return err
 }
 
--- a/cmd/arrowcleat/soak_test.go
+++ b/cmd/arrowcleat/soak_test.go
@@ -40,15 +40,15 @@
 	var terms func(*front.Server)
 	switch fault {
 	case "budget":
-		terms = func(s *front.Server) { s.Faults.Budget = true }
+		terms = func(s *front.Server) { s.Faults.InflateTimeLeft = true }
 	case "discards":
-		terms = func(s *front.Server) { s.Faults.Discards = true }
+		terms = func(s *front.Server) { s.Faults.DiscardUnread = true }
 	case "gone":
-		terms = func(s *front.Server) { s.Faults.Gone = true }
+		terms = func(s *front.Server) { s.Faults.IgnoreClientGone = true }
 	case "strangers":
 		terms = func(s *front.Server) {
-			s.Terms.FirstMs = 0
-			s.Set.Times.HeaderMs, s.Set.Times.IdleMs = 60000, 60000
+			s.Protocol.FirstRequestTimeoutMs = 0
+			s.Settings.Times.HeaderMs, s.Settings.Times.IdleMs = 60000, 60000
 		}
 	case "start":
 		return 1
--- a/internal/back/back.go
+++ b/internal/back/back.go
@@ -356,7 +356,7 @@
 		return balance.Canceled
 	case f.Expired || Timeout(f.Err):
 		return balance.TimedOut
-	case errors.Is(f.Err, h1.ErrMalformed) || errors.Is(f.Err, h1.ErrTooLarge) || errors.Is(f.Err, h1.ErrCoding) ||
+	case errors.Is(f.Err, h1.ErrMalformed) || errors.Is(f.Err, h1.ErrTooLarge) || errors.Is(f.Err, h1.ErrTransferCoding) ||
 		errors.Is(f.Err, h1.ErrVersion):
 		return balance.Failed // it spoke, but not HTTP
 	default:
--- a/internal/back/back_test.go
+++ b/internal/back/back_test.go
@@ -100,7 +100,7 @@
 			wg.Go(func() { io.Copy(io.Discard, bufio.NewReader(c)) })
 		}
 	})
-	p := &Pool{Limits: h1.Limits{Line: 100, Header: 100}, Dial: time.Second, Idle: 60 * time.Millisecond, Most: 2}
+	p := &Pool{Limits: h1.Limits{LineBytes: 100, HeaderBytes: 100}, Dial: time.Second, Idle: 60 * time.Millisecond, Most: 2}
 	defer func() {
 		p.Close()
 		ln.Close()
--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -216,7 +216,7 @@
 	for {
 		final, wait := c.ask(v)
 		o := c.w.Plan.Settings.Operation[v.op]
-		again := final == front.Throttled || final == front.NotTaken || final == front.Terminated && o.Repeat == settings.Repeat_IDEMPOTENT
+		again := final == front.Throttled || final == front.NotAccepted || final == front.Terminated && o.Repeat == settings.Repeat_IDEMPOTENT
 		rest := time.Duration(o.LimitMs*float64(time.Millisecond)) - time.Since(begun) - wait
 		if !again || v.left == 0 || rest < 50*time.Millisecond || v.second != nil {
 			return
@@ -238,7 +238,7 @@
 	if err != nil {
 		c.see(v, "asked", "", "", time.Now())
 		c.see(v, "refused", "", err.Error(), time.Now())
-		return front.NotTaken, 50 * time.Millisecond
+		return front.NotAccepted, 50 * time.Millisecond
 	}
 	text := v.request(c.w.Plan.Settings)
 	begun := time.Now()
@@ -312,7 +312,7 @@
 		c.see(v, "broke", "", err.Error(), now)
 		return "", 0, false
 	}
-	final = resp.Header.Get(front.Final)
+	final = resp.Header.Get(front.AnswerHeader)
 	c.see(v, "answered", final, strconv.Itoa(resp.StatusCode), now)
 	if final == front.Succeeded && resp.Header.Get(standin.InvHeader) != v.id ||
 		final == front.Succeeded && !v.head && !strings.HasSuffix(strings.TrimSpace(string(body)), " "+v.id) {
--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -85,8 +85,8 @@
 	c := &conn{s: s, nc: nc, life: newLifecycle(nc, now, s.Clock.Now()), listener: listener, r: h1.NewReader(nc, readBuffer),
 		requests: make(chan *request, 1), resume: make(chan struct{}, 1), commands: make(chan command, 16)}
 	c.host, _, _ = splitHost(nc.RemoteAddr().String())
-	if s.Terms.FirstMs > 0 {
-		c.life.firstBy = now.Add(ms(s.Terms.FirstMs))
+	if s.Protocol.FirstRequestTimeoutMs > 0 {
+		c.life.firstBy = now.Add(ms(s.Protocol.FirstRequestTimeoutMs))
 	}
 	s.mu.Lock()
 	if s.killed.Load() {
@@ -94,8 +94,8 @@
 		nc.Close()
 		return
 	}
-	full := len(s.conns)-s.evicting >= int(s.Current().Limits.Connections)
-	if full && s.Terms.FirstMs > 0 && s.evicting < mostParting {
+	full := len(s.conns)-s.evicting >= int(s.CurrentSettings().Limits.Connections)
+	if full && s.Protocol.FirstRequestTimeoutMs > 0 && s.evicting < mostParting {
 		full = !s.evict()
 	}
 	if !full {
@@ -110,9 +110,9 @@
 		}
 	}
 	s.mu.Unlock()
-	s.Counts.Connections.Add(1)
+	s.Counters.Connections.Add(1)
 	if full {
-		s.Counts.TurnedAway.Add(1)
+		s.Counters.Rejected.Add(1)
 		c.turnAway()
 		return
 	}
@@ -126,7 +126,7 @@
 	s := c.s
 	c.life.state = stateTaken // the answer comes before the request, which need not be waited for
 	part := func(wait bool) {
-		c.plain(503, NotTaken, "too many connections", closeRejected)
+		c.plain(503, NotAccepted, "too many connections", closeRejected)
 		if wait {
 			c.discardRest()
 		}
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -23,13 +23,13 @@
 	}
 	report = s.Pool.Report(h.Header)
 	f.Away = s.names.away != "" && h.Header.Get(s.names.away) != ""
-	if s.tooLong(h.Length) {
+	if s.tooLong(h.BodyLength) {
 		f.Err = h1.ErrTooLarge
 		node.Close()
 		return false, false, report
 	}
 	body := node.R.Body(h, s.limits)
-	held, err := x.fill(c.held[:0], body, int(s.Current().Limits.HeldAnswerBytes), nil)
+	held, err := x.fill(c.held[:0], body, int(s.CurrentSettings().Limits.HeldAnswerBytes), nil)
 	if cap(held) <= 1<<16 {
 		c.held = held
 	}
@@ -41,7 +41,7 @@
 	}
 	f.Status = h.Status
 	var how balance.Ending
-	if !whole && s.Terms.MostBody > 0 {
+	if !whole && s.Protocol.MaxBodyBytes > 0 {
 		f.Err = h1.ErrTooLarge
 		node.Close()
 		return false, false, report
@@ -67,7 +67,7 @@
 	}
 	c.out = x.answerHead(c.out[:0], h, body, len(held), ends)
 	if x.head.Method != "HEAD" {
-		if body.Trailers != nil && x.head.Minor > 0 {
+		if body.Trailers != nil && x.head.MinorVersion > 0 {
 			if len(held) > 0 {
 				c.out = h1.AppendChunk(c.out, held)
 			}
@@ -76,7 +76,7 @@
 			c.out = append(c.out, held...)
 		}
 	}
-	if s.Faults.Twice {
+	if s.Faults.AnswerTwice {
 		c.out = append(c.out, c.out...)
 	}
 	c.release()
@@ -105,8 +105,8 @@
 		if h.Status == 101 {
 			return nil, errors.Join(h1.ErrMalformed, errors.New("101 without Upgrade"))
 		}
-		if h.Status != 100 && !x.c.s.Terms.Quiet && x.head.Minor > 0 && !x.claimed.Load() {
-			h.DropHops()
+		if h.Status != 100 && !x.c.s.Protocol.DropInterimResponses && x.head.MinorVersion > 0 && !x.claimed.Load() {
+			h.RemoveHopByHop()
 			x.c.out = append(h1.AppendHeader(x.statusLine(x.c.out[:0], h), h.Header), "\r\n"...)
 			if err := x.c.write(); err != nil {
 				x.c.leave()
@@ -124,23 +124,23 @@
 // h1's lengths; ends is for what the connection ends with it.
 func (x *exchange) answerHead(b []byte, h *h1.Head, body *h1.Body, held int, ends closeReason) []byte {
 	length := h.Header["Content-Length"]
-	h.DropHops()
-	b = h1.AppendHeader(x.statusLine(b, h), h.Header, "Content-Length", Final)
-	b = h1.AppendField(b, Final, Succeeded)
+	h.RemoveHopByHop()
+	b = h1.AppendHeader(x.statusLine(b, h), h.Header, "Content-Length", AnswerHeader)
+	b = h1.AppendField(b, AnswerHeader, Succeeded)
 	switch {
 	case x.head.Method == "HEAD" || h.Status == 304:
 		if len(length) == 1 {
 			b = h1.AppendField(b, "Content-Length", length[0])
 		}
 	case h.Status == 204:
-	case held >= 0 && (body.Trailers == nil || x.head.Minor == 0):
+	case held >= 0 && (body.Trailers == nil || x.head.MinorVersion == 0):
 		b = h1.AppendField(b, "Content-Length", strconv.Itoa(held))
-	case x.head.Minor > 0:
+	case x.head.MinorVersion > 0:
 		b = h1.AppendField(b, "Transfer-Encoding", "chunked")
 	}
 	if ends != keepOpen {
 		b = h1.AppendField(b, "Connection", "close")
-	} else if x.head.Minor == 0 {
+	} else if x.head.MinorVersion == 0 {
 		b = h1.AppendField(b, "Connection", "keep-alive")
 	}
 	return append(b, "\r\n"...)
@@ -156,11 +156,11 @@
 	x.mu.Lock() // no cancel ends what the client has begun to read
 	x.node, x.undial = nil, nil
 	x.mu.Unlock()
-	length := int(h.Length)
-	if h.Length == h1.ToEnd {
+	length := int(h.BodyLength)
+	if h.BodyLength == h1.UntilClose {
 		length = h1.Chunked
 	}
-	chunked := length < 0 && x.head.Minor > 0
+	chunked := length < 0 && x.head.MinorVersion > 0
 	x.last = x.last || length < 0 && !chunked
 	ends, owed := c.beginAnswer(x.mustEnd())
 	if !owed {
@@ -190,7 +190,7 @@
 		if err == io.EOF {
 			break
 		}
-		node.SetDeadline(time.Now().Add(ms(s.Current().Times.BodyMs)))
+		node.SetDeadline(time.Now().Add(ms(s.CurrentSettings().Times.BodyMs)))
 		var n int
 		n, err = body.Read(room)
 		piece = room[:n]
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -53,7 +53,7 @@
 		if !ok {
 			return
 		}
-		c.readBy(c.s.Current().Times.HeaderMs)
+		c.readBy(c.s.CurrentSettings().Times.HeaderMs)
 		h, err := c.r.Request(c.s.limits)
 		if !c.life.taken() {
 			return
@@ -62,7 +62,7 @@
 			c.requests <- &request{fault: err}
 			return
 		}
-		body := h.Length != 0
+		body := h.BodyLength != 0
 		if !body {
 			c.life.whole()
 		}
@@ -79,7 +79,7 @@
 // awaitRequest waits until the first byte of a request has been read and the request before has its answer. It gives the clock's time at
 // which that byte was read: the client's time runs from then. False says that the connection ends.
 func (c *conn) awaitRequest() (began float64, ok bool) {
-	for c.life.await(time.Now(), ms(c.s.Current().Times.IdleMs)) {
+	for c.life.await(time.Now(), ms(c.s.CurrentSettings().Times.IdleMs)) {
 		_, err := c.r.Peek(1)
 		if err == nil {
 			began = c.s.Clock.Now()
@@ -108,7 +108,7 @@
 // leave says that the client has gone.
 func (c *conn) leave() {
 	c.gone.Store(true)
-	if x := c.current.Load(); x != nil && !c.s.Faults.Gone {
+	if x := c.current.Load(); x != nil && !c.s.Faults.IgnoreClientGone {
 		x.lapse()
 	}
 }
@@ -126,29 +126,29 @@
 // process works on one request, and says for what the connection ends with it. A request that is owed an answer gets one here if nothing
 // else has given it any.
 func (c *conn) process(req *request) (ends closeReason) {
-	c.s.Counts.Read.Add(1)
+	c.s.Counters.RequestsRead.Add(1)
 	c.lastID = ""
 	keep := c.serveSafely(req)
 	if c.life.owed() && !c.gone.Load() {
-		c.s.Counts.Unanswered.Add(1)
+		c.s.Counters.Unanswered.Add(1)
 		c.s.Log.Error("a request was given up without an answer", "request", c.lastID, "state", stateTaken.String())
 		c.plain(502, Terminated, "terminated: what it did is not known", closeRejected)
 		keep = false
 	}
 	switch {
 	case c.life.owed(): // the client has gone, or has only ended its sending: then this reaches it
-		c.s.Counts.Left.Add(1)
+		c.s.Counters.ClientsGone.Add(1)
 		c.plain(502, Terminated, "given up: the connection was closed", closeGone)
 		ends = closeGone
 	case !keep:
-		c.s.Counts.Answered.Add(1)
+		c.s.Counters.Answered.Add(1)
 		if ends = c.life.reasonNow(); ends == keepOpen {
 			ends = closeWrite
 		}
 	default:
-		c.s.Counts.Answered.Add(1)
+		c.s.Counters.Answered.Add(1)
 	}
-	c.life.answered(ends, time.Now(), c.s.Clock.Now(), ms(c.s.Current().Times.IdleMs))
+	c.life.answered(ends, time.Now(), c.s.Clock.Now(), ms(c.s.CurrentSettings().Times.IdleMs))
 	return ends
 }
 
@@ -161,7 +161,7 @@
 	}
 	ends, was := c.life.answering(must, may, more)
 	if was == stateAnswering {
-		c.s.Counts.SecondAnswers.Add(1)
+		c.s.Counters.SecondAnswers.Add(1)
 		c.s.Log.Error("a second answer was held back", "request", c.lastID)
 	}
 	return ends, was == stateTaken
@@ -180,13 +180,13 @@
 
 // finish closes the connection once its lifecycle allows it. The reader, if it still waits, ends with it.
 func (c *conn) finish() {
-	if c.life.reasonNow() == closeRejected || c.s.Faults.Discards {
+	if c.life.reasonNow() == closeRejected || c.s.Faults.DiscardUnread {
 		c.discardRest()
 	}
 	c.end(closeGone)
 	close(c.resume)
 	for range c.requests { // the reader hands on nothing more, and closes this as it ends
-		c.s.Counts.Unanswered.Add(1)
+		c.s.Counters.Unanswered.Add(1)
 		c.s.Log.Error("a request was read and is not answered", "request", c.lastID)
 	}
 	c.s.remove(c)
@@ -199,9 +199,9 @@
 		return
 	}
 	c.nc.Close()
-	c.s.Counts.Closed[reason].Add(1)
+	c.s.Counters.Closed[reason].Add(1)
 	if why == closeForced && (was == stateTaken || was == stateAnswering) && !c.gone.Load() {
-		c.s.Counts.Unanswered.Add(1)
+		c.s.Counters.Unanswered.Add(1)
 		c.s.Log.Error("a request was open when its connection was closed", "request", c.openID(), "state", was.String(), "reason", reason.String(), "client", c.nc.RemoteAddr().String())
 	}
 	if c.s.Log.Enabled(context.Background(), slog.LevelDebug) {
@@ -238,7 +238,7 @@
 
 // write sends what is in out.
 func (c *conn) write() error {
-	c.nc.SetWriteDeadline(time.Now().Add(ms(c.s.Current().Times.WriteMs)))
+	c.nc.SetWriteDeadline(time.Now().Add(ms(c.s.CurrentSettings().Times.WriteMs)))
 	_, err := c.nc.Write(c.out)
 	if cap(c.out) > 1<<16 {
 		c.out = nil
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -103,7 +103,7 @@
 		if err := x.mayWrite(address, writeBy, decided); err != nil {
 			x.c.s.Pool.Put(node)
 			f.Canceled, f.Err = true, err
-			x.c.s.Counts.HeldBack.Add(1)
+			x.c.s.Counters.SuppressedDispatches.Add(1)
 			x.c.s.Log.Debug("dispatch not written", "request", x.requestID, "node", address, "why", err)
 			return nil
 		}
@@ -150,13 +150,13 @@
 func (x *exchange) mayWrite(address string, writeBy, decided time.Time) error {
 	pool, faults := x.c.s.Pool, &x.c.s.Faults
 	switch {
-	case pool.Late(address) && !faults.Late:
+	case pool.Late(address) && !faults.IgnoreDraining:
 		return errDrains
 	case pool.Superseded(address, decided):
 		return errCapFell
 	case !time.Now().Before(writeBy):
 		return errWindow
-	case back.Ended(x.c.nc) && !faults.Gone: // its reader, which has its turn after this one, has not noticed yet
+	case back.Ended(x.c.nc) && !faults.IgnoreClientGone: // its reader, which has its turn after this one, has not noticed yet
 		x.c.leave()
 		return errClient
 	}
@@ -184,20 +184,20 @@
 	}
 	if name := x.c.s.names.time; name != "" {
 		left := max(0, x.dueAt-x.c.s.Clock.Now())
-		if x.c.s.Faults.Budget {
+		if x.c.s.Faults.InflateTimeLeft {
 			left += 1000
 		}
 		b = h1.AppendField(b, name, strconv.FormatFloat(left, 'f', 0, 64))
 	}
 	trailers := x.body != nil && x.body.Trailers != nil
 	switch {
-	case x.whole && h.Length == 0 && h.Header["Content-Length"] == nil:
+	case x.whole && h.BodyLength == 0 && h.Header["Content-Length"] == nil:
 		b = append(b, "\r\n"...)
 	case x.whole && !trailers:
 		b = h1.AppendField(b, "Content-Length", strconv.Itoa(len(x.kept)))
 		b = append(append(b, "\r\n"...), x.kept...)
-	case h.Length >= 0:
-		b = h1.AppendField(b, "Content-Length", strconv.FormatInt(h.Length, 10))
+	case h.BodyLength >= 0:
+		b = h1.AppendField(b, "Content-Length", strconv.FormatInt(h.BodyLength, 10))
 		b = append(append(b, "\r\n"...), x.kept...)
 	default:
 		b = append(h1.AppendField(b, "Transfer-Encoding", "chunked"), "\r\n"...)
@@ -211,7 +211,7 @@
 	if cap(b) <= 1<<16 {
 		node.Buf = b
 	}
-	if x.c.s.Faults.Copies {
+	if x.c.s.Faults.DuplicateRequests {
 		if twin, err := x.c.s.Pool.Get(context.Background(), node.RemoteAddr().String(), true); err == nil {
 			twin.Write(b)
 			time.AfterFunc(time.Second, func() { twin.Close() })
@@ -229,10 +229,10 @@
 // stream passes on what of a body is too long to be kept; from here on the invocation can't be sent again.
 func (x *exchange) stream(node *back.Conn, wrote int64) (int64, error) {
 	x.broken = true
-	room, chunked := make([]byte, 32<<10), x.head.Length == h1.Chunked
+	room, chunked := make([]byte, 32<<10), x.head.BodyLength == h1.Chunked
 	var b []byte
 	for {
-		wait := min(x.c.s.Current().Times.BodyMs, x.answerBy-x.c.s.Clock.Now())
+		wait := min(x.c.s.CurrentSettings().Times.BodyMs, x.answerBy-x.c.s.Clock.Now())
 		x.c.nc.SetReadDeadline(time.Now().Add(ms(wait)))
 		n, err := x.body.Read(room)
 		b = b[:0]
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -244,19 +244,19 @@
 // waiting, and a client that breaks off has cost none anything.
 func (x *exchange) takeBody() error {
 	h, c := x.head, x.c
-	if h.Length == 0 {
+	if h.BodyLength == 0 {
 		x.whole = true
 		return nil
 	}
-	if h.Expects() {
+	if h.ExpectsContinue() {
 		c.out = append(c.out[:0], "HTTP/1.1 100 Continue\r\n\r\n"...)
 		if err := c.write(); err != nil {
 			return err
 		}
 	}
 	x.body = c.r.Body(h, c.s.limits)
-	most := int(c.s.Current().Limits.RepeatBodyBytes)
-	kept, err := x.fill(c.body[:0], x.body, most, func() { c.readBy(c.s.Current().Times.BodyMs) })
+	most := int(c.s.CurrentSettings().Limits.RepeatBodyBytes)
+	kept, err := x.fill(c.body[:0], x.body, most, func() { c.readBy(c.s.CurrentSettings().Times.BodyMs) })
 	x.kept = kept
 	if cap(kept) <= 1<<16 {
 		c.body = kept
@@ -323,7 +323,7 @@
 				guard.Reset(wait())
 				continue
 			}
-			if !s.Faults.NoGuard {
+			if !s.Faults.NoAnswerDeadline {
 				if answered, keep := x.overdue(); answered {
 					return keep
 				}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -20,25 +20,25 @@
 	"arrowcleat/internal/settings"
 )
 
-// Final is the header that says which final answer a client got; NotTaken is the word for none: the invocation
+// AnswerHeader is the header that says which final answer a client got; NotAccepted is the word for none: the invocation
 // was turned away before the marshal took it.
 const (
-	Final      = "Arrowcleat-Answer"
-	Succeeded  = "succeeded"
-	Throttled  = "throttled"
-	Terminated = "terminated"
-	NotTaken   = "not-taken"
+	AnswerHeader = "Arrowcleat-Answer"
+	Succeeded    = "succeeded"
+	Throttled    = "throttled"
+	Terminated   = "terminated"
+	NotAccepted  = "not-taken"
 )
 
 // Server takes connections from clients.
 type Server struct {
-	Set   *settings.Settings
-	Clock loop.Clock
-	Loops []*loop.Loop      // one for each core
-	Cores [][]*marshal.Core // by core, of the pools
-	Pool  *back.Pool
-	Log   *slog.Logger
-	Terms Terms
+	Settings *settings.Settings
+	Clock    loop.Clock
+	Loops    []*loop.Loop      // one for each core
+	Cores    [][]*marshal.Core // by core, of the pools
+	Pool     *back.Pool
+	Log      *slog.Logger
+	Protocol ProtocolOptions
 
 	ids       sync.Map     // of the requests that are open
 	draining  atomic.Bool  // every connection ends with its next answer
@@ -59,32 +59,32 @@
 	via       string
 	limits    h1.Limits
 	names     names
-	Counts    Counts
-	Faults    Faults
+	Counters  Counters
+	Faults    InjectedFaults
 }
 
-// Faults are planted, so that an audit can be seen to find them; none is set on a marshal that serves.
-type Faults struct {
-	Twice  bool // answers are written twice
-	Copies bool // a request goes out on a second connection too
-	Late   bool // the word that a node drains does not stop what is about to be written to it
-	// NoGuard leaves what the loop has lost without an answer.
-	NoGuard bool
-	Budget  bool // nodes are told of a second more than there is
-	Gone    bool // nobody looks whether a client has left
-	// Discards reads and throws away what comes on a connection that closes.
-	Discards bool
+// InjectedFaults are planted, so that an audit can be seen to find them; none is set on a marshal that serves.
+type InjectedFaults struct {
+	AnswerTwice       bool // answers are written twice
+	DuplicateRequests bool // a request goes out on a second connection too
+	IgnoreDraining    bool // the word that a node drains does not stop what is about to be written to it
+	// NoAnswerDeadline leaves what the loop has lost without an answer.
+	NoAnswerDeadline bool
+	InflateTimeLeft  bool // nodes are told of a second more than there is
+	IgnoreClientGone bool // nobody looks whether a client has left
+	// DiscardUnread reads and throws away what comes on a connection that closes.
+	DiscardUnread bool
 }
 
-// Counts is what never reaches the module. Once nothing is open, Read is Answered and Left together.
-type Counts struct {
-	Connections, TurnedAway, Malformed atomic.Int64
+// Counters is what never reaches the module. Once nothing is open, Read is Answered and Left together.
+type Counters struct {
+	Connections, Rejected, Malformed atomic.Int64
 
-	Read     atomic.Int64 // requests read, also those that could not be used
-	Answered atomic.Int64 // of them, those whose final answer was begun
-	Left     atomic.Int64 // and those whose client had gone before it
-	HeldBack atomic.Int64 // dispatches decided on that the last look before writing held back
-	Closed   [closeReasons]atomic.Int64
+	RequestsRead         atomic.Int64 // requests read, also those that could not be used
+	Answered             atomic.Int64 // of them, those whose final answer was begun
+	ClientsGone          atomic.Int64 // and those whose client had gone before it
+	SuppressedDispatches atomic.Int64 // dispatches decided on that the last look before writing held back
+	Closed               [closeReasons]atomic.Int64
 
 	// Violations of what must hold: each is also logged.
 	Unanswered    atomic.Int64 // requests read whose connection was closed without an answer, or would have been
@@ -92,15 +92,15 @@
 }
 
 // LogValue is the counts as one group of a log line.
-func (c *Counts) LogValue() slog.Value {
-	return slog.GroupValue(slog.Int64("connections", c.Connections.Load()), slog.Int64("turned_away", c.TurnedAway.Load()),
-		slog.Int64("malformed", c.Malformed.Load()), slog.Int64("read", c.Read.Load()), slog.Int64("answered", c.Answered.Load()),
-		slog.Int64("left", c.Left.Load()), slog.Int64("held_back", c.HeldBack.Load()), slog.Int64("unanswered", c.Unanswered.Load()),
-		slog.Int64("second_answers", c.SecondAnswers.Load()), slog.String("closed", fmt.Sprint(c.ClosedBy())))
+func (c *Counters) LogValue() slog.Value {
+	return slog.GroupValue(slog.Int64("connections", c.Connections.Load()), slog.Int64("turned_away", c.Rejected.Load()),
+		slog.Int64("malformed", c.Malformed.Load()), slog.Int64("read", c.RequestsRead.Load()), slog.Int64("answered", c.Answered.Load()),
+		slog.Int64("left", c.ClientsGone.Load()), slog.Int64("held_back", c.SuppressedDispatches.Load()), slog.Int64("unanswered", c.Unanswered.Load()),
+		slog.Int64("second_answers", c.SecondAnswers.Load()), slog.String("closed", fmt.Sprint(c.ClosedByReason())))
 }
 
-// ClosedBy gives how many connections were closed for each reason.
-func (c *Counts) ClosedBy() map[string]int64 {
+// ClosedByReason gives how many connections were closed for each reason.
+func (c *Counters) ClosedByReason() map[string]int64 {
 	all := map[string]int64{}
 	for reason := range closeReasons {
 		if n := c.Closed[reason].Load(); n > 0 {
@@ -149,22 +149,22 @@
 	s.lns, s.conns, s.homes = lns, map[*conn]bool{}, make([]atomic.Int64, len(s.Loops))
 	s.listening = len(lns)
 	s.wg.Add(len(lns)) // whoever waits for the connections waits for those that listeners may still bring
-	s.via = "1.1 marshal-" + strconv.Itoa(int(s.Current().Instance.Number))
-	s.limits = h1.Limits{Line: int(s.Current().Limits.LineBytes), Header: int(s.Current().Limits.HeaderBytes)}
-	h, canon := s.Current().Headers, textproto.CanonicalMIMEHeaderKey
+	s.via = "1.1 marshal-" + strconv.Itoa(int(s.CurrentSettings().Instance.Number))
+	s.limits = h1.Limits{LineBytes: int(s.CurrentSettings().Limits.LineBytes), HeaderBytes: int(s.CurrentSettings().Limits.HeaderBytes)}
+	h, canon := s.CurrentSettings().Headers, textproto.CanonicalMIMEHeaderKey
 	s.names = names{canon(h.Tenant), canon(h.Key), canon(h.Mark), canon(h.TimeMs), canon(h.CostMs), canon(h.Retry),
 		canon(h.TurnedAway)}
 }
 
-// Current is the settings as they are now; Change takes others, for what begins from then on.
-func (s *Server) Current() *settings.Settings {
+// CurrentSettings is the settings as they are now; Change takes others, for what begins from then on.
+func (s *Server) CurrentSettings() *settings.Settings {
 	if now := s.now.Load(); now != nil {
 		return now
 	}
-	return s.Set
+	return s.Settings
 }
 
-func (s *Server) Change(set *settings.Settings) { s.now.Store(set) }
+func (s *Server) UpdateSettings(set *settings.Settings) { s.now.Store(set) }
 
 // Drain lets every connection end with its next answer; all that comes is still served, until Stop.
 func (s *Server) Drain() { s.draining.Store(true) }
@@ -256,8 +256,8 @@
 	s.homes[c.home].Add(-1)
 }
 
-// Open is the number of invocations between their head and their answer.
-func (s *Server) Open() int { return int(s.open.Load()) }
+// OpenInvocations is the number of invocations between their head and their answer.
+func (s *Server) OpenInvocations() int { return int(s.open.Load()) }
 
 const (
 	readBuffer = 4096
@@ -273,9 +273,9 @@
 
 func (s *Server) waiting(core int) int { return s.Loops[core].Waiting() }
 
-// Homes is the number of connections of each core, Moved that of the invocations that went to another one than their
+// CoreConnections is the number of connections of each core, Moved that of the invocations that went to another one than their
 // connection's because so much more waited there.
-func (s *Server) Homes(core int) int64 {
+func (s *Server) CoreConnections(core int) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.homes == nil {
@@ -284,4 +284,4 @@
 	return s.homes[core].Load()
 }
 
-func (s *Server) Moved() int64 { return s.moved.Load() }
+func (s *Server) MovedInvocations() int64 { return s.moved.Load() }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -21,7 +21,7 @@
 )
 
 // serving starts a clients' side with room for so many connections; every request is answered before it is taken.
-func serving(t *testing.T, connections uint32, terms Terms) (*Server, string) {
+func serving(t *testing.T, connections uint32, terms ProtocolOptions) (*Server, string) {
 	t.Helper()
 	s, address, _ := counted(t, connections, terms)
 	return s, address
@@ -49,7 +49,7 @@
 }
 
 // counted is serving, with a count of reads.
-func counted(t *testing.T, connections uint32, terms Terms) (*Server, string, *atomic.Int64) {
+func counted(t *testing.T, connections uint32, terms ProtocolOptions) (*Server, string, *atomic.Int64) {
 	t.Helper()
 	reads := &atomic.Int64{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,12 +57,12 @@
 		t.Fatal(err)
 	}
 	clock := loop.Monotonic()
-	s := &Server{Set: &settings.Settings{Instance: &settings.Instance{}, Headers: &settings.Headers{},
+	s := &Server{Settings: &settings.Settings{Instance: &settings.Instance{}, Headers: &settings.Headers{},
 		Operation: []*settings.Operation{{Name: "x"}},
 		Limits:    &settings.Limits{Connections: connections, Open: connections, LineBytes: 1000, HeaderBytes: 1000, RepeatBodyBytes: 100},
 		Times:     &settings.Times{HeaderMs: 1000, BodyMs: 1000, WriteMs: 1000, IdleMs: 1000}},
 		Clock: clock, Loops: []*loop.Loop{loop.New(clock, 1)}, Cores: [][]*marshal.Core{{nil}}, Pool: &back.Pool{},
-		Log: slog.New(slog.DiscardHandler), Terms: terms}
+		Log: slog.New(slog.DiscardHandler), Protocol: terms}
 	go s.Serve([]Listener{{Listener: reading{ln, reads}}})
 	t.Cleanup(func() { s.Close(time.Second) })
 	return s, ln.Addr().String(), reads
@@ -84,7 +84,7 @@
 
 // Clients that come all at once and ask at once are all answered: none gives way before its request has been read.
 func TestBurstOfConnections(t *testing.T) {
-	_, address := serving(t, 20, Terms{Health: "/healthz", FirstMs: 2000})
+	_, address := serving(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 2000})
 	var wg sync.WaitGroup
 	var lost atomic.Int32
 	for range 120 {
@@ -109,7 +109,7 @@
 
 // Clients that say nothing give way to one that asks, and are closed in time in any case.
 func TestSilentClients(t *testing.T) {
-	_, address := serving(t, 20, Terms{Health: "/healthz", FirstMs: 600})
+	_, address := serving(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 600})
 	var silent []net.Conn
 	for range 60 {
 		nc, err := net.Dial("tcp", address)
@@ -138,9 +138,9 @@
 
 // Terms turn away what is too long, and a second request of an id that is open, before either is taken.
 func TestTerms(t *testing.T) {
-	s, address := serving(t, 20, Terms{MostBody: 10, FirstMs: 1000, Read: func(h *h1.Head) (a Asked, err error) {
-		if a.ID = h.Header.Get("X-Id"); a.ID == "" {
-			return a, Refused(400, "no id")
+	s, address := serving(t, 20, ProtocolOptions{MaxBodyBytes: 10, FirstRequestTimeoutMs: 1000, ParseRequest: func(h *h1.Head) (a RequestParams, err error) {
+		if a.RequestID = h.Header.Get("X-Id"); a.RequestID == "" {
+			return a, NewRejection(400, "no id")
 		}
 		return a, nil
 	}})
@@ -167,7 +167,7 @@
 func TestReaderSleepsWhileAnswerIsOut(t *testing.T) {
 	for body, request := range map[string]string{"no body": "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
 		"body": "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"} {
-		_, address, reads := counted(t, 20, Terms{FirstMs: 50, Read: func(*h1.Head) (Asked, error) { return Asked{Limit: 400}, nil }})
+		_, address, reads := counted(t, 20, ProtocolOptions{FirstRequestTimeoutMs: 50, ParseRequest: func(*h1.Head) (RequestParams, error) { return RequestParams{LimitMs: 400}, nil }})
 		nc, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -29,7 +29,7 @@
 	c.release()
 	b := append(strconv.AppendInt(append(c.out[:0], "HTTP/1.1 "...), int64(status), 10), ' ')
 	b = append(append(b, reasons[status]...), "\r\n"...)
-	b = h1.AppendField(b, Final, final)
+	b = h1.AppendField(b, AnswerHeader, final)
 	for i := 0; i+1 < len(fields); i += 2 {
 		b = h1.AppendField(b, fields[i], fields[i+1])
 	}
@@ -47,19 +47,19 @@
 
 // refuse turns a request away before it is taken.
 func (c *conn) refuse(status int, text string, must closeReason, fields ...string) (keep bool) {
-	c.s.Counts.TurnedAway.Add(1)
+	c.s.Counters.Rejected.Add(1)
 	if c.s.Log.Enabled(context.Background(), slog.LevelDebug) {
 		c.s.Log.Debug("request refused", "request", c.lastID, "status", status, "why", text)
 	}
-	return c.plain(status, NotTaken, text, must, fields...)
+	return c.plain(status, NotAccepted, text, must, fields...)
 }
 
 func (c *conn) fault(err error) bool {
-	c.s.Counts.Malformed.Add(1)
+	c.s.Counters.Malformed.Add(1)
 	switch {
 	case errors.Is(err, h1.ErrTooLarge):
 		return c.refuse(431, err.Error(), closeRejected)
-	case errors.Is(err, h1.ErrCoding):
+	case errors.Is(err, h1.ErrTransferCoding):
 		return c.refuse(501, err.Error(), closeRejected)
 	case errors.Is(err, h1.ErrVersion):
 		return c.refuse(505, err.Error(), closeRejected)
@@ -81,31 +81,31 @@
 	x := &exchange{c: c, head: h, began: req.began, last: h.Close}
 	defer x.resumeReader()
 	c.noBody = h.Method == "HEAD"
-	if s.Terms.Health != "" && h.Target == s.Terms.Health && h.Method == "GET" && h.Length == 0 {
-		return c.plain(200, NotTaken, "serving", x.mustEnd())
+	if s.Protocol.HealthPath != "" && h.Target == s.Protocol.HealthPath && h.Method == "GET" && h.BodyLength == 0 {
+		return c.plain(200, NotAccepted, "serving", x.mustEnd())
 	}
 	// What the head asks for: operation, tenant, key, mark, time. Nothing has been taken yet.
 	absolute(h)
 	asked, err := c.asked(h)
-	c.lastID, x.requestID = asked.ID, asked.ID
+	c.lastID, x.requestID = asked.RequestID, asked.RequestID
 	unread := x.mustEnd()
-	if h.Length != 0 { // the body that is not read is in the way of the next request
+	if h.BodyLength != 0 { // the body that is not read is in the way of the next request
 		unread = closeRejected
 	}
 	var why refusal
 	if errors.As(err, &why) {
 		return c.refuse(why.status, why.text, unread)
 	}
-	if s.tooLong(h.Length) {
+	if s.tooLong(h.BodyLength) {
 		return c.refuse(413, "the body is too long", closeRejected)
 	}
-	if !s.claim(asked.ID) {
+	if !s.claim(asked.RequestID) {
 		return c.refuse(409, "a request of this id is open", unread)
 	}
-	c.id = asked.ID
+	c.id = asked.RequestID
 	defer c.release()
-	x.limit = asked.Limit
-	if s.open.Add(1) > int64(s.Current().Limits.Open) {
+	x.limit = asked.LimitMs
+	if s.open.Add(1) > int64(s.CurrentSettings().Limits.Open) {
 		s.open.Add(-1)
 		return c.refuse(503, "too many invocations are open", unread, "Retry-After", "1")
 	}
@@ -117,16 +117,16 @@
 		c.gone.Store(true)
 		return false
 	}
-	if s.Terms.MostBody > 0 && !x.whole {
+	if s.Protocol.MaxBodyBytes > 0 && !x.whole {
 		return c.refuse(413, "the body is too long", closeRejected)
 	}
-	x.trailers = h1.Listed(h.Header["Te"], "trailers")
-	h.DropHops()
-	budget := x.limit - s.Current().Times.AnswerMs - (s.Clock.Now() - x.began)
+	x.trailers = h1.ListsToken(h.Header["Te"], "trailers")
+	h.RemoveHopByHop()
+	budget := x.limit - s.CurrentSettings().Times.AnswerMs - (s.Clock.Now() - x.began)
 	if budget <= 0 {
 		return c.refuse(503, "no time left when it had arrived", x.mustEnd())
 	}
-	x.pool, x.local = s.Set.Place(asked.Op)
+	x.pool, x.local = s.Settings.Place(asked.Operation)
 	c.current.Store(x)
 	defer func() {
 		c.current.Store(nil)
@@ -135,15 +135,15 @@
 	if c.gone.Load() {
 		return false
 	}
-	x.tenant, x.cost, x.write, x.key, x.retry = asked.Tenant, asked.Cost, asked.Write, asked.Key, asked.Retry
-	if o := s.Set.Operation[asked.Op]; o.Repeat == settings.Repeat_FINGERPRINTED {
+	x.tenant, x.cost, x.write, x.key, x.retry = asked.Tenant, asked.CostMs, asked.IsWrite, asked.Key, asked.IsRetry
+	if o := s.Settings.Operation[asked.Operation]; o.Repeat == settings.Repeat_FINGERPRINTED {
 		x.memory = o.MemoryMs
 	}
 	x.dueAt = s.Clock.Now() + budget
-	x.answerBy = x.dueAt + s.Current().Times.AnswerMs/2
+	x.answerBy = x.dueAt + s.CurrentSettings().Times.AnswerMs/2
 	at := 0
 	if len(s.Loops) > 1 {
-		if s.Set.RolloutOf(x.pool).ForwardOnly {
+		if s.Settings.RolloutOf(x.pool).ForwardOnly {
 			x.name = x.key
 		}
 		if x.name == "" && s.names.mark != "" {
--- a/internal/front/terms.go
+++ b/internal/front/terms.go
@@ -9,23 +9,23 @@
 	"arrowcleat/internal/settings"
 )
 
-// Terms are what a protocol asks of the clients' side beyond its settings; the zero value is the project's own.
-type Terms struct {
-	Read       func(h *h1.Head) (Asked, error)        // nil: by the names that settings give
-	Health     string                                 // a path at which the marshal says that it serves
-	MostBody   int64                                  // bytes of a body, of a request or an answer; longer ones are errors. 0: they are streamed
-	FirstMs    float64                                // from a connection's opening to its first whole request; 0: as for any other
-	RetryAfter func(ms float64) (field, value string) // when a throttled client may come back
-	Quiet      bool                                   // what nodes send ahead of an answer is not passed on
+// ProtocolOptions are what a protocol asks of the clients' side beyond its settings; the zero value is the project's own.
+type ProtocolOptions struct {
+	ParseRequest          func(h *h1.Head) (RequestParams, error) // nil: by the names that settings give
+	HealthPath            string                                  // a path at which the marshal says that it serves
+	MaxBodyBytes          int64                                   // bytes of a body, of a request or an answer; longer ones are errors. 0: they are streamed
+	FirstRequestTimeoutMs float64                                 // from a connection's opening to its first whole request; 0: as for any other
+	RetryAfter            func(ms float64) (field, value string)  // when a throttled client may come back
+	DropInterimResponses  bool                                    // what nodes send ahead of an answer is not passed on
 }
 
-// Asked is what a request asks for.
-type Asked struct {
-	Op, Tenant   int
-	Key          string
-	ID           string  // no two of one id are open at once; empty: it has none
-	Limit, Cost  float64 // ms
-	Retry, Write bool
+// RequestParams is what a request asks for.
+type RequestParams struct {
+	Operation, Tenant int
+	Key               string
+	RequestID         string  // no two of one id are open at once; empty: it has none
+	LimitMs, CostMs   float64 // ms
+	IsRetry, IsWrite  bool
 }
 
 // refusal is why a request is turned away before it is taken.
@@ -36,34 +36,34 @@
 
 func (r refusal) Error() string { return r.text }
 
-// Refused is an error that turns a request away with a status.
-func Refused(status int, text string) error { return refusal{status, text} }
+// NewRejection is an error that turns a request away with a status.
+func NewRejection(status int, text string) error { return refusal{status, text} }
 
 // asked finds operation, tenant, key, mark and time in a head as the project's own protocol has them.
-func (c *conn) asked(h *h1.Head) (a Asked, err error) {
+func (c *conn) asked(h *h1.Head) (a RequestParams, err error) {
 	s := c.s
-	if s.Terms.Read != nil {
-		return s.Terms.Read(h)
+	if s.Protocol.ParseRequest != nil {
+		return s.Protocol.ParseRequest(h)
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
-	op := s.Current().Find(c.listener, h.Method, path)
+	op := s.CurrentSettings().Find(c.listener, h.Method, path)
 	if op < 0 || h.Method == "CONNECT" {
-		return a, Refused(404, "no operation matches "+h.Method+" "+path)
+		return a, NewRejection(404, "no operation matches "+h.Method+" "+path)
 	}
-	o := s.Current().Operation[op]
+	o := s.CurrentSettings().Operation[op]
 	if o.Repeat == settings.Repeat_FINGERPRINTED && h.Header.Get(s.names.mark) == "" {
-		return a, Refused(400, o.Name+" needs a mark against repeats in "+s.names.mark)
+		return a, NewRejection(400, o.Name+" needs a mark against repeats in "+s.names.mark)
 	}
 	limit, err := number(h.Header, s.names.time, o.LimitMs)
 	if err != nil {
-		return a, Refused(400, err.Error())
+		return a, NewRejection(400, err.Error())
 	}
 	cost, err := number(h.Header, s.names.cost, 0)
 	if err != nil {
-		return a, Refused(400, err.Error())
+		return a, NewRejection(400, err.Error())
 	}
-	return Asked{Op: op, Tenant: s.Current().TenantIndex(h.Header.Get(s.names.tenant)), Key: h.Header.Get(s.names.key),
-		Limit: min(limit, o.LimitMs), Cost: cost, Retry: s.names.retry != "" && h.Header.Get(s.names.retry) != "", Write: o.Write}, nil
+	return RequestParams{Operation: op, Tenant: s.CurrentSettings().TenantIndex(h.Header.Get(s.names.tenant)), Key: h.Header.Get(s.names.key),
+		LimitMs: min(limit, o.LimitMs), CostMs: cost, IsRetry: s.names.retry != "" && h.Header.Get(s.names.retry) != "", IsWrite: o.Write}, nil
 }
 
 // absolute takes the authority of a target in absolute form for the host.
@@ -100,12 +100,14 @@
 }
 
 // tooLong says that a body is known to be longer than the terms allow.
-func (s *Server) tooLong(length int64) bool { return s.Terms.MostBody > 0 && length > s.Terms.MostBody }
+func (s *Server) tooLong(length int64) bool {
+	return s.Protocol.MaxBodyBytes > 0 && length > s.Protocol.MaxBodyBytes
+}
 
 // retryAfter are the fields that say when to come back.
 func (s *Server) retryAfter(ms float64) []string {
-	if s.Terms.RetryAfter != nil {
-		field, value := s.Terms.RetryAfter(ms)
+	if s.Protocol.RetryAfter != nil {
+		field, value := s.Protocol.RetryAfter(ms)
 		return []string{field, value}
 	}
 	return []string{"Retry-After", strconv.Itoa(max(1, int(ms/1000+0.999))), "Retry-After-Ms", fmt.Sprintf("%.0f", ms)}
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -17,15 +17,15 @@
 
 // Limits bounds what a head may take.
 type Limits struct {
-	Line, Header int // bytes of the first line, and of all header lines
+	LineBytes, HeaderBytes int // bytes of the first line, and of all header lines
 }
 
 // Errors that say how a message is answered. Anything else that a reader returns is the connection's.
 var (
-	ErrMalformed = errors.New("malformed message")
-	ErrTooLarge  = errors.New("head too large")
-	ErrCoding    = errors.New("transfer coding not known")
-	ErrVersion   = errors.New("HTTP version not known")
+	ErrMalformed      = errors.New("malformed message")
+	ErrTooLarge       = errors.New("head too large")
+	ErrTransferCoding = errors.New("transfer coding not known")
+	ErrVersion        = errors.New("HTTP version not known")
 )
 
 func malformed(format string, a ...any) error {
@@ -37,16 +37,16 @@
 	Method, Target string // of a request
 	Status         int    // of a response
 	Reason         string
-	Minor          int // 0 for HTTP/1.0
+	MinorVersion   int // 0 for HTTP/1.0
 	Header         textproto.MIMEHeader
-	Length         int64 // of the body: Chunked, ToEnd or its bytes
+	BodyLength     int64 // of the body: Chunked, ToEnd or its bytes
 	Close          bool  // the connection ends with this message
 }
 
 // Lengths that are no number of bytes.
 const (
-	Chunked = -1
-	ToEnd   = -2
+	Chunked    = -1
+	UntilClose = -2
 )
 
 // Reader reads messages from one connection.
@@ -94,13 +94,13 @@
 }
 
 func (r *Reader) head(l Limits) (string, textproto.MIMEHeader, error) {
-	r.gate.left = l.Line + l.Header
+	r.gate.left = l.LineBytes + l.HeaderBytes
 	defer func() { r.gate.left = -1 }()
 	line, err := r.text.ReadLine()
 	if err != nil {
 		return "", nil, err
 	}
-	if len(line) > l.Line {
+	if len(line) > l.LineBytes {
 		return "", nil, ErrTooLarge
 	}
 	for i := range len(line) {
@@ -135,7 +135,7 @@
 			}
 		}
 	}
-	if size > l.Header {
+	if size > l.HeaderBytes {
 		return "", nil, ErrTooLarge
 	}
 	return line, header, nil
@@ -167,14 +167,14 @@
 		return nil, err
 	}
 	hosts := header["Host"]
-	if len(hosts) > 1 || len(hosts) == 0 && h.Minor > 0 {
+	if len(hosts) > 1 || len(hosts) == 0 && h.MinorVersion > 0 {
 		return nil, malformed("%d Host headers where one is due", len(hosts))
 	}
 	if err := h.framing(); err != nil {
 		return nil, err
 	}
-	if h.Length == ToEnd {
-		h.Length = 0
+	if h.BodyLength == UntilClose {
+		h.BodyLength = 0
 	}
 	return h, nil
 }
@@ -199,8 +199,8 @@
 		return nil, err
 	}
 	if method == "HEAD" || status < 200 || status == 204 || status == 304 {
-		h.Length = 0
-	} else if h.Length == ToEnd {
+		h.BodyLength = 0
+	} else if h.BodyLength == UntilClose {
 		h.Close = true
 	}
 	return h, nil
@@ -209,7 +209,7 @@
 func (h *Head) version(v string) error {
 	switch v {
 	case "HTTP/1.1":
-		h.Minor = 1
+		h.MinorVersion = 1
 	case "HTTP/1.0":
 	default:
 		if len(v) == 8 && strings.HasPrefix(v, "HTTP/") && v[6] == '.' {
@@ -223,35 +223,35 @@
 // framing finds where the body ends. Two ways to tell, or an odd one, are malformed: RFC 9112, 6.3.
 func (h *Head) framing() error {
 	connection := h.Header["Connection"]
-	h.Close = Listed(connection, "close") || h.Minor == 0 && !Listed(connection, "keep-alive")
+	h.Close = ListsToken(connection, "close") || h.MinorVersion == 0 && !ListsToken(connection, "keep-alive")
 	codings, lengths := h.Header["Transfer-Encoding"], h.Header["Content-Length"]
 	if len(codings) > 0 {
 		if len(lengths) > 0 {
 			return malformed("both Content-Length and Transfer-Encoding")
 		}
-		if h.Minor == 0 {
+		if h.MinorVersion == 0 {
 			return malformed("Transfer-Encoding in HTTP/1.0")
 		}
 		if len(codings) > 1 || !strings.EqualFold(codings[0], "chunked") {
-			return fmt.Errorf("%w: %.40q", ErrCoding, strings.Join(codings, ", "))
+			return fmt.Errorf("%w: %.40q", ErrTransferCoding, strings.Join(codings, ", "))
 		}
-		h.Length = Chunked
+		h.BodyLength = Chunked
 		return nil
 	}
-	h.Length = ToEnd
+	h.BodyLength = UntilClose
 	if len(lengths) > 0 {
 		text := lengths[0]
 		n, err := strconv.ParseInt(text, 10, 64)
 		if len(lengths) > 1 || err != nil || n < 0 || text[0] == '+' || text[0] == '-' {
 			return malformed("Content-Length %.40q", strings.Join(lengths, ", "))
 		}
-		h.Length = n
+		h.BodyLength = n
 	}
 	return nil
 }
 
-// Listed says that a comma-separated header names a token.
-func Listed(values []string, token string) bool {
+// ListsToken says that a comma-separated header names a token.
+func ListsToken(values []string, token string) bool {
 	for _, v := range values {
 		for part := range strings.SplitSeq(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(part), token) {
@@ -262,17 +262,17 @@
 	return false
 }
 
-// Expects says that a request's body waits for 100 Continue.
-func (h *Head) Expects() bool {
-	return h.Minor > 0 && h.Length != 0 && Listed(h.Header["Expect"], "100-continue")
+// ExpectsContinue says that a request's body waits for 100 Continue.
+func (h *Head) ExpectsContinue() bool {
+	return h.MinorVersion > 0 && h.BodyLength != 0 && ListsToken(h.Header["Expect"], "100-continue")
 }
 
 // hop are the header names that end at a hop (RFC 9110, 7.6.1), those of old among them.
 var hop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// DropHops removes what is meant for this hop only, with all that Connection names.
-func (h *Head) DropHops() {
+// RemoveHopByHop removes what is meant for this hop only, with all that Connection names.
+func (h *Head) RemoveHopByHop() {
 	for _, v := range h.Header["Connection"] {
 		for part := range strings.SplitSeq(v, ",") {
 			name := textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(part))
@@ -310,8 +310,8 @@
 
 // Body gives the body of a message.
 func (r *Reader) Body(h *Head, l Limits) *Body {
-	b := &Body{r: r, left: h.Length, limits: l}
-	if h.Length == Chunked {
+	b := &Body{r: r, left: h.BodyLength, limits: l}
+	if h.BodyLength == Chunked {
 		b.chunked = httputil.NewChunkedReader(r.Reader)
 	}
 	return b
@@ -335,7 +335,7 @@
 		}
 	case b.left == 0:
 		err = io.EOF
-	case b.left == ToEnd:
+	case b.left == UntilClose:
 		n, err = b.r.Read(p)
 	default:
 		if int64(len(p)) > b.left {
@@ -359,7 +359,7 @@
 }
 
 func (b *Body) trailers() error {
-	b.r.gate.left = b.limits.Header
+	b.r.gate.left = b.limits.HeaderBytes
 	defer func() { b.r.gate.left = -1 }()
 	header, err := b.r.text.ReadMIMEHeader()
 	if err != nil {
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-var limits = Limits{Line: 256, Header: 1024}
+var limits = Limits{LineBytes: 256, HeaderBytes: 1024}
 
 var seeds = []string{
 	"GET / HTTP/1.1\r\nHost: x\r\n\r\n",
@@ -34,8 +34,8 @@
 		if err != nil {
 			return
 		}
-		if h.Length < 0 && h.Length != Chunked {
-			t.Fatalf("a request of length %d", h.Length)
+		if h.BodyLength < 0 && h.BodyLength != Chunked {
+			t.Fatalf("a request of length %d", h.BodyLength)
 		}
 		body, err := io.ReadAll(r.Body(h, limits))
 		if err != nil {
@@ -77,7 +77,7 @@
 			}
 		}
 		io.Copy(io.Discard, r.Body(h, limits))
-		h.DropHops()
+		h.RemoveHopByHop()
 		if out := AppendHeader(nil, h.Header); bytes.Count(out, []byte("\n")) != bytes.Count(out, []byte("\r\n")) {
 			t.Fatalf("written as %q", out)
 		}
--- a/internal/plant/plant.go
+++ b/internal/plant/plant.go
@@ -27,15 +27,15 @@
 	}
 	switch rule {
 	case "twice":
-		h.Front = func(s *front.Server) { s.Faults.Twice = true }
+		h.Front = func(s *front.Server) { s.Faults.AnswerTwice = true }
 	case audit.Answered:
-		h.Front = func(s *front.Server) { s.Faults.NoGuard = true }
+		h.Front = func(s *front.Server) { s.Faults.NoAnswerDeadline = true }
 	case audit.Drain:
-		h.Front = func(s *front.Server) { s.Faults.Late = true }
+		h.Front = func(s *front.Server) { s.Faults.IgnoreDraining = true }
 	case audit.Effects:
 		h.Unguarded = true
 	case audit.OneOut:
-		h.Front = func(s *front.Server) { s.Faults.Copies = true }
+		h.Front = func(s *front.Server) { s.Faults.DuplicateRequests = true }
 	}
 	h.Module = func(host balance.Host, set balance.Settings, seed uint64) divide.Module {
 		f := &faulty{Host: host, rule: rule}
--- a/internal/platform/heads.go
+++ b/internal/platform/heads.go
@@ -19,51 +19,51 @@
 
 // asked reads what a request's head asks for. What nodes would turn away, and what could be read in two ways, is an
 // error: nothing was taken.
-func (c *Config) asked(h *h1.Head) (a front.Asked, err error) {
+func (c *Config) asked(h *h1.Head) (a front.RequestParams, err error) {
 	id, ok := single(h.Header, "X-Trace-Id")
 	if !ok || !plainID(id) {
-		return a, front.Refused(400, "one X-Trace-Id is due")
+		return a, front.NewRejection(400, "one X-Trace-Id is due")
 	}
 	class, ok := single(h.Header, "X-Qos")
-	a.Op = slices.IndexFunc(c.Set.Operation, func(o *settings.Operation) bool { return o.Name == class })
-	if !ok || a.Op < 0 {
-		return a, front.Refused(404, "no operation of this name in X-Qos")
+	a.Operation = slices.IndexFunc(c.Set.Operation, func(o *settings.Operation) bool { return o.Name == class })
+	if !ok || a.Operation < 0 {
+		return a, front.NewRejection(404, "no operation of this name in X-Qos")
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
 	if !begins(path, class) {
-		return a, front.Refused(404, "path and X-Qos name different operations")
+		return a, front.NewRejection(404, "path and X-Qos name different operations")
 	}
 	method := "GET"
-	if c.Set.Operation[a.Op].Repeat != settings.Repeat_IDEMPOTENT {
+	if c.Set.Operation[a.Operation].Repeat != settings.Repeat_IDEMPOTENT {
 		method = "POST"
 	}
 	if h.Method != method {
-		return a, front.Refused(405, class+" is called by "+method)
+		return a, front.NewRejection(405, class+" is called by "+method)
 	}
-	if method == "GET" && h.Length != 0 {
-		return a, front.Refused(400, "a GET has no body here")
+	if method == "GET" && h.BodyLength != 0 {
+		return a, front.NewRejection(400, "a GET has no body here")
 	}
-	if c.Set.Operation[a.Op].Repeat == settings.Repeat_FINGERPRINTED {
+	if c.Set.Operation[a.Operation].Repeat == settings.Repeat_FINGERPRINTED {
 		if mark, ok := single(h.Header, "Idempotency-Key"); !ok || mark == "" {
-			return a, front.Refused(400, "one Idempotency-Key is due")
+			return a, front.NewRejection(400, "one Idempotency-Key is due")
 		}
 	}
-	a.Limit = c.Set.Operation[a.Op].LimitMs
+	a.LimitMs = c.Set.Operation[a.Operation].LimitMs
 	if text, given := h.Header["X-Expires-In-Ms"]; given {
 		ms, err := strconv.ParseUint(text[0], 10, 64)
 		if err != nil && !errors.Is(err, strconv.ErrRange) || len(text) > 1 { // more than can be counted is longer than any limit
-			return a, front.Refused(400, "X-Expires-In-Ms is no number of whole milliseconds")
+			return a, front.NewRejection(400, "X-Expires-In-Ms is no number of whole milliseconds")
 		}
-		a.Limit = min(a.Limit, float64(ms))
+		a.LimitMs = min(a.LimitMs, float64(ms))
 	}
 	if hint, err := strconv.ParseFloat(h.Header.Get("X-Size-Hint"), 64); err == nil && hint > 0 && hint < 1e12 {
-		a.Cost = hint / 1000
+		a.CostMs = hint / 1000
 	}
-	a.ID, a.Tenant, a.Key = id, c.Set.TenantIndex(h.Header.Get("X-Customer")), h.Header.Get("X-Object")
-	a.Retry = h.Header.Get("X-Second-Try") == "1"
+	a.RequestID, a.Tenant, a.Key = id, c.Set.TenantIndex(h.Header.Get("X-Customer")), h.Header.Get("X-Object")
+	a.IsRetry = h.Header.Get("X-Second-Try") == "1"
 	for prop := range strings.SplitSeq(h.Header.Get("X-Props"), ",") {
 		if name, value, _ := strings.Cut(strings.TrimSpace(prop), "="); name == "write" {
-			a.Write = value != "" && value != "0" && value != "false"
+			a.IsWrite = value != "" && value != "0" && value != "false"
 		}
 	}
 	return a, nil
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -43,7 +43,7 @@
 	}
 	m := &Marshal{stopMs: c.killMs() - lastMs}
 	hooks.Ways = &serve.Ways{
-		Terms:     front.Terms{Read: c.asked, Health: "/healthz", MostBody: mostBody, FirstMs: firstMs, RetryAfter: c.retryAfter, Quiet: true},
+		Terms:     front.ProtocolOptions{ParseRequest: c.asked, HealthPath: "/healthz", MaxBodyBytes: mostBody, FirstRequestTimeoutMs: firstMs, RetryAfter: c.retryAfter, DropInterimResponses: true},
 		Settings:  c.Module,
 		Known:     known,
 		FirstList: firstListMs * time.Millisecond,
@@ -130,5 +130,5 @@
 	slices.Sort(nodes)
 	m.Log.Debug("view", "taken", r.Taken, "succeeded", r.Succeeded, "throttled", r.Throttled, "terminated", r.Terminated,
 		"lapsed", r.Lapsed, "open", r.Open, "dispatches", r.Dispatches, "endings", fmt.Sprint(r.Endings), "ver", r.Ver, "stage", r.Stage,
-		"cap", r.Cap, "requests", &m.Front.Counts, "violations", fmt.Sprintf("%+v", r.Violations), "refused_behind", m.Behind(), "goroutines", runtime.NumGoroutine(), "nodes", strings.Join(nodes, " "))
+		"cap", r.Cap, "requests", &m.Front.Counters, "violations", fmt.Sprintf("%+v", r.Violations), "refused_behind", m.Behind(), "goroutines", runtime.NumGoroutine(), "nodes", strings.Join(nodes, " "))
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -89,7 +89,7 @@
 func TestHeads(t *testing.T) {
 	c := config(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 	good := func() *h1.Head {
-		return &h1.Head{Method: "POST", Target: "/book/now?x=1", Length: 3, Header: textproto.MIMEHeader{"X-Trace-Id": {"9b1f"},
+		return &h1.Head{Method: "POST", Target: "/book/now?x=1", BodyLength: 3, Header: textproto.MIMEHeader{"X-Trace-Id": {"9b1f"},
 			"X-Qos": {"book"}, "X-Customer": {"zenith"}, "X-Object": {"o1"}, "X-Expires-In-Ms": {"480"}, "Idempotency-Key": {"k"},
 			"X-Size-Hint": {"2500"}, "X-Second-Try": {"1"}, "X-Props": {"a=2,write=1"}}}
 	}
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -42,7 +42,7 @@
 	if err := <-stopped; err != nil || time.Now().After(kill) {
 		t.Errorf("it ended %v after TERM, with %v", time.Since(told), err)
 	}
-	if n := m.Front.Counts.Unanswered.Load(); n != 0 {
+	if n := m.Front.Counters.Unanswered.Load(); n != 0 {
 		t.Errorf("%d requests without an answer", n)
 	}
 }
--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -24,7 +24,7 @@
 	answerBytes = 4 << 20 // of one answer, and of one object of a stream
 )
 
-var limits = h1.Limits{Line: headBytes / 4, Header: headBytes}
+var limits = h1.Limits{LineBytes: headBytes / 4, HeaderBytes: headBytes}
 
 // Call makes one call on a connection of its own. sent says whether all of it was written: if not, it was not carried
 // out.
--- a/internal/serve/close_test.go
+++ b/internal/serve/close_test.go
@@ -71,7 +71,7 @@
 		"stop": {end: func(t *testing.T, r *rig) { go r.m.Stop() }, spread: 60 * time.Millisecond},
 		"idle": {change: func(s *settings.Settings) { s.Times.IdleMs = 100 }, end: func(*testing.T, *rig) { time.Sleep(70 * time.Millisecond) },
 			spread: 60 * time.Millisecond},
-		"eviction": {change: func(s *settings.Settings) { s.Limits.Connections = connections }, front: func(s *front.Server) { s.Terms.FirstMs = 2500 },
+		"eviction": {change: func(s *settings.Settings) { s.Limits.Connections = connections }, front: func(s *front.Server) { s.Protocol.FirstRequestTimeoutMs = 2500 },
 			end: func(t *testing.T, r *rig) {
 				time.Sleep(2050 * time.Millisecond) // connections that have served are left alone for 2 s
 				go func() {
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -84,11 +84,11 @@
 	if took := time.Since(begun); took > 400*time.Millisecond {
 		t.Errorf("with one core of three standing still, six answers took %v", took)
 	}
-	if r.m.Front.Moved() == 0 {
+	if r.m.Front.MovedInvocations() == 0 {
 		t.Error("nothing was moved from the core that stands still")
 	}
 	for core := range 3 {
-		if n := r.m.Front.Homes(core); n < 2 {
+		if n := r.m.Front.CoreConnections(core); n < 2 {
 			t.Errorf("core %d has %d of 7 connections", core, n)
 		}
 	}
@@ -452,8 +452,8 @@
 			succeeded++
 		}
 	}
-	if r.m.Front.Moved() < 5 || succeeded < 100 {
-		t.Errorf("%d moved, %d of 300 succeeded", r.m.Front.Moved(), succeeded)
+	if r.m.Front.MovedInvocations() < 5 || succeeded < 100 {
+		t.Errorf("%d moved, %d of 300 succeeded", r.m.Front.MovedInvocations(), succeeded)
 	}
 }
 
--- a/internal/serve/hooks.go
+++ b/internal/serve/hooks.go
@@ -32,7 +32,7 @@
 // Ways are those of another protocol, in place of the project's own lines to roster, conveyor and peers. A nil
 // Peers is none; Known is the list that the marshal held last.
 type Ways struct {
-	Terms           front.Terms
+	Terms           front.ProtocolOptions
 	Settings        balance.Settings  // the module's
 	Strict          bool              // back.Pool's
 	Reports         map[string]string // its names
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -325,7 +325,7 @@
 	c.Conn.(*net.TCPConn).CloseWrite()
 	c.expect("502 terminated")
 	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.Lapsed == 1 })
-	if n := r.m.Front.Counts.Left.Load(); n != 1 {
+	if n := r.m.Front.Counters.ClientsGone.Load(); n != 1 {
 		t.Errorf("%d requests counted as left", n)
 	}
 }
--- a/internal/serve/meter.go
+++ b/internal/serve/meter.go
@@ -53,18 +53,18 @@
 		put(descStand, level, l.Standing()/1000, core)
 		put(descWait, level, float64(l.Waiting()), core)
 		put(descBack, count, float64(l.Behind()), core)
-		put(descConns, level, float64(c.m.Front.Homes(i)), core)
+		put(descConns, level, float64(c.m.Front.CoreConnections(i)), core)
 	}
-	put(descMoved, count, float64(c.m.Front.Moved()))
-	put(descOpen, level, float64(c.m.Front.Open()))
-	counts := &c.m.Front.Counts
-	put(descRead, count, float64(counts.Read.Load()))
-	for outcome, n := range map[string]int64{"answered": counts.Answered.Load(), "left": counts.Left.Load(), "unanswered": counts.Unanswered.Load()} {
+	put(descMoved, count, float64(c.m.Front.MovedInvocations()))
+	put(descOpen, level, float64(c.m.Front.OpenInvocations()))
+	counts := &c.m.Front.Counters
+	put(descRead, count, float64(counts.RequestsRead.Load()))
+	for outcome, n := range map[string]int64{"answered": counts.Answered.Load(), "left": counts.ClientsGone.Load(), "unanswered": counts.Unanswered.Load()} {
 		put(descDone, count, float64(n), outcome)
 	}
-	put(descHeld, count, float64(counts.HeldBack.Load()))
+	put(descHeld, count, float64(counts.SuppressedDispatches.Load()))
 	put(descTwice, count, float64(counts.SecondAnswers.Load()))
-	for reason, n := range counts.ClosedBy() {
+	for reason, n := range counts.ClosedByReason() {
 		put(descEnds, count, float64(n), reason)
 	}
 	for _, g := range c.m.groups {
--- a/internal/serve/reload.go
+++ b/internal/serve/reload.go
@@ -19,7 +19,7 @@
 func (m *Marshal) Reload(set *settings.Settings, level *slog.LevelVar) ([]lang.Change, error) {
 	m.reload.Lock() // one at a time
 	defer m.reload.Unlock()
-	changes := lang.Diff(m.Front.Current(), set)
+	changes := lang.Diff(m.Front.CurrentSettings(), set)
 	var restart []string
 	for _, c := range changes {
 		if !live[c.Path] {
@@ -29,7 +29,7 @@
 	if len(restart) > 0 {
 		return changes, fmt.Errorf("nothing was changed: these need a restart: %s", strings.Join(restart, "; "))
 	}
-	m.Front.Change(set)
+	m.Front.UpdateSettings(set)
 	if level != nil {
 		level.UnmarshalText([]byte(set.Log.Level)) // checked with the settings
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -71,7 +71,7 @@
 	}
 	m.Loop = m.Loops[0]
 	m.now = loop.WallClock(hooks.Clock)
-	m.pool = &back.Pool{Now: m.now, Limits: h1.Limits{Line: int(set.Limits.LineBytes), Header: int(set.Limits.HeaderBytes)},
+	m.pool = &back.Pool{Now: m.now, Limits: h1.Limits{LineBytes: int(set.Limits.LineBytes), HeaderBytes: int(set.Limits.HeaderBytes)},
 		Dial: dur(set.Times.DialMs), Idle: dur(set.Times.NodeIdleMs), Most: int(set.Limits.IdlePerNode)}
 	seed := set.Seed
 	if seed == 0 {
@@ -134,9 +134,9 @@
 		}
 		g.wire(hooks.Ways)
 	}
-	m.Front = &front.Server{Set: set, Clock: hooks.Clock, Loops: m.Loops, Cores: cores, Pool: m.pool, Log: log}
+	m.Front = &front.Server{Settings: set, Clock: hooks.Clock, Loops: m.Loops, Cores: cores, Pool: m.pool, Log: log}
 	if hooks.Ways != nil {
-		m.Front.Terms = hooks.Ways.Terms
+		m.Front.Protocol = hooks.Ways.Terms
 	}
 	if hooks.Front != nil {
 		hooks.Front(m.Front)
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -636,7 +636,10 @@
 	c := r.client()
 	c.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	c.send(get, "look-long")
-	r.until("it is given up", func() bool { l, _ := r.m.Look(); return l.Taken == 1 && l.Open == 0 && r.m.Front.Open() == 0 })
+	r.until("it is given up", func() bool {
+		l, _ := r.m.Look()
+		return l.Taken == 1 && l.Open == 0 && r.m.Front.OpenInvocations() == 0
+	})
 	other := r.client()
 	other.send(get, "look")
 	other.expect("200 succeeded x")
@@ -750,7 +753,7 @@
 	set.Limits.Connections, set.Limits.MostTries, set.Log.Level = 1, 9, "debug"
 	var level slog.LevelVar
 	if _, err := r.m.Reload(set, &level); err == nil || !strings.Contains(err.Error(), "limits: most-tries 3 -> 9") ||
-		level.Level() != slog.LevelInfo || r.m.Front.Current().Limits.Connections != 100 {
+		level.Level() != slog.LevelInfo || r.m.Front.CurrentSettings().Limits.Connections != 100 {
 		t.Errorf("%v, level %v", err, level.Level())
 	}
 	set.Limits.MostTries = 3
@@ -764,7 +767,7 @@
 			one := set.Copy()
 			one.Times.IdleMs, one.Times.StopMs = 1000+float64(i), 2000+float64(i)
 			_, err := r.m.Reload(one, nil)
-			if now := r.m.Front.Current().Times; now.StopMs-now.IdleMs != 1000 {
+			if now := r.m.Front.CurrentSettings().Times; now.StopMs-now.IdleMs != 1000 {
 				err = fmt.Errorf("half of a reload: %v", now)
 			}
 			done <- err
--- a/internal/serve/stop.go
+++ b/internal/serve/stop.go
@@ -35,10 +35,10 @@
 // request.
 func (m *Marshal) Stop() error {
 	m.Front.Stop()
-	deadline := time.Now().Add(dur(m.Front.Current().Times.StopMs))
+	deadline := time.Now().Add(dur(m.Front.CurrentSettings().Times.StopMs))
 	for time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
-		if m.Front.Open()+m.Front.Connections() > 0 {
+		if m.Front.OpenInvocations()+m.Front.Connections() > 0 {
 			continue
 		}
 		if open, err := m.owedByAll(); err != nil || open == 0 {
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -225,7 +225,7 @@
 		c.drop()
 		return nil
 	}
-	final := q.Header.Get(front.Final)
+	final := q.Header.Get(front.AnswerHeader)
 	c.see(r, "answered", final, q.Status, now)
 	refused := q.StatusCode == http.StatusServiceUnavailable || q.StatusCode == http.StatusTooManyRequests
 	if (q.StatusCode == http.StatusOK) != (final == front.Succeeded) || final == front.Throttled && !refused || refused && final == front.Terminated ||
