--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -15,66 +15,66 @@
 // How long accepting waits where descriptors have run out, and how often it says so. Nobody tells when one is free again, and what
 // waits in the accept queue has its time running: the longest wait is short beside any time that a client gives.
 const (
-	acceptWait     = time.Millisecond
-	acceptWaitMost = 20 * time.Millisecond
-	acceptSays     = time.Second
+	minAcceptRetry    = time.Millisecond
+	maxAcceptRetry    = 20 * time.Millisecond
+	acceptLogInterval = time.Second
 )
 
-func (s *Server) listen(ln Listener) error {
-	wait := acceptWait
-	var said time.Time
+func (s *Server) acceptLoop(ln Listener) error {
+	wait := minAcceptRetry
+	var lastLogged time.Time
 	for {
 		nc, err := ln.Accept()
 		if err != nil {
 			if s.stopping.Load() {
-				s.lastAccepts(ln)
+				s.acceptPending(ln)
 				return nil
 			}
-			var n net.Error
-			if errors.As(err, &n) && !errors.Is(err, net.ErrClosed) { // out of descriptors: they come back
-				if time.Since(said) > acceptSays {
+			var netErr net.Error
+			if errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed) { // out of descriptors: they come back
+				if time.Since(lastLogged) > acceptLogInterval {
 					s.Log.Warn("no connection could be accepted", "err", err)
-					said = time.Now()
+					lastLogged = time.Now()
 				}
 				time.Sleep(wait)
-				wait = min(2*wait, acceptWaitMost)
+				wait = min(2*wait, maxAcceptRetry)
 				continue
 			}
 			return fmt.Errorf("accepting connections: %w", err)
 		}
-		wait = acceptWait
+		wait = minAcceptRetry
 		s.accept(nc, ln.Name)
 	}
 }
 
 // deadlined is a listener that can be woken without being closed.
-type deadlined interface{ SetDeadline(time.Time) error }
+type deadlineListener interface{ SetDeadline(time.Time) error }
 
 // lastAcceptsFor is how long connections that go on coming are taken after the word to stop.
-const lastAcceptsFor = 10 * lastLook
+const maxFinalAccepts = 10 * finalReadTimeout
 
 // lastAccepts takes what the kernel has accepted already, and closes the listener once nothing has come for a moment: a connection that is in
 // its queue then is reset, with whatever request it carries. An accept that fails says nothing of the queue: it is tried again until the
 // server has to end.
-func (s *Server) lastAccepts(ln Listener) {
+func (s *Server) acceptPending(ln Listener) {
 	defer ln.Close()
-	d, ok := ln.Listener.(deadlined)
-	end := time.Now().Add(lastAcceptsFor)
-	for idle := 0; ok && !s.killed.Load() && idle < 2 && time.Now().Before(end); { // one that stood still may find its deadline past before it has looked
-		d.SetDeadline(time.Now().Add(lastLook))
+	withDeadline, ok := ln.Listener.(deadlineListener)
+	end := time.Now().Add(maxFinalAccepts)
+	for timeouts := 0; ok && !s.killed.Load() && timeouts < 2 && time.Now().Before(end); { // one that stood still may find its deadline past before it has looked
+		withDeadline.SetDeadline(time.Now().Add(finalReadTimeout))
 		nc, err := ln.Accept()
 		switch {
 		case err == nil:
 			s.accept(nc, ln.Name)
-			idle = 0
+			timeouts = 0
 		case back.Timeout(err):
-			idle++
+			timeouts++
 		case errors.Is(err, net.ErrClosed):
 			return
 		default:
-			time.Sleep(acceptWait)
+			time.Sleep(minAcceptRetry)
 			if !s.aborted.Load() {
-				idle, end = 0, time.Now().Add(lastAcceptsFor)
+				timeouts, end = 0, time.Now().Add(maxFinalAccepts)
 			}
 		}
 	}
@@ -82,11 +82,11 @@
 
 func (s *Server) accept(nc net.Conn, listener string) {
 	now := time.Now()
-	c := &conn{s: s, nc: nc, life: newLifecycle(nc, now, s.Clock.Now()), listener: listener, r: h1.NewReader(nc, readBuffer),
-		requests: make(chan *request, 1), resume: make(chan struct{}, 1), commands: make(chan command, 16)}
+	c := &conn{server: s, nc: nc, lifecycle: newLifecycle(nc, now, s.Clock.Now()), listener: listener, reader: h1.NewReader(nc, readBufferBytes),
+		requests: make(chan *request, 1), bodyRead: make(chan struct{}, 1), commands: make(chan command, 16)}
 	c.host, _, _ = splitHost(nc.RemoteAddr().String())
 	if s.Protocol.FirstRequestTimeoutMs > 0 {
-		c.life.firstBy = now.Add(ms(s.Protocol.FirstRequestTimeoutMs))
+		c.lifecycle.firstDeadline = now.Add(ms(s.Protocol.FirstRequestTimeoutMs))
 	}
 	s.mu.Lock()
 	if s.killed.Load() {
@@ -95,51 +95,51 @@
 		return
 	}
 	full := len(s.conns)-s.evicting >= int(s.CurrentSettings().Limits.Connections)
-	if full && s.Protocol.FirstRequestTimeoutMs > 0 && s.evicting < mostParting {
+	if full && s.Protocol.FirstRequestTimeoutMs > 0 && s.evicting < maxLingering {
 		full = !s.evict()
 	}
 	if !full {
 		s.conns[c] = true
-		c.home = divide.Seat(func(i int) int { return int(s.homes[i].Load()) }, len(s.Loops))
-		s.homes[c.home].Add(1)
+		c.homeCore = divide.Seat(func(i int) int { return int(s.coreConnections[i].Load()) }, len(s.Loops))
+		s.coreConnections[c.homeCore].Add(1)
 	}
 	if !full {
 		s.wg.Add(2)
 		if s.stopping.Load() {
-			c.life.end(closeStop)
+			c.lifecycle.requestClose(closeStop)
 		}
 	}
 	s.mu.Unlock()
 	s.Counters.Connections.Add(1)
 	if full {
 		s.Counters.Rejected.Add(1)
-		c.turnAway()
+		c.rejectConnection()
 		return
 	}
-	go c.read()
-	go c.work()
+	go c.readLoop()
+	go c.workLoop()
 }
 
 // turnAway refuses a connection that there is no room for. In a flood it does so on the goroutine that accepts: else
 // hundreds would hold a descriptor each until their own goroutines have had their turn.
-func (c *conn) turnAway() {
-	s := c.s
-	c.life.state = stateTaken // the answer comes before the request, which need not be waited for
-	part := func(wait bool) {
-		c.plain(503, NotAccepted, "too many connections", closeRejected)
-		if wait {
-			c.discardRest()
+func (c *conn) rejectConnection() {
+	s := c.server
+	c.lifecycle.state = statePending // the answer comes before the request, which need not be waited for
+	reject := func(linger bool) {
+		c.writePlain(503, NotAccepted, "too many connections", closeRejected)
+		if linger {
+			c.linger()
 		}
-		c.end(closeRejected)
+		c.closeSocket(closeRejected)
 	}
-	if s.parting.Add(1) > mostParting {
-		part(false)
-		s.parting.Add(-1)
+	if s.lingering.Add(1) > maxLingering {
+		reject(false)
+		s.lingering.Add(-1)
 		return
 	}
 	go func() {
-		part(true)
-		s.parting.Add(-1)
+		reject(true)
+		s.lingering.Add(-1)
 	}()
 }
 
@@ -147,23 +147,23 @@
 func (s *Server) evict() bool {
 	now := s.Clock.Now()
 	var conns []*conn
-	var all []connlimit.Conn
+	var candidates []connlimit.Conn
 	for c := range s.conns {
 		if !c.evicted {
-			idle, served, since := c.life.rest()
+			idle, served, since := c.lifecycle.idleState()
 			conns = append(conns, c)
-			all = append(all, connlimit.Conn{Since: now - since, Served: served, Busy: !idle})
+			candidates = append(candidates, connlimit.Conn{Since: now - since, Served: served, Busy: !idle})
 		}
 	}
-	i := connlimit.Evict(all)
-	for i >= 0 && (back.Unread(conns[i].nc) || !conns[i].life.evict()) { // its request is here already
-		all[i].Busy = true
-		i = connlimit.Evict(all)
+	chosen := connlimit.Evict(candidates)
+	for chosen >= 0 && (back.Unread(conns[chosen].nc) || !conns[chosen].lifecycle.evict()) { // its request is here already
+		candidates[chosen].Busy = true
+		chosen = connlimit.Evict(candidates)
 	}
-	if i < 0 {
+	if chosen < 0 {
 		return false
 	}
-	c := conns[i]
+	c := conns[chosen]
 	c.evicted = true
 	s.evicting++
 	return true
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -12,90 +12,90 @@
 )
 
 // answer reads what the node answers; a success goes to the client, all else to the module.
-func (x *exchange) answer(node *back.Conn, no int, start float64, f *back.Fate) (answered, keep bool,
+func (x *exchange) readAnswer(node *back.Conn, dispatchNo int, startMs float64, outcome *back.Fate) (answered, keepAlive bool,
 	report map[string]float64) {
-	s, c := x.c.s, x.c
-	h, err := x.responseHead(node)
+	s, c := x.conn.server, x.conn
+	h, err := x.readResponseHead(node)
 	if err != nil {
-		f.Err = err
+		outcome.Err = err
 		node.Close()
 		return false, false, nil
 	}
 	report = s.Pool.Report(h.Header)
-	f.Away = s.names.away != "" && h.Header.Get(s.names.away) != ""
+	outcome.Away = s.headerNames.rejected != "" && h.Header.Get(s.headerNames.rejected) != ""
 	if s.tooLong(h.BodyLength) {
-		f.Err = h1.ErrTooLarge
+		outcome.Err = h1.ErrTooLarge
 		node.Close()
 		return false, false, report
 	}
 	body := node.R.Body(h, s.limits)
-	held, err := x.fill(c.held[:0], body, int(s.CurrentSettings().Limits.HeldAnswerBytes), nil)
+	held, err := x.readUpTo(c.responseBuf[:0], body, int(s.CurrentSettings().Limits.HeldAnswerBytes), nil)
 	if cap(held) <= 1<<16 {
-		c.held = held
+		c.responseBuf = held
 	}
-	whole := err == io.EOF || err == nil && body.Done()
+	complete := err == io.EOF || err == nil && body.Done()
 	if err != nil && err != io.EOF {
-		f.Err = err
+		outcome.Err = err
 		node.Close()
 		return false, false, report
 	}
-	f.Status = h.Status
-	var how balance.Ending
-	if !whole && s.Protocol.MaxBodyBytes > 0 {
-		f.Err = h1.ErrTooLarge
+	outcome.Status = h.Status
+	var reported balance.Ending
+	if !complete && s.Protocol.MaxBodyBytes > 0 {
+		outcome.Err = h1.ErrTooLarge
 		node.Close()
 		return false, false, report
 	}
-	if !whole { // too long to be held: it goes to the client as it comes
-		if f.Ending() != balance.Succeeded || x.claimed.Swap(true) {
+	if !complete { // too long to be held: it goes to the client as it comes
+		if outcome.Ending() != balance.Succeeded || x.decided.Swap(true) {
 			node.Close()
 			return false, false, report
 		}
-		return true, x.passOn(node, h, body, held, no, start, report), report
+		return true, x.streamAnswer(node, h, body, held, dispatchNo, startMs, report), report
 	}
-	if how = x.detach(f); how != balance.Succeeded || x.claimed.Swap(true) {
-		x.putBack(node, h)
+	if reported = x.detach(outcome); reported != balance.Succeeded || x.decided.Swap(true) {
+		x.returnNodeConn(node, h)
 		return false, false, report
 	}
 	// The module learns of it before the client does: what the client asks next, it asks a marshal that knows.
-	took := s.Clock.Now() - start
-	x.loop().Post(func() { x.core().Ended(x.id, no, balance.Succeeded, took, true, report) })
-	x.putBack(node, h)
-	ends, owed := c.beginAnswer(x.mustEnd())
-	if !owed {
+	tookMs := s.Clock.Now() - startMs
+	x.loop().Post(func() { x.core().Ended(x.invocationID, dispatchNo, balance.Succeeded, tookMs, true, report) })
+	x.returnNodeConn(node, h)
+	reason, pending := c.beginAnswer(x.requiredClose())
+	if !pending {
 		return true, false, report
 	}
-	c.out = x.answerHead(c.out[:0], h, body, len(held), ends)
+	c.writeBuf = x.appendAnswerHead(c.writeBuf[:0], h, body, len(held), reason)
 	if x.head.Method != "HEAD" {
 		if body.Trailers != nil && x.head.MinorVersion > 0 {
 			if len(held) > 0 {
-				c.out = h1.AppendChunk(c.out, held)
+				c.writeBuf = h1.AppendChunk(c.writeBuf, held)
 			}
-			c.out = h1.AppendLastChunk(c.out, body.Trailers)
+			c.writeBuf = h1.AppendLastChunk(c.writeBuf, body.Trailers)
 		} else {
-			c.out = append(c.out, held...)
+			c.writeBuf = append(c.writeBuf, held...)
 		}
 	}
 	if s.Faults.AnswerTwice {
-		c.out = append(c.out, c.out...)
+		c.writeBuf = append(c.writeBuf, c.writeBuf...)
 	}
-	c.release()
-	return true, c.write() == nil && ends == keepOpen, report
+	c.releaseID()
+	return true, c.write() == nil && reason == keepOpen, report
 }
 
-func (x *exchange) putBack(node *back.Conn, h *h1.Head) {
-	if h.Close || !x.whole && !x.resumed {
+func (x *exchange) returnNodeConn(node *back.Conn, h *h1.Head) {
+	if h.Close || !x.bodyRetained && !x.readerResumed {
 		node.Close()
 		return
 	}
-	x.c.s.Pool.Put(node)
+	x.conn.server.Pool.Put(node)
 }
 
 // responseHead reads heads up to the final one; an interim one is passed on (RFC 9110, 15.2), but for 100, which
 // the client has had from the marshal, and 101, which nobody asked for.
-func (x *exchange) responseHead(node *back.Conn) (*h1.Head, error) {
+func (x *exchange) readResponseHead(node *back.Conn) (*h1.Head, error) {
 	for {
-		h, err := node.R.Response(x.head.Method, x.c.s.limits)
+		h, err := node.R.Response(x.head.Method, x.conn.server.limits)
 		if err != nil {
 			return nil, err
 		}
@@ -105,27 +105,27 @@
 		if h.Status == 101 {
 			return nil, errors.Join(h1.ErrMalformed, errors.New("101 without Upgrade"))
 		}
-		if h.Status != 100 && !x.c.s.Protocol.DropInterimResponses && x.head.MinorVersion > 0 && !x.claimed.Load() {
+		if h.Status != 100 && !x.conn.server.Protocol.DropInterimResponses && x.head.MinorVersion > 0 && !x.decided.Load() {
 			h.RemoveHopByHop()
-			x.c.out = append(h1.AppendHeader(x.statusLine(x.c.out[:0], h), h.Header), "\r\n"...)
-			if err := x.c.write(); err != nil {
-				x.c.leave()
+			x.conn.writeBuf = append(h1.AppendHeader(x.appendStatusLine(x.conn.writeBuf[:0], h), h.Header), "\r\n"...)
+			if err := x.conn.write(); err != nil {
+				x.conn.noteClientGone()
 			}
 		}
 	}
 }
 
-func (x *exchange) statusLine(b []byte, h *h1.Head) []byte {
+func (x *exchange) appendStatusLine(b []byte, h *h1.Head) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(h.Status), 10)
 	return append(append(append(b, ' '), h.Reason...), "\r\n"...)
 }
 
 // answerHead writes the head of a node's answer as the client gets it. held is the length of its body, or one of
 // h1's lengths; ends is for what the connection ends with it.
-func (x *exchange) answerHead(b []byte, h *h1.Head, body *h1.Body, held int, ends closeReason) []byte {
+func (x *exchange) appendAnswerHead(b []byte, h *h1.Head, body *h1.Body, bodyLength int, reason closeReason) []byte {
 	length := h.Header["Content-Length"]
 	h.RemoveHopByHop()
-	b = h1.AppendHeader(x.statusLine(b, h), h.Header, "Content-Length", AnswerHeader)
+	b = h1.AppendHeader(x.appendStatusLine(b, h), h.Header, "Content-Length", AnswerHeader)
 	b = h1.AppendField(b, AnswerHeader, Succeeded)
 	switch {
 	case x.head.Method == "HEAD" || h.Status == 304:
@@ -133,12 +133,12 @@
 			b = h1.AppendField(b, "Content-Length", length[0])
 		}
 	case h.Status == 204:
-	case held >= 0 && (body.Trailers == nil || x.head.MinorVersion == 0):
-		b = h1.AppendField(b, "Content-Length", strconv.Itoa(held))
+	case bodyLength >= 0 && (body.Trailers == nil || x.head.MinorVersion == 0):
+		b = h1.AppendField(b, "Content-Length", strconv.Itoa(bodyLength))
 	case x.head.MinorVersion > 0:
 		b = h1.AppendField(b, "Transfer-Encoding", "chunked")
 	}
-	if ends != keepOpen {
+	if reason != keepOpen {
 		b = h1.AppendField(b, "Connection", "close")
 	} else if x.head.MinorVersion == 0 {
 		b = h1.AppendField(b, "Connection", "keep-alive")
@@ -148,67 +148,67 @@
 
 // passOn streams an answer that is too long to be held. Once it has begun it is the client's, and the client's
 // time no longer ends it; a node that stands still does.
-func (x *exchange) passOn(node *back.Conn, h *h1.Head, body *h1.Body, held []byte, no int, start float64,
-	report map[string]float64) (keep bool) {
-	s, c := x.c.s, x.c
+func (x *exchange) streamAnswer(node *back.Conn, h *h1.Head, body *h1.Body, held []byte, dispatchNo int, startMs float64,
+	report map[string]float64) (keepAlive bool) {
+	s, c := x.conn.server, x.conn
 	l := x.loop()
-	l.Post(func() { x.core().Began(x.id, no, l.Now()-start) })
+	l.Post(func() { x.core().Began(x.invocationID, dispatchNo, l.Now()-startMs) })
 	x.mu.Lock() // no cancel ends what the client has begun to read
-	x.node, x.undial = nil, nil
+	x.nodeConn, x.cancelDial = nil, nil
 	x.mu.Unlock()
 	length := int(h.BodyLength)
 	if h.BodyLength == h1.UntilClose {
 		length = h1.Chunked
 	}
 	chunked := length < 0 && x.head.MinorVersion > 0
-	x.last = x.last || length < 0 && !chunked
-	ends, owed := c.beginAnswer(x.mustEnd())
-	if !owed {
+	x.closeAfter = x.closeAfter || length < 0 && !chunked
+	reason, pending := c.beginAnswer(x.requiredClose())
+	if !pending {
 		node.Close()
 		return false
 	}
-	c.out = x.answerHead(c.out[:0], h, body, length, ends)
+	c.writeBuf = x.appendAnswerHead(c.writeBuf[:0], h, body, length, reason)
 	var err error
-	room, piece := make([]byte, 32<<10), held
+	buf, chunk := make([]byte, 32<<10), held
 	for {
-		if len(piece) > 0 && chunked {
-			c.out = h1.AppendChunk(c.out, piece)
+		if len(chunk) > 0 && chunked {
+			c.writeBuf = h1.AppendChunk(c.writeBuf, chunk)
 		} else {
-			c.out = append(c.out, piece...)
+			c.writeBuf = append(c.writeBuf, chunk...)
 		}
 		if err == io.EOF && chunked {
-			c.out = h1.AppendLastChunk(c.out, body.Trailers)
+			c.writeBuf = h1.AppendLastChunk(c.writeBuf, body.Trailers)
 		}
-		if len(c.out) > 0 {
-			if werr := c.write(); werr != nil {
-				c.leave()
+		if len(c.writeBuf) > 0 {
+			if writeErr := c.write(); writeErr != nil {
+				c.noteClientGone()
 				err = nil // the node did its part
 				break
 			}
-			c.out = c.out[:0]
+			c.writeBuf = c.writeBuf[:0]
 		}
 		if err == io.EOF {
 			break
 		}
 		node.SetDeadline(time.Now().Add(ms(s.CurrentSettings().Times.BodyMs)))
 		var n int
-		n, err = body.Read(room)
-		piece = room[:n]
+		n, err = body.Read(buf)
+		chunk = buf[:n]
 		if err != nil && err != io.EOF {
 			break
 		}
 	}
-	how := balance.Succeeded
+	reported := balance.Succeeded
 	if err != nil && err != io.EOF {
-		how = back.Fate{Dialed: true, Wrote: 1, Err: err}.Ending()
-		ends = closeWrite // cut short: only the end of the connection can tell
+		reported = back.Fate{Dialed: true, Wrote: 1, Err: err}.Ending()
+		reason = closeWriteFailed // cut short: only the end of the connection can tell
 	}
-	took := s.Clock.Now() - start
-	x.loop().Post(func() { x.core().Ended(x.id, no, how, took, true, report) })
+	tookMs := s.Clock.Now() - startMs
+	x.loop().Post(func() { x.core().Ended(x.invocationID, dispatchNo, reported, tookMs, true, report) })
 	if err == io.EOF {
-		x.putBack(node, h)
+		x.returnNodeConn(node, h)
 	} else {
 		node.Close()
 	}
-	return err == io.EOF && ends == keepOpen && !c.gone.Load()
+	return err == io.EOF && reason == keepOpen && !c.clientGone.Load()
 }
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -18,153 +18,153 @@
 // exchange is one invocation from its head to its answer. The loop calls the methods of marshal.Exchange; the
 // connection's worker runs all else.
 type exchange struct {
-	c         *conn
-	id        string       // given on the loop
-	requestID string       // the client's
-	at        atomic.Int32 // the core that it was offered to last
-	taker     atomic.Int32 // the one that took it, counted from 1
-	lapsed    atomic.Bool  // the client has gone
-	head      *h1.Head
-	began     float64
-	limit     float64
-	dueAt     float64
-	answerBy  float64 // when the connection answers by itself
-	last      bool    // the connection ends with it
+	conn         *conn
+	invocationID string       // given on the loop
+	requestID    string       // the client's
+	offeredCore  atomic.Int32 // the core that it was offered to last
+	acceptedBy   atomic.Int32 // the one that took it, counted from 1
+	clientGone   atomic.Bool  // the client has gone
+	head         *h1.Head
+	startMs      float64
+	limitMs      float64
+	deadlineMs   float64
+	answerByMs   float64 // when the connection answers by itself
+	closeAfter   bool    // the connection ends with it
 
 	// What the module is told of it, and what binds it to a core: a key, a mark or nothing.
-	pool, local, tenant int
-	key, name           string
-	cost                float64
-	retry, write        bool
+	pool, operation, tenant int
+	key, placementKey       string
+	costMs                  float64
+	isRetry, isWrite        bool
 
-	trailers bool // the client takes trailers
+	acceptsTrailers bool // the client takes trailers
 
-	body    *h1.Body // what is still to be read of the request's body, nil for nothing
-	kept    []byte   // what of it can be sent again
-	whole   bool     // all of it is in kept
-	broken  bool     // part of the rest has been sent: it can't be sent again
-	resumed bool
-	how     balance.Ending // of the last dispatch
+	body          *h1.Body // what is still to be read of the request's body, nil for nothing
+	retained      []byte   // what of it can be sent again
+	bodyRetained  bool     // all of it is in kept
+	streamed      bool     // part of the rest has been sent: it can't be sent again
+	readerResumed bool
+	lastOutcome   balance.Ending // of the last dispatch
 
 	// A dispatch that may have run is sent again only while nodes remember the key: memory ms from when the first such began.
-	memory   float64 // 0 for no bound
-	ranSince float64 // 0 for none that may have run
+	keyMemoryMs  float64 // 0 for no bound
+	mayHaveRunMs float64 // 0 for none that may have run
 
 	state   atomic.Int32 // offered, taken or withdrawn; once more for each time that it was offered
-	claimed atomic.Bool  // the final answer has been decided on, by a success or by the module
-
-	mu       sync.Mutex
-	over     bool // its connection carries out no further command
-	no       int  // of the dispatch that is out
-	out      bool
-	node     *back.Conn
-	undial   context.CancelFunc
-	canceled bool
+	decided atomic.Bool  // the final answer has been decided on, by a success or by the module
+
+	mu         sync.Mutex
+	finished   bool // its connection carries out no further command
+	dispatchNo int  // of the dispatch that is out
+	inFlight   bool
+	nodeConn   *back.Conn
+	cancelDial context.CancelFunc
+	canceled   bool
 }
 
 // Where an exchange stands between its worker, which offered it, and the loop, which takes it.
 const (
 	offered = iota
-	taken
+	accepted
 	withdrawn
-	states // how many there are
+	stateCount // how many there are
 )
 
 // offer has a core take it; false says that too much waits there.
-func (x *exchange) offer(at int) bool {
-	s, round := x.c.s, x.state.Load()/states*states
-	l, core := s.Loops[at], s.Cores[at][x.pool]
-	x.at.Store(int32(at))
-	return l.Offer(func() {
-		if !x.state.CompareAndSwap(round+offered, round+taken) {
+func (x *exchange) offer(core int) bool {
+	s, round := x.conn.server, x.state.Load()/stateCount*stateCount
+	coreLoop, marshalCore := s.Loops[core], s.Cores[core][x.pool]
+	x.offeredCore.Store(int32(core))
+	return coreLoop.Offer(func() {
+		if !x.state.CompareAndSwap(round+offered, round+accepted) {
 			return
 		}
-		x.taker.Store(int32(at) + 1)
-		if x.lapsed.Load() {
+		x.acceptedBy.Store(int32(core) + 1)
+		if x.clientGone.Load() {
 			x.Let()
 			return
 		}
 		// Its time runs while it waits its turn.
-		x.id = core.Arrived(x, x.local, x.tenant, x.key, x.dueAt-l.Now(), x.cost, x.retry, x.write)
+		x.invocationID = marshalCore.Arrived(x, x.operation, x.tenant, x.key, x.deadlineMs-coreLoop.Now(), x.costMs, x.isRetry, x.isWrite)
 	})
 }
 
 // move takes it back from a core that lets it wait, and offers it to another: none has taken it, so it is no second
 // copy. What a key or a mark binds to its core stays there. It says whether the other core refused it.
-func (x *exchange) move() (refused bool) {
-	s := x.c.s
-	if len(s.Loops) == 1 || x.name != "" {
+func (x *exchange) offerElsewhere() (rejected bool) {
+	s := x.conn.server
+	if len(s.Loops) == 1 || x.placementKey != "" {
 		return false
 	}
-	stands := func(i int) bool { return s.Loops[i].Standing() > recall }
-	to, ok := divide.Elsewhere(int(x.at.Load()), s.waiting, stands, len(s.Loops))
+	stalled := func(i int) bool { return s.Loops[i].Standing() > reofferAfterMs }
+	target, ok := divide.Elsewhere(int(x.offeredCore.Load()), s.queued, stalled, len(s.Loops))
 	state := x.state.Load()
-	if !ok || state%states != offered || !x.state.CompareAndSwap(state, state+withdrawn) {
+	if !ok || state%stateCount != offered || !x.state.CompareAndSwap(state, state+withdrawn) {
 		return false
 	}
-	x.state.Store(state + states) // offered anew: only the call made next can take it
-	if !x.offer(to) {
+	x.state.Store(state + stateCount) // offered anew: only the call made next can take it
+	if !x.offer(target) {
 		return true
 	}
-	s.moved.Add(1)
+	s.movedInvocations.Add(1)
 	return false
 }
 
 // recall is for how many ms an invocation waits at a core before it is looked whether another would take it.
-const recall = 50.0
+const reofferAfterMs = 50.0
 
-func (x *exchange) core() *marshal.Core { return x.c.s.Cores[x.at.Load()][x.pool] }
-func (x *exchange) loop() *loop.Loop    { return x.c.s.Loops[x.at.Load()] }
+func (x *exchange) core() *marshal.Core { return x.conn.server.Cores[x.offeredCore.Load()][x.pool] }
+func (x *exchange) loop() *loop.Loop    { return x.conn.server.Loops[x.offeredCore.Load()] }
 
 type command struct {
-	what       int
-	no         int
-	address    string
-	within     float64
-	retryAfter float64
-	decided    time.Time
+	kind         int
+	dispatchNo   int
+	address      string
+	timeoutMs    float64
+	retryAfterMs float64
+	decidedAt    time.Time
 }
 
 const (
-	doDispatch = iota
-	doThrottle
-	doTerminate
-	doLet
+	commandDispatch = iota
+	commandThrottle
+	commandTerminate
+	commandRelease
 )
 
 // send hands a command to the connection's goroutine; x.mu is held, and the exchange is not over. It never waits: at most a
 // dispatch and the last commands are ever in the channel.
-func (x *exchange) send(cmd command) { x.c.commands <- cmd }
+func (x *exchange) send(cmd command) { x.conn.commands <- cmd }
 
 // Dispatch and the methods below are marshal.Exchange.
-func (x *exchange) Dispatch(no int, node uint32, address string, within float64) {
+func (x *exchange) Dispatch(dispatchNo int, node uint32, address string, timeoutMs float64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.over {
-		x.neverSent(no)
+	if x.finished {
+		x.reportNotSent(dispatchNo)
 		return
 	}
-	x.no, x.out, x.canceled = no, true, false
+	x.dispatchNo, x.inFlight, x.canceled = dispatchNo, true, false
 	// What has run of the call so far counts as before the decision: a cap that fell meanwhile isn't known to it.
-	inCall := ms(x.c.s.Clock.Now() - x.loop().Now())
-	x.send(command{what: doDispatch, no: no, address: address, within: within, decided: x.c.s.Pool.Time().Add(-inCall)})
+	inCallTime := ms(x.conn.server.Clock.Now() - x.loop().Now())
+	x.send(command{kind: commandDispatch, dispatchNo: dispatchNo, address: address, timeoutMs: timeoutMs, decidedAt: x.conn.server.Pool.Time().Add(-inCallTime)})
 }
 
 // neverSent tells the module that a dispatch has ended without having begun.
-func (x *exchange) neverSent(no int) {
-	x.loop().Post(func() { x.core().Ended(x.id, no, balance.Ignored, 0, false, nil) })
+func (x *exchange) reportNotSent(dispatchNo int) {
+	x.loop().Post(func() { x.core().Ended(x.invocationID, dispatchNo, balance.Ignored, 0, false, nil) })
 }
 
 // finish takes no command any more: the invocation has its answer. A dispatch that was decided on meanwhile is never sent.
 func (x *exchange) finish() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.over = true
+	x.finished = true
 	for {
 		select {
-		case cmd := <-x.c.commands:
-			if cmd.what == doDispatch {
-				x.neverSent(cmd.no)
+		case cmd := <-x.conn.commands:
+			if cmd.kind == commandDispatch {
+				x.reportNotSent(cmd.dispatchNo)
 			}
 		default:
 			return
@@ -172,102 +172,102 @@
 	}
 }
 
-func (x *exchange) Cancel(no int) {
+func (x *exchange) Cancel(dispatchNo int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.out && x.no == no {
-		x.stop()
+	if x.inFlight && x.dispatchNo == dispatchNo {
+		x.cancelInFlight()
 	}
 }
 
 // stop ends the dispatch that is out; x.mu is held.
-func (x *exchange) stop() {
+func (x *exchange) cancelInFlight() {
 	x.canceled = true
-	if x.undial != nil {
-		x.undial()
+	if x.cancelDial != nil {
+		x.cancelDial()
 	}
-	if x.node != nil {
-		x.node.SetDeadline(time.Unix(1, 0))
+	if x.nodeConn != nil {
+		x.nodeConn.SetDeadline(time.Unix(1, 0))
 	}
 }
 
 func (x *exchange) Throttle(retryAfter float64) {
-	x.final(command{what: doThrottle, retryAfter: retryAfter})
+	x.decide(command{kind: commandThrottle, retryAfterMs: retryAfter})
 }
-func (x *exchange) Terminate() { x.final(command{what: doTerminate}) }
-func (x *exchange) Abrupt()    { x.final(command{what: doTerminate}) }
+func (x *exchange) Terminate() { x.decide(command{kind: commandTerminate}) }
+func (x *exchange) Abrupt()    { x.decide(command{kind: commandTerminate}) }
 
 // Let gives up what is out: nobody waits for it any more, and a connection that comes up late must carry nothing.
-func (x *exchange) Let() { x.end(command{what: doLet}) }
+func (x *exchange) Let() { x.endWith(command{kind: commandRelease}) }
 
 // end ends what is still out and has the worker carry out the last command.
-func (x *exchange) end(cmd command) {
+func (x *exchange) endWith(cmd command) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if x.over {
+	if x.finished {
 		return
 	}
-	if x.out {
-		x.stop()
+	if x.inFlight {
+		x.cancelInFlight()
 	}
 	x.send(cmd)
 }
 
 // final decides on the answer unless a success was faster, and ends what is still out.
-func (x *exchange) final(cmd command) {
-	if x.claimed.Swap(true) {
+func (x *exchange) decide(cmd command) {
+	if x.decided.Swap(true) {
 		return
 	}
-	x.end(cmd)
+	x.endWith(cmd)
 }
 
 // lapse tells the module that the client is gone.
-func (x *exchange) lapse() {
-	x.lapsed.Store(true)
-	at := x.at.Load() // where it is now; if it is moved, whoever takes it sees that the client has gone
-	x.c.s.Loops[at].Post(func() {
-		if x.taker.Load() == at+1 && x.id != "" {
-			x.c.s.Cores[at][x.pool].Lapsed(x.id)
+func (x *exchange) reportClientGone() {
+	x.clientGone.Store(true)
+	core := x.offeredCore.Load() // where it is now; if it is moved, whoever takes it sees that the client has gone
+	x.conn.server.Loops[core].Post(func() {
+		if x.acceptedBy.Load() == core+1 && x.invocationID != "" {
+			x.conn.server.Cores[core][x.pool].Lapsed(x.invocationID)
 		}
 	})
 }
 
 // resumeReader lets the connection's reader go on once the body has been read.
 func (x *exchange) resumeReader() {
-	if x.body != nil && !x.resumed && x.body.Done() {
-		x.resumed = true
-		x.c.resume <- struct{}{}
+	if x.body != nil && !x.readerResumed && x.body.Done() {
+		x.readerResumed = true
+		x.conn.bodyRead <- struct{}{}
 	}
 }
 
 // takeBody reads the request's body as far as it may be kept for a repeat: then a slow client keeps no node
 // waiting, and a client that breaks off has cost none anything.
-func (x *exchange) takeBody() error {
-	h, c := x.head, x.c
+func (x *exchange) retainBody() error {
+	h, c := x.head, x.conn
 	if h.BodyLength == 0 {
-		x.whole = true
+		x.bodyRetained = true
 		return nil
 	}
 	if h.ExpectsContinue() {
-		c.out = append(c.out[:0], "HTTP/1.1 100 Continue\r\n\r\n"...)
+		c.writeBuf = append(c.writeBuf[:0], "HTTP/1.1 100 Continue\r\n\r\n"...)
 		if err := c.write(); err != nil {
 			return err
 		}
 	}
-	x.body = c.r.Body(h, c.s.limits)
-	most := int(c.s.CurrentSettings().Limits.RepeatBodyBytes)
-	kept, err := x.fill(c.body[:0], x.body, most, func() { c.readBy(c.s.CurrentSettings().Times.BodyMs) })
-	x.kept = kept
-	if cap(kept) <= 1<<16 {
-		c.body = kept
+	x.body = c.reader.Body(h, c.server.limits)
+	maxBytes := int(c.server.CurrentSettings().Limits.RepeatBodyBytes)
+	retained, err := x.readUpTo(c.requestBuf[:0], x.body, maxBytes, func() { c.setReadDeadline(c.server.CurrentSettings().Times.BodyMs) })
+	x.retained = retained
+	if cap(retained) <= 1<<16 {
+		c.requestBuf = retained
 	}
 	switch {
 	case err == io.EOF:
-		x.whole = true
+		x.bodyRetained = true
 		x.resumeReader()
 		return nil
 	case err == nil && x.body.Done(): // just as long as may be kept
-		x.whole = true
+		x.bodyRetained = true
 		x.resumeReader()
 		return nil
 	}
@@ -275,71 +275,71 @@
 }
 
 // fill reads until the end or until most bytes are held, giving each read its time.
-func (x *exchange) fill(to []byte, from io.Reader, most int, deadline func()) ([]byte, error) {
-	for len(to) < most {
-		if len(to) == cap(to) {
-			to = append(to, 0)[:len(to)]
+func (x *exchange) readUpTo(buf []byte, from io.Reader, maxBytes int, setDeadline func()) ([]byte, error) {
+	for len(buf) < maxBytes {
+		if len(buf) == cap(buf) {
+			buf = append(buf, 0)[:len(buf)]
 		}
-		room := to[len(to):min(cap(to), most)]
-		if deadline != nil {
-			deadline()
+		room := buf[len(buf):min(cap(buf), maxBytes)]
+		if setDeadline != nil {
+			setDeadline()
 		}
 		n, err := from.Read(room)
-		to = to[:len(to)+n]
+		buf = buf[:len(buf)+n]
 		if err != nil {
-			return to, err
+			return buf, err
 		}
 	}
-	return to, nil
+	return buf, nil
 }
 
 // run carries out the module's commands until the final answer; false ends the connection.
-func (x *exchange) run() (keep bool) {
-	s := x.c.s
-	wait := func() time.Duration {
-		left := x.answerBy - s.Clock.Now()
-		if len(s.Loops) > 1 && x.state.Load()%states == offered {
-			left = min(left, recall)
+func (x *exchange) run() (keepAlive bool) {
+	s := x.conn.server
+	untilNextCheck := func() time.Duration {
+		left := x.answerByMs - s.Clock.Now()
+		if len(s.Loops) > 1 && x.state.Load()%stateCount == offered {
+			left = min(left, reofferAfterMs)
 		}
 		return ms(left)
 	}
-	guard := x.c.guard
-	if guard == nil {
-		guard = time.NewTimer(wait())
-		x.c.guard = guard
+	timer := x.conn.answerTimer
+	if timer == nil {
+		timer = time.NewTimer(untilNextCheck())
+		x.conn.answerTimer = timer
 	} else {
-		guard.Reset(wait())
+		timer.Reset(untilNextCheck())
 	}
-	defer guard.Stop()
+	defer timer.Stop()
 	for {
 		var cmd command
 		select {
-		case cmd = <-x.c.commands:
-		case <-guard.C:
-			if s.Clock.Now() < x.answerBy {
-				if x.move() {
-					return s.behind(x)
+		case cmd = <-x.conn.commands:
+		case <-timer.C:
+			if s.Clock.Now() < x.answerByMs {
+				if x.offerElsewhere() {
+					return s.rejectOverloaded(x)
 				}
-				guard.Reset(wait())
+				timer.Reset(untilNextCheck())
 				continue
 			}
 			if !s.Faults.NoAnswerDeadline {
-				if answered, keep := x.overdue(); answered {
-					return keep
+				if answered, keepAlive := x.answerOverdue(); answered {
+					return keepAlive
 				}
 			}
 			continue
 		}
-		switch cmd.what {
-		case doDispatch:
-			if answered, keep := x.dispatch(cmd); answered {
-				return keep
+		switch cmd.kind {
+		case commandDispatch:
+			if answered, keepAlive := x.dispatch(cmd); answered {
+				return keepAlive
 			}
-		case doThrottle:
-			return x.c.plain(503, Throttled, "throttled: trying again is harmless", x.mustEnd(), s.retryAfter(cmd.retryAfter)...)
-		case doTerminate:
-			return x.c.plain(x.terminated(), Terminated, "terminated: what it did is not known", x.mustEnd())
-		case doLet:
+		case commandThrottle:
+			return x.conn.writePlain(503, Throttled, "throttled: trying again is harmless", x.requiredClose(), s.retryAfterFields(cmd.retryAfterMs)...)
+		case commandTerminate:
+			return x.conn.writePlain(x.terminationStatus(), Terminated, "terminated: what it did is not known", x.requiredClose())
+		case commandRelease:
 			return false
 		}
 	}
@@ -347,24 +347,24 @@
 
 // overdue answers in time when the loop does not: it stands still, or the module has lost the invocation. What the
 // loop has not taken yet was never taken; the rest is terminated, which promises nothing.
-func (x *exchange) overdue() (answered, keep bool) {
-	if state := x.state.Load(); state%states == offered && x.state.CompareAndSwap(state, state+withdrawn) {
-		return true, x.c.refuse(503, "this marshal stands still", x.mustEnd(), "Retry-After", "1")
+func (x *exchange) answerOverdue() (answered, keepAlive bool) {
+	if state := x.state.Load(); state%stateCount == offered && x.state.CompareAndSwap(state, state+withdrawn) {
+		return true, x.conn.reject(503, "this marshal stands still", x.requiredClose(), "Retry-After", "1")
 	}
-	if x.claimed.Swap(true) {
+	if x.decided.Swap(true) {
 		return false, false // its answer is on the way
 	}
-	x.loop().Post(func() { x.core().Overtaken(x.id) })
-	return true, x.c.plain(x.terminated(), Terminated, "terminated: what it did is not known", x.mustEnd())
+	x.loop().Post(func() { x.core().Overtaken(x.invocationID) })
+	return true, x.conn.writePlain(x.terminationStatus(), Terminated, "terminated: what it did is not known", x.requiredClose())
 }
 
 // mustEnd is for what the connection can't go on after the answer: part of the request's body is unread, or the client asked so.
-func (x *exchange) mustEnd() closeReason {
+func (x *exchange) requiredClose() closeReason {
 	switch {
 	case x.body != nil && !x.body.Done():
 		return closeRejected
-	case x.last:
-		return closeAsked
+	case x.closeAfter:
+		return closeRequested
 	default:
 		return keepOpen
 	}
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -40,27 +40,27 @@
 	Log      *slog.Logger
 	Protocol ProtocolOptions
 
-	ids       sync.Map     // of the requests that are open
-	draining  atomic.Bool  // every connection ends with its next answer
-	parting   atomic.Int64 // connections turned away that still hold a descriptor
-	now       atomic.Pointer[settings.Settings]
-	lns       []Listener
-	mu        sync.Mutex
-	conns     map[*conn]bool
-	evicting  int            // of them, those that give way and are not yet closed
-	listening int            // listeners that are not closed
-	homes     []atomic.Int64 // connections of each core
-	moved     atomic.Int64   // invocations that another core took
-	wg        sync.WaitGroup
-	open      atomic.Int64 // invocations between their head and their answer
-	stopping  atomic.Bool
-	killed    atomic.Bool // nothing is accepted any more, not even what the kernel has
-	aborted   atomic.Bool // nothing more is waited for
-	via       string
-	limits    h1.Limits
-	names     names
-	Counters  Counters
-	Faults    InjectedFaults
+	openIDs          sync.Map     // of the requests that are open
+	draining         atomic.Bool  // every connection ends with its next answer
+	lingering        atomic.Int64 // connections turned away that still hold a descriptor
+	updatedSettings  atomic.Pointer[settings.Settings]
+	listeners        []Listener
+	mu               sync.Mutex
+	conns            map[*conn]bool
+	evicting         int            // of them, those that give way and are not yet closed
+	openListeners    int            // listeners that are not closed
+	coreConnections  []atomic.Int64 // connections of each core
+	movedInvocations atomic.Int64   // invocations that another core took
+	wg               sync.WaitGroup
+	openInvocations  atomic.Int64 // invocations between their head and their answer
+	stopping         atomic.Bool
+	killed           atomic.Bool // nothing is accepted any more, not even what the kernel has
+	aborted          atomic.Bool // nothing more is waited for
+	viaField         string
+	limits           h1.Limits
+	headerNames      headerNames
+	Counters         Counters
+	Faults           InjectedFaults
 }
 
 // InjectedFaults are planted, so that an audit can be seen to find them; none is set on a marshal that serves.
@@ -84,7 +84,7 @@
 	Answered             atomic.Int64 // of them, those whose final answer was begun
 	ClientsGone          atomic.Int64 // and those whose client had gone before it
 	SuppressedDispatches atomic.Int64 // dispatches decided on that the last look before writing held back
-	Closed               [closeReasons]atomic.Int64
+	Closed               [closeReasonCount]atomic.Int64
 
 	// Violations of what must hold: each is also logged.
 	Unanswered    atomic.Int64 // requests read whose connection was closed without an answer, or would have been
@@ -102,7 +102,7 @@
 // ClosedByReason gives how many connections were closed for each reason.
 func (c *Counters) ClosedByReason() map[string]int64 {
 	all := map[string]int64{}
-	for reason := range closeReasons {
+	for reason := range closeReasonCount {
 		if n := c.Closed[reason].Load(); n > 0 {
 			all[reason.String()] = n
 		}
@@ -111,7 +111,7 @@
 }
 
 // names are the headers that settings name, in canonical form.
-type names struct{ tenant, key, mark, time, cost, retry, away string }
+type headerNames struct{ tenant, key, idempotencyKey, timeLimitMs, costMs, retry, rejected string }
 
 // Listener is an address that clients call, and the name by which operations are kept to it.
 type Listener struct {
@@ -120,51 +120,51 @@
 }
 
 // Serve takes connections from all listeners until Stop.
-func (s *Server) Serve(lns []Listener) error {
-	s.prepare(lns)
+func (s *Server) Serve(listeners []Listener) error {
+	s.initServing(listeners)
 	if s.stopping.Load() { // it was told so before there was a listener
-		s.wake()
+		s.wakeWaiters()
 	}
-	ends := make(chan error, len(lns))
-	for _, ln := range lns {
+	results := make(chan error, len(listeners))
+	for _, ln := range listeners {
 		go func() {
 			defer s.wg.Done()
-			err := s.listen(ln)
+			err := s.acceptLoop(ln)
 			s.mu.Lock()
-			s.listening--
+			s.openListeners--
 			s.mu.Unlock()
-			ends <- err
+			results <- err
 		}()
 	}
-	var all []error
-	for range lns {
-		all = append(all, <-ends)
+	var errs []error
+	for range listeners {
+		errs = append(errs, <-results)
 	}
-	return errors.Join(all...)
+	return errors.Join(errs...)
 }
 
-func (s *Server) prepare(lns []Listener) {
+func (s *Server) initServing(listeners []Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lns, s.conns, s.homes = lns, map[*conn]bool{}, make([]atomic.Int64, len(s.Loops))
-	s.listening = len(lns)
-	s.wg.Add(len(lns)) // whoever waits for the connections waits for those that listeners may still bring
-	s.via = "1.1 marshal-" + strconv.Itoa(int(s.CurrentSettings().Instance.Number))
+	s.listeners, s.conns, s.coreConnections = listeners, map[*conn]bool{}, make([]atomic.Int64, len(s.Loops))
+	s.openListeners = len(listeners)
+	s.wg.Add(len(listeners)) // whoever waits for the connections waits for those that listeners may still bring
+	s.viaField = "1.1 marshal-" + strconv.Itoa(int(s.CurrentSettings().Instance.Number))
 	s.limits = h1.Limits{LineBytes: int(s.CurrentSettings().Limits.LineBytes), HeaderBytes: int(s.CurrentSettings().Limits.HeaderBytes)}
-	h, canon := s.CurrentSettings().Headers, textproto.CanonicalMIMEHeaderKey
-	s.names = names{canon(h.Tenant), canon(h.Key), canon(h.Mark), canon(h.TimeMs), canon(h.CostMs), canon(h.Retry),
-		canon(h.TurnedAway)}
+	headers, canonical := s.CurrentSettings().Headers, textproto.CanonicalMIMEHeaderKey
+	s.headerNames = headerNames{canonical(headers.Tenant), canonical(headers.Key), canonical(headers.Mark), canonical(headers.TimeMs), canonical(headers.CostMs), canonical(headers.Retry),
+		canonical(headers.TurnedAway)}
 }
 
 // CurrentSettings is the settings as they are now; Change takes others, for what begins from then on.
 func (s *Server) CurrentSettings() *settings.Settings {
-	if now := s.now.Load(); now != nil {
+	if now := s.updatedSettings.Load(); now != nil {
 		return now
 	}
 	return s.Settings
 }
 
-func (s *Server) UpdateSettings(set *settings.Settings) { s.now.Store(set) }
+func (s *Server) UpdateSettings(set *settings.Settings) { s.updatedSettings.Store(set) }
 
 // Drain lets every connection end with its next answer; all that comes is still served, until Stop.
 func (s *Server) Drain() { s.draining.Store(true) }
@@ -174,20 +174,20 @@
 	if s.stopping.Swap(true) {
 		return
 	}
-	s.wake()
+	s.wakeWaiters()
 }
 
 // wake wakes the listeners, and the readers that wait for a request.
-func (s *Server) wake() {
+func (s *Server) wakeWaiters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, ln := range s.lns {
-		if d, ok := ln.Listener.(deadlined); !ok || d.SetDeadline(time.Unix(1, 0)) != nil {
+	for _, ln := range s.listeners {
+		if d, ok := ln.Listener.(deadlineListener); !ok || d.SetDeadline(time.Unix(1, 0)) != nil {
 			ln.Close()
 		}
 	}
 	for c := range s.conns {
-		c.life.end(closeStop)
+		c.lifecycle.requestClose(closeStop)
 	}
 }
 
@@ -195,24 +195,24 @@
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return len(s.conns) + s.listening
+	return len(s.conns) + s.openListeners
 }
 
 // Close waits for the connections to end, and after a time ends them.
-func (s *Server) Close(within time.Duration) {
+func (s *Server) Close(timeout time.Duration) {
 	s.Stop()
 	done := make(chan struct{})
 	go func() { s.wg.Wait(); close(done) }()
 	select {
 	case <-done:
 		return
-	case <-time.After(within):
+	case <-time.After(timeout):
 	}
 	s.killed.Store(true)
 	s.mu.Lock()
 	for c := range s.conns {
-		c.end(closeForced)
-		c.interrupt()
+		c.closeSocket(closeForced)
+		c.terminateExchange()
 	}
 	s.mu.Unlock()
 	<-done
@@ -225,8 +225,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.interrupt()
-		c.nc.SetReadDeadline(past)
+		c.terminateExchange()
+		c.nc.SetReadDeadline(pastDeadline)
 	}
 }
 
@@ -237,11 +237,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		c.gone.Store(true)
+		c.clientGone.Store(true)
 		if t, ok := c.nc.(*net.TCPConn); ok {
 			t.SetLinger(0)
 		}
-		c.end(closeGone)
+		c.closeSocket(closeClientGone)
 	}
 }
 
@@ -253,35 +253,35 @@
 	if c.evicted {
 		s.evicting--
 	}
-	s.homes[c.home].Add(-1)
+	s.coreConnections[c.homeCore].Add(-1)
 }
 
 // OpenInvocations is the number of invocations between their head and their answer.
-func (s *Server) OpenInvocations() int { return int(s.open.Load()) }
+func (s *Server) OpenInvocations() int { return int(s.openInvocations.Load()) }
 
 const (
-	readBuffer = 4096
+	readBufferBytes = 4096
 	// For a client to read why its request was rejected: how long and how much more of it is read.
-	lingerFor   = 300 * time.Millisecond
-	lingerBytes = 1 << 18
+	lingerTimeout = 300 * time.Millisecond
+	lingerBytes   = 1 << 18
 	// mostParting are the connections turned away that may linger, and those that give way at once: in a flood they
 	// would use up the descriptors.
-	mostParting = 8
+	maxLingering = 8
 )
 
 func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-func (s *Server) waiting(core int) int { return s.Loops[core].Waiting() }
+func (s *Server) queued(core int) int { return s.Loops[core].Waiting() }
 
 // CoreConnections is the number of connections of each core, Moved that of the invocations that went to another one than their
 // connection's because so much more waited there.
 func (s *Server) CoreConnections(core int) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.homes == nil {
+	if s.coreConnections == nil {
 		return 0
 	}
-	return s.homes[core].Load()
+	return s.coreConnections[core].Load()
 }
 
-func (s *Server) MovedInvocations() int64 { return s.moved.Load() }
+func (s *Server) MovedInvocations() int64 { return s.movedInvocations.Load() }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -21,35 +21,35 @@
 )
 
 // serving starts a clients' side with room for so many connections; every request is answered before it is taken.
-func serving(t *testing.T, connections uint32, terms ProtocolOptions) (*Server, string) {
+func startServer(t *testing.T, maxConnections uint32, protocol ProtocolOptions) (*Server, string) {
 	t.Helper()
-	s, address, _ := counted(t, connections, terms)
+	s, address, _ := startCountingServer(t, maxConnections, protocol)
 	return s, address
 }
 
 // reading counts the reads on the connections that a listener accepts.
-type reading struct {
+type countingListener struct {
 	net.Listener
 	reads *atomic.Int64
 }
 
-type readConn struct {
+type countingConn struct {
 	net.Conn
 	reads *atomic.Int64
 }
 
-func (r reading) Accept() (net.Conn, error) {
-	nc, err := r.Listener.Accept()
-	return readConn{nc, r.reads}, err
+func (l countingListener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
+	return countingConn{nc, l.reads}, err
 }
 
-func (c readConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	c.reads.Add(1)
 	return c.Conn.Read(b)
 }
 
 // counted is serving, with a count of reads.
-func counted(t *testing.T, connections uint32, terms ProtocolOptions) (*Server, string, *atomic.Int64) {
+func startCountingServer(t *testing.T, maxConnections uint32, protocol ProtocolOptions) (*Server, string, *atomic.Int64) {
 	t.Helper()
 	reads := &atomic.Int64{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,16 +59,16 @@
 	clock := loop.Monotonic()
 	s := &Server{Settings: &settings.Settings{Instance: &settings.Instance{}, Headers: &settings.Headers{},
 		Operation: []*settings.Operation{{Name: "x"}},
-		Limits:    &settings.Limits{Connections: connections, Open: connections, LineBytes: 1000, HeaderBytes: 1000, RepeatBodyBytes: 100},
+		Limits:    &settings.Limits{Connections: maxConnections, Open: maxConnections, LineBytes: 1000, HeaderBytes: 1000, RepeatBodyBytes: 100},
 		Times:     &settings.Times{HeaderMs: 1000, BodyMs: 1000, WriteMs: 1000, IdleMs: 1000}},
 		Clock: clock, Loops: []*loop.Loop{loop.New(clock, 1)}, Cores: [][]*marshal.Core{{nil}}, Pool: &back.Pool{},
-		Log: slog.New(slog.DiscardHandler), Protocol: terms}
-	go s.Serve([]Listener{{Listener: reading{ln, reads}}})
+		Log: slog.New(slog.DiscardHandler), Protocol: protocol}
+	go s.Serve([]Listener{{Listener: countingListener{ln, reads}}})
 	t.Cleanup(func() { s.Close(time.Second) })
 	return s, ln.Addr().String(), reads
 }
 
-func ask(nc net.Conn, text string) (int, error) {
+func roundTrip(nc net.Conn, text string) (int, error) {
 	nc.SetDeadline(time.Now().Add(3 * time.Second))
 	if _, err := io.WriteString(nc, text); err != nil {
 		return 0, err
@@ -80,13 +80,13 @@
 	return r.StatusCode, r.Body.Close()
 }
 
-const healthy = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+const healthRequest = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
 // Clients that come all at once and ask at once are all answered: none gives way before its request has been read.
 func TestBurstOfConnections(t *testing.T) {
-	_, address := serving(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 2000})
+	_, address := startServer(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 2000})
 	var wg sync.WaitGroup
-	var lost atomic.Int32
+	var unanswered atomic.Int32
 	for range 120 {
 		wg.Go(func() {
 			nc, err := net.Dial("tcp", address)
@@ -95,21 +95,21 @@
 				return
 			}
 			defer nc.Close()
-			if status, err := ask(nc, healthy); err != nil || status != 200 && status != 503 {
-				lost.Add(1)
+			if status, err := roundTrip(nc, healthRequest); err != nil || status != 200 && status != 503 {
+				unanswered.Add(1)
 				t.Log(status, err)
 			}
 		})
 	}
 	wg.Wait()
-	if n := lost.Load(); n > 0 {
+	if n := unanswered.Load(); n > 0 {
 		t.Errorf("%d of 120 requests got no answer", n)
 	}
 }
 
 // Clients that say nothing give way to one that asks, and are closed in time in any case.
 func TestSilentClients(t *testing.T) {
-	_, address := serving(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 600})
+	_, address := startServer(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 600})
 	var silent []net.Conn
 	for range 60 {
 		nc, err := net.Dial("tcp", address)
@@ -125,7 +125,7 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	if status, err := ask(nc, healthy); status != 200 || err != nil {
+	if status, err := roundTrip(nc, healthRequest); status != 200 || err != nil {
 		t.Errorf("a client that asks among silent ones: %d, %v", status, err)
 	}
 	for i, c := range silent {
@@ -137,14 +137,14 @@
 }
 
 // Terms turn away what is too long, and a second request of an id that is open, before either is taken.
-func TestTerms(t *testing.T) {
-	s, address := serving(t, 20, ProtocolOptions{MaxBodyBytes: 10, FirstRequestTimeoutMs: 1000, ParseRequest: func(h *h1.Head) (a RequestParams, err error) {
+func TestProtocolOptions(t *testing.T) {
+	s, address := startServer(t, 20, ProtocolOptions{MaxBodyBytes: 10, FirstRequestTimeoutMs: 1000, ParseRequest: func(h *h1.Head) (a RequestParams, err error) {
 		if a.RequestID = h.Header.Get("X-Id"); a.RequestID == "" {
 			return a, NewRejection(400, "no id")
 		}
 		return a, nil
 	}})
-	s.ids.Store("open", true)
+	s.openIDs.Store("open", true)
 	for text, want := range map[string]int{
 		"Content-Length: 5\r\n\r\nhello":              400,
 		"X-Id: a\r\nContent-Length: 60000000\r\n\r\n": 413,
@@ -156,7 +156,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if status, err := ask(nc, fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\n%s", text)); status != want || err != nil {
+		if status, err := roundTrip(nc, fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\n%s", text)); status != want || err != nil {
 			t.Errorf("%.60q: %d, %v; want %d", text, status, err, want)
 		}
 		nc.Close()
@@ -164,20 +164,20 @@
 }
 
 // While a client waits for its answer for longer than a first request may take to arrive, its reader sleeps.
-func TestReaderSleepsWhileAnswerIsOut(t *testing.T) {
-	for body, request := range map[string]string{"no body": "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+func TestReaderSleepsWhileAnswerPending(t *testing.T) {
+	for name, request := range map[string]string{"no body": "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
 		"body": "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"} {
-		_, address, reads := counted(t, 20, ProtocolOptions{FirstRequestTimeoutMs: 50, ParseRequest: func(*h1.Head) (RequestParams, error) { return RequestParams{LimitMs: 400}, nil }})
+		_, address, reads := startCountingServer(t, 20, ProtocolOptions{FirstRequestTimeoutMs: 50, ParseRequest: func(*h1.Head) (RequestParams, error) { return RequestParams{LimitMs: 400}, nil }})
 		nc, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		if status, err := ask(nc, request); status != 503 || err != nil { // no loop runs that could take it
-			t.Errorf("%s: %d, %v; want 503", body, status, err)
+		if status, err := roundTrip(nc, request); status != 503 || err != nil { // no loop runs that could take it
+			t.Errorf("%s: %d, %v; want 503", name, status, err)
 		}
 		if n := reads.Load(); n > 10 {
-			t.Errorf("%s: %d reads while the client waited; want a few", body, n)
+			t.Errorf("%s: %d reads while the client waited; want a few", name, n)
 		}
 	}
 }
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -15,163 +15,163 @@
 	"arrowcleat/internal/settings"
 )
 
-var reasons = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
+var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
 	417: "Expectation Failed", 429: "Too Many Requests", 431: "Request Header Fields Too Large", 501: "Not Implemented",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
 // plain writes an answer of the marshal's own. must is for what the connection has to end with it; false says that it ends.
-func (c *conn) plain(status int, final, text string, must closeReason, fields ...string) (keep bool) {
-	ends, owed := c.beginAnswer(must)
-	if !owed {
+func (c *conn) writePlain(status int, final, text string, required closeReason, fields ...string) (keepAlive bool) {
+	reason, pending := c.beginAnswer(required)
+	if !pending {
 		return false
 	}
-	c.release()
-	b := append(strconv.AppendInt(append(c.out[:0], "HTTP/1.1 "...), int64(status), 10), ' ')
-	b = append(append(b, reasons[status]...), "\r\n"...)
+	c.releaseID()
+	b := append(strconv.AppendInt(append(c.writeBuf[:0], "HTTP/1.1 "...), int64(status), 10), ' ')
+	b = append(append(b, reasonPhrases[status]...), "\r\n"...)
 	b = h1.AppendField(b, AnswerHeader, final)
 	for i := 0; i+1 < len(fields); i += 2 {
 		b = h1.AppendField(b, fields[i], fields[i+1])
 	}
-	if ends != keepOpen {
+	if reason != keepOpen {
 		b = h1.AppendField(b, "Connection", "close")
 	}
 	b = h1.AppendField(b, "Content-Type", "text/plain; charset=utf-8")
 	b = append(h1.AppendField(b, "Content-Length", strconv.Itoa(len(text)+1)), "\r\n"...)
-	if !c.noBody {
+	if !c.omitBody {
 		b = append(append(b, text...), '\n')
 	}
-	c.out = b
-	return c.write() == nil && ends == keepOpen
+	c.writeBuf = b
+	return c.write() == nil && reason == keepOpen
 }
 
 // refuse turns a request away before it is taken.
-func (c *conn) refuse(status int, text string, must closeReason, fields ...string) (keep bool) {
-	c.s.Counters.Rejected.Add(1)
-	if c.s.Log.Enabled(context.Background(), slog.LevelDebug) {
-		c.s.Log.Debug("request refused", "request", c.lastID, "status", status, "why", text)
+func (c *conn) reject(status int, text string, required closeReason, fields ...string) (keepAlive bool) {
+	c.server.Counters.Rejected.Add(1)
+	if c.server.Log.Enabled(context.Background(), slog.LevelDebug) {
+		c.server.Log.Debug("request refused", "request", c.lastRequestID, "status", status, "why", text)
 	}
-	return c.plain(status, NotAccepted, text, must, fields...)
+	return c.writePlain(status, NotAccepted, text, required, fields...)
 }
 
-func (c *conn) fault(err error) bool {
-	c.s.Counters.Malformed.Add(1)
+func (c *conn) rejectUnreadable(err error) bool {
+	c.server.Counters.Malformed.Add(1)
 	switch {
 	case errors.Is(err, h1.ErrTooLarge):
-		return c.refuse(431, err.Error(), closeRejected)
+		return c.reject(431, err.Error(), closeRejected)
 	case errors.Is(err, h1.ErrTransferCoding):
-		return c.refuse(501, err.Error(), closeRejected)
+		return c.reject(501, err.Error(), closeRejected)
 	case errors.Is(err, h1.ErrVersion):
-		return c.refuse(505, err.Error(), closeRejected)
+		return c.reject(505, err.Error(), closeRejected)
 	case errors.Is(err, h1.ErrMalformed):
-		return c.refuse(400, err.Error(), closeRejected)
+		return c.reject(400, err.Error(), closeRejected)
 	case back.Timeout(err):
-		return c.refuse(408, "the request took too long to arrive", closeRejected)
+		return c.reject(408, "the request took too long to arrive", closeRejected)
 	}
-	c.gone.Store(true) // the connection broke
+	c.clientGone.Store(true) // the connection broke
 	return false
 }
 
 // serve works on one request; false ends the connection.
-func (c *conn) serve(req *request) (keep bool) {
-	if req.fault != nil {
-		return c.fault(req.fault)
+func (c *conn) serve(req *request) (keepAlive bool) {
+	if req.err != nil {
+		return c.rejectUnreadable(req.err)
 	}
-	h, s := req.head, c.s
-	x := &exchange{c: c, head: h, began: req.began, last: h.Close}
+	h, s := req.head, c.server
+	x := &exchange{conn: c, head: h, startMs: req.startMs, closeAfter: h.Close}
 	defer x.resumeReader()
-	c.noBody = h.Method == "HEAD"
+	c.omitBody = h.Method == "HEAD"
 	if s.Protocol.HealthPath != "" && h.Target == s.Protocol.HealthPath && h.Method == "GET" && h.BodyLength == 0 {
-		return c.plain(200, NotAccepted, "serving", x.mustEnd())
+		return c.writePlain(200, NotAccepted, "serving", x.requiredClose())
 	}
 	// What the head asks for: operation, tenant, key, mark, time. Nothing has been taken yet.
-	absolute(h)
-	asked, err := c.asked(h)
-	c.lastID, x.requestID = asked.RequestID, asked.RequestID
-	unread := x.mustEnd()
+	splitAbsoluteTarget(h)
+	params, err := c.readParams(h)
+	c.lastRequestID, x.requestID = params.RequestID, params.RequestID
+	required := x.requiredClose()
 	if h.BodyLength != 0 { // the body that is not read is in the way of the next request
-		unread = closeRejected
+		required = closeRejected
 	}
-	var why refusal
-	if errors.As(err, &why) {
-		return c.refuse(why.status, why.text, unread)
+	var rejected rejection
+	if errors.As(err, &rejected) {
+		return c.reject(rejected.status, rejected.text, required)
 	}
 	if s.tooLong(h.BodyLength) {
-		return c.refuse(413, "the body is too long", closeRejected)
+		return c.reject(413, "the body is too long", closeRejected)
 	}
-	if !s.claim(asked.RequestID) {
-		return c.refuse(409, "a request of this id is open", unread)
+	if !s.claimID(params.RequestID) {
+		return c.reject(409, "a request of this id is open", required)
 	}
-	c.id = asked.RequestID
-	defer c.release()
-	x.limit = asked.LimitMs
-	if s.open.Add(1) > int64(s.CurrentSettings().Limits.Open) {
-		s.open.Add(-1)
-		return c.refuse(503, "too many invocations are open", unread, "Retry-After", "1")
+	c.openID = params.RequestID
+	defer c.releaseID()
+	x.limitMs = params.LimitMs
+	if s.openInvocations.Add(1) > int64(s.CurrentSettings().Limits.Open) {
+		s.openInvocations.Add(-1)
+		return c.reject(503, "too many invocations are open", required, "Retry-After", "1")
 	}
-	defer s.open.Add(-1)
-	if err := x.takeBody(); err != nil {
+	defer s.openInvocations.Add(-1)
+	if err := x.retainBody(); err != nil {
 		if errors.Is(err, h1.ErrMalformed) || back.Timeout(err) {
-			return c.fault(err)
+			return c.rejectUnreadable(err)
 		}
-		c.gone.Store(true)
+		c.clientGone.Store(true)
 		return false
 	}
-	if s.Protocol.MaxBodyBytes > 0 && !x.whole {
-		return c.refuse(413, "the body is too long", closeRejected)
+	if s.Protocol.MaxBodyBytes > 0 && !x.bodyRetained {
+		return c.reject(413, "the body is too long", closeRejected)
 	}
-	x.trailers = h1.ListsToken(h.Header["Te"], "trailers")
+	x.acceptsTrailers = h1.ListsToken(h.Header["Te"], "trailers")
 	h.RemoveHopByHop()
-	budget := x.limit - s.CurrentSettings().Times.AnswerMs - (s.Clock.Now() - x.began)
-	if budget <= 0 {
-		return c.refuse(503, "no time left when it had arrived", x.mustEnd())
+	budgetMs := x.limitMs - s.CurrentSettings().Times.AnswerMs - (s.Clock.Now() - x.startMs)
+	if budgetMs <= 0 {
+		return c.reject(503, "no time left when it had arrived", x.requiredClose())
 	}
-	x.pool, x.local = s.Settings.Place(asked.Operation)
-	c.current.Store(x)
+	x.pool, x.operation = s.Settings.Place(params.Operation)
+	c.exchange.Store(x)
 	defer func() {
-		c.current.Store(nil)
+		c.exchange.Store(nil)
 		x.finish()
 	}()
-	if c.gone.Load() {
+	if c.clientGone.Load() {
 		return false
 	}
-	x.tenant, x.cost, x.write, x.key, x.retry = asked.Tenant, asked.CostMs, asked.IsWrite, asked.Key, asked.IsRetry
-	if o := s.Settings.Operation[asked.Operation]; o.Repeat == settings.Repeat_FINGERPRINTED {
-		x.memory = o.MemoryMs
+	x.tenant, x.costMs, x.isWrite, x.key, x.isRetry = params.Tenant, params.CostMs, params.IsWrite, params.Key, params.IsRetry
+	if o := s.Settings.Operation[params.Operation]; o.Repeat == settings.Repeat_FINGERPRINTED {
+		x.keyMemoryMs = o.MemoryMs
 	}
-	x.dueAt = s.Clock.Now() + budget
-	x.answerBy = x.dueAt + s.CurrentSettings().Times.AnswerMs/2
-	at := 0
+	x.deadlineMs = s.Clock.Now() + budgetMs
+	x.answerByMs = x.deadlineMs + s.CurrentSettings().Times.AnswerMs/2
+	core := 0
 	if len(s.Loops) > 1 {
 		if s.Settings.RolloutOf(x.pool).ForwardOnly {
-			x.name = x.key
+			x.placementKey = x.key
 		}
-		if x.name == "" && s.names.mark != "" {
-			x.name = h.Header.Get(s.names.mark)
+		if x.placementKey == "" && s.headerNames.idempotencyKey != "" {
+			x.placementKey = h.Header.Get(s.headerNames.idempotencyKey)
 		}
-		at = divide.Place(x.name, c.home, s.waiting, len(s.Loops))
-		if at != c.home && x.name == "" {
-			s.moved.Add(1)
+		core = divide.Place(x.placementKey, c.homeCore, s.queued, len(s.Loops))
+		if core != c.homeCore && x.placementKey == "" {
+			s.movedInvocations.Add(1)
 		}
 	}
-	if !x.offer(at) {
-		return s.behind(x)
+	if !x.offer(core) {
+		return s.rejectOverloaded(x)
 	}
 	return x.run()
 }
 
 // behind turns away what no core has taken.
-func (s *Server) behind(x *exchange) bool {
-	return x.c.refuse(503, "this marshal is behind", x.mustEnd(), "Retry-After", "1")
+func (s *Server) rejectOverloaded(x *exchange) bool {
+	return x.conn.reject(503, "this marshal is behind", x.requiredClose(), "Retry-After", "1")
 }
 
-func number(h textproto.MIMEHeader, name string, absent float64) (float64, error) {
+func parseMs(h textproto.MIMEHeader, name string, fallback float64) (float64, error) {
 	if name == "" {
-		return absent, nil
+		return fallback, nil
 	}
 	text := h.Get(name)
 	if text == "" {
-		return absent, nil
+		return fallback, nil
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(v >= 0 && v < 1e12) {
@@ -181,8 +181,8 @@
 }
 
 // status of a termination: the nodes' fault, or time that ran out.
-func (x *exchange) terminated() int {
-	if x.how == balance.TimedOut {
+func (x *exchange) terminationStatus() int {
+	if x.lastOutcome == balance.TimedOut {
 		return 504
 	}
 	return 502
--- a/internal/front/terms.go
+++ b/internal/front/terms.go
@@ -29,45 +29,45 @@
 }
 
 // refusal is why a request is turned away before it is taken.
-type refusal struct {
+type rejection struct {
 	status int
 	text   string
 }
 
-func (r refusal) Error() string { return r.text }
+func (r rejection) Error() string { return r.text }
 
 // NewRejection is an error that turns a request away with a status.
-func NewRejection(status int, text string) error { return refusal{status, text} }
+func NewRejection(status int, text string) error { return rejection{status, text} }
 
 // asked finds operation, tenant, key, mark and time in a head as the project's own protocol has them.
-func (c *conn) asked(h *h1.Head) (a RequestParams, err error) {
-	s := c.s
+func (c *conn) readParams(h *h1.Head) (params RequestParams, err error) {
+	s := c.server
 	if s.Protocol.ParseRequest != nil {
 		return s.Protocol.ParseRequest(h)
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
 	op := s.CurrentSettings().Find(c.listener, h.Method, path)
 	if op < 0 || h.Method == "CONNECT" {
-		return a, NewRejection(404, "no operation matches "+h.Method+" "+path)
+		return params, NewRejection(404, "no operation matches "+h.Method+" "+path)
 	}
 	o := s.CurrentSettings().Operation[op]
-	if o.Repeat == settings.Repeat_FINGERPRINTED && h.Header.Get(s.names.mark) == "" {
-		return a, NewRejection(400, o.Name+" needs a mark against repeats in "+s.names.mark)
+	if o.Repeat == settings.Repeat_FINGERPRINTED && h.Header.Get(s.headerNames.idempotencyKey) == "" {
+		return params, NewRejection(400, o.Name+" needs a mark against repeats in "+s.headerNames.idempotencyKey)
 	}
-	limit, err := number(h.Header, s.names.time, o.LimitMs)
+	limit, err := parseMs(h.Header, s.headerNames.timeLimitMs, o.LimitMs)
 	if err != nil {
-		return a, NewRejection(400, err.Error())
+		return params, NewRejection(400, err.Error())
 	}
-	cost, err := number(h.Header, s.names.cost, 0)
+	cost, err := parseMs(h.Header, s.headerNames.costMs, 0)
 	if err != nil {
-		return a, NewRejection(400, err.Error())
+		return params, NewRejection(400, err.Error())
 	}
-	return RequestParams{Operation: op, Tenant: s.CurrentSettings().TenantIndex(h.Header.Get(s.names.tenant)), Key: h.Header.Get(s.names.key),
-		LimitMs: min(limit, o.LimitMs), CostMs: cost, IsRetry: s.names.retry != "" && h.Header.Get(s.names.retry) != "", IsWrite: o.Write}, nil
+	return RequestParams{Operation: op, Tenant: s.CurrentSettings().TenantIndex(h.Header.Get(s.headerNames.tenant)), Key: h.Header.Get(s.headerNames.key),
+		LimitMs: min(limit, o.LimitMs), CostMs: cost, IsRetry: s.headerNames.retry != "" && h.Header.Get(s.headerNames.retry) != "", IsWrite: o.Write}, nil
 }
 
 // absolute takes the authority of a target in absolute form for the host.
-func absolute(h *h1.Head) {
+func splitAbsoluteTarget(h *h1.Head) {
 	path, _, _ := strings.Cut(h.Target, "?")
 	i := strings.Index(path, "://")
 	if i <= 0 {
@@ -82,20 +82,20 @@
 }
 
 // claim opens an id; false says that it is open.
-func (s *Server) claim(id string) bool {
+func (s *Server) claimID(id string) bool {
 	if id == "" {
 		return true
 	}
-	_, open := s.ids.LoadOrStore(id, true)
+	_, open := s.openIDs.LoadOrStore(id, true)
 	return !open
 }
 
 // release lets the id of the open request go, before the client can have the last byte of its answer: it may come back
 // with the same one at once.
-func (c *conn) release() {
-	if c.id != "" {
-		c.s.ids.Delete(c.id)
-		c.id = ""
+func (c *conn) releaseID() {
+	if c.openID != "" {
+		c.server.openIDs.Delete(c.openID)
+		c.openID = ""
 	}
 }
 
@@ -105,7 +105,7 @@
 }
 
 // retryAfter are the fields that say when to come back.
-func (s *Server) retryAfter(ms float64) []string {
+func (s *Server) retryAfterFields(ms float64) []string {
 	if s.Protocol.RetryAfter != nil {
 		field, value := s.Protocol.RetryAfter(ms)
 		return []string{field, value}
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -28,7 +28,7 @@
 	ErrVersion        = errors.New("HTTP version not known")
 )
 
-func malformed(format string, a ...any) error {
+func malformedErr(format string, a ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrMalformed}, a...)...)
 }
 
@@ -52,28 +52,28 @@
 // Reader reads messages from one connection.
 type Reader struct {
 	*bufio.Reader
-	text textproto.Reader
-	gate gate
+	text    textproto.Reader
+	limiter headLimiter
 }
 
 // gate bounds what a head may take from the connection below the buffer.
-type gate struct {
-	r    io.Reader
-	left int   // -1: unbounded
-	err  error // of the last read
+type headLimiter struct {
+	r         io.Reader
+	remaining int   // -1: unbounded
+	err       error // of the last read
 }
 
-func (g *gate) Read(p []byte) (int, error) {
-	if g.left == 0 {
+func (g *headLimiter) Read(p []byte) (int, error) {
+	if g.remaining == 0 {
 		g.err = ErrTooLarge
 		return 0, ErrTooLarge
 	}
-	if g.left > 0 && len(p) > g.left {
-		p = p[:g.left]
+	if g.remaining > 0 && len(p) > g.remaining {
+		p = p[:g.remaining]
 	}
 	n, err := g.r.Read(p)
-	if g.left > 0 {
-		g.left -= n
+	if g.remaining > 0 {
+		g.remaining -= n
 	}
 	g.err = err
 	return n, err
@@ -81,21 +81,21 @@
 
 // NewReader reads from r through a buffer of the given size.
 func NewReader(r io.Reader, size int) *Reader {
-	t := &Reader{gate: gate{r: r, left: -1}}
-	t.Reader = bufio.NewReaderSize(&t.gate, size)
-	t.text = textproto.Reader{R: t.Reader}
-	return t
+	reader := &Reader{limiter: headLimiter{r: r, remaining: -1}}
+	reader.Reader = bufio.NewReaderSize(&reader.limiter, size)
+	reader.text = textproto.Reader{R: reader.Reader}
+	return reader
 }
 
 // Reset takes another connection; what is left in the buffer is dropped.
 func (r *Reader) Reset(c io.Reader) {
-	r.gate = gate{r: c, left: -1}
-	r.Reader.Reset(&r.gate)
+	r.limiter = headLimiter{r: c, remaining: -1}
+	r.Reader.Reset(&r.limiter)
 }
 
-func (r *Reader) head(l Limits) (string, textproto.MIMEHeader, error) {
-	r.gate.left = l.LineBytes + l.HeaderBytes
-	defer func() { r.gate.left = -1 }()
+func (r *Reader) readHead(l Limits) (string, textproto.MIMEHeader, error) {
+	r.limiter.remaining = l.LineBytes + l.HeaderBytes
+	defer func() { r.limiter.remaining = -1 }()
 	line, err := r.text.ReadLine()
 	if err != nil {
 		return "", nil, err
@@ -105,16 +105,16 @@
 	}
 	for i := range len(line) {
 		if line[i] < ' ' || line[i] == 0x7f {
-			return "", nil, malformed("control character in the first line")
+			return "", nil, malformedErr("control character in the first line")
 		}
 	}
 	header, err := r.text.ReadMIMEHeader()
 	if err != nil {
 		var bad textproto.ProtocolError
-		if r.gate.err != nil { // half a line looks malformed; the connection says why it is half
-			err = r.gate.err
+		if r.limiter.err != nil { // half a line looks malformed; the connection says why it is half
+			err = r.limiter.err
 		} else if errors.As(err, &bad) {
-			return "", nil, malformed("%s", string(bad))
+			return "", nil, malformedErr("%s", string(bad))
 		}
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
@@ -123,14 +123,14 @@
 	}
 	size := 0
 	for name, values := range header {
-		if !token(name) {
-			return "", nil, malformed("header name %.40q", name)
+		if !isToken(name) {
+			return "", nil, malformedErr("header name %.40q", name)
 		}
 		for _, v := range values {
 			size += len(name) + len(v) + 4
 			for i := range len(v) {
 				if v[i] < ' ' && v[i] != '\t' || v[i] == 0x7f {
-					return "", nil, malformed("control character in header %s", name)
+					return "", nil, malformedErr("control character in header %s", name)
 				}
 			}
 		}
@@ -153,24 +153,24 @@
 		}
 		r.Discard(1)
 	}
-	line, header, err := r.head(l)
+	line, header, err := r.readHead(l)
 	if err != nil {
 		return nil, err
 	}
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || !token(method) || target == "" || strings.Contains(version, " ") {
-		return nil, malformed("request line %.60q", line)
+	if !ok || !ok2 || !isToken(method) || target == "" || strings.Contains(version, " ") {
+		return nil, malformedErr("request line %.60q", line)
 	}
 	h := &Head{Method: method, Target: target, Header: header}
-	if err := h.version(version); err != nil {
+	if err := h.parseVersion(version); err != nil {
 		return nil, err
 	}
 	hosts := header["Host"]
 	if len(hosts) > 1 || len(hosts) == 0 && h.MinorVersion > 0 {
-		return nil, malformed("%d Host headers where one is due", len(hosts))
+		return nil, malformedErr("%d Host headers where one is due", len(hosts))
 	}
-	if err := h.framing(); err != nil {
+	if err := h.parseFraming(); err != nil {
 		return nil, err
 	}
 	if h.BodyLength == UntilClose {
@@ -181,7 +181,7 @@
 
 // Response reads the head of a response to a request of the given method.
 func (r *Reader) Response(method string, l Limits) (*Head, error) {
-	line, header, err := r.head(l)
+	line, header, err := r.readHead(l)
 	if err != nil {
 		return nil, err
 	}
@@ -189,13 +189,13 @@
 	code, reason, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || status < 100 {
-		return nil, malformed("status line %.60q", line)
+		return nil, malformedErr("status line %.60q", line)
 	}
 	h := &Head{Status: status, Reason: reason, Header: header}
-	if err := h.version(version); err != nil {
+	if err := h.parseVersion(version); err != nil {
 		return nil, err
 	}
-	if err := h.framing(); err != nil {
+	if err := h.parseFraming(); err != nil {
 		return nil, err
 	}
 	if method == "HEAD" || status < 200 || status == 204 || status == 304 {
@@ -206,7 +206,7 @@
 	return h, nil
 }
 
-func (h *Head) version(v string) error {
+func (h *Head) parseVersion(v string) error {
 	switch v {
 	case "HTTP/1.1":
 		h.MinorVersion = 1
@@ -215,22 +215,22 @@
 		if len(v) == 8 && strings.HasPrefix(v, "HTTP/") && v[6] == '.' {
 			return ErrVersion
 		}
-		return malformed("version %.20q", v)
+		return malformedErr("version %.20q", v)
 	}
 	return nil
 }
 
 // framing finds where the body ends. Two ways to tell, or an odd one, are malformed: RFC 9112, 6.3.
-func (h *Head) framing() error {
+func (h *Head) parseFraming() error {
 	connection := h.Header["Connection"]
 	h.Close = ListsToken(connection, "close") || h.MinorVersion == 0 && !ListsToken(connection, "keep-alive")
 	codings, lengths := h.Header["Transfer-Encoding"], h.Header["Content-Length"]
 	if len(codings) > 0 {
 		if len(lengths) > 0 {
-			return malformed("both Content-Length and Transfer-Encoding")
+			return malformedErr("both Content-Length and Transfer-Encoding")
 		}
 		if h.MinorVersion == 0 {
-			return malformed("Transfer-Encoding in HTTP/1.0")
+			return malformedErr("Transfer-Encoding in HTTP/1.0")
 		}
 		if len(codings) > 1 || !strings.EqualFold(codings[0], "chunked") {
 			return fmt.Errorf("%w: %.40q", ErrTransferCoding, strings.Join(codings, ", "))
@@ -243,7 +243,7 @@
 		text := lengths[0]
 		n, err := strconv.ParseInt(text, 10, 64)
 		if len(lengths) > 1 || err != nil || n < 0 || text[0] == '+' || text[0] == '-' {
-			return malformed("Content-Length %.40q", strings.Join(lengths, ", "))
+			return malformedErr("Content-Length %.40q", strings.Join(lengths, ", "))
 		}
 		h.BodyLength = n
 	}
@@ -268,7 +268,7 @@
 }
 
 // hop are the header names that end at a hop (RFC 9110, 7.6.1), those of old among them.
-var hop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
+var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Transfer-Encoding", "Upgrade", "Expect"}
 
 // RemoveHopByHop removes what is meant for this hop only, with all that Connection names.
@@ -281,12 +281,12 @@
 			}
 		}
 	}
-	for _, name := range hop {
+	for _, name := range hopByHop {
 		delete(h.Header, name)
 	}
 }
 
-func token(s string) bool {
+func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if c <= ' ' || c >= 0x7f || strings.IndexByte("\"(),/:;<=>?@[\\]{}", c) >= 0 {
@@ -299,18 +299,18 @@
 // Body reads the body of the message whose head was read last; it ends with io.EOF, and its trailers are then
 // in the header under the names that http.TrailerPrefix does not need: Trailers.
 type Body struct {
-	r       *Reader
-	limits  Limits
-	chunked io.Reader
-	left    int64 // ToEnd: until the connection ends
-	err     error
+	r         *Reader
+	limits    Limits
+	chunked   io.Reader
+	remaining int64 // ToEnd: until the connection ends
+	err       error
 
 	Trailers textproto.MIMEHeader
 }
 
 // Body gives the body of a message.
 func (r *Reader) Body(h *Head, l Limits) *Body {
-	b := &Body{r: r, left: h.BodyLength, limits: l}
+	b := &Body{r: r, remaining: h.BodyLength, limits: l}
 	if h.BodyLength == Chunked {
 		b.chunked = httputil.NewChunkedReader(r.Reader)
 	}
@@ -318,7 +318,7 @@
 }
 
 // Done says that the body has ended whole.
-func (b *Body) Done() bool { return b.err == io.EOF || b.chunked == nil && b.left == 0 }
+func (b *Body) Done() bool { return b.err == io.EOF || b.chunked == nil && b.remaining == 0 }
 
 func (b *Body) Read(p []byte) (n int, err error) {
 	switch {
@@ -327,22 +327,22 @@
 	case b.chunked != nil:
 		n, err = b.chunked.Read(p)
 		if err == io.EOF {
-			if err = b.trailers(); err == nil {
+			if err = b.readTrailers(); err == nil {
 				err = io.EOF
 			}
-		} else if err != nil && !connErr(err) {
-			err = malformed("chunk: %v", err)
+		} else if err != nil && !isConnErr(err) {
+			err = malformedErr("chunk: %v", err)
 		}
-	case b.left == 0:
+	case b.remaining == 0:
 		err = io.EOF
-	case b.left == UntilClose:
+	case b.remaining == UntilClose:
 		n, err = b.r.Read(p)
 	default:
-		if int64(len(p)) > b.left {
-			p = p[:b.left]
+		if int64(len(p)) > b.remaining {
+			p = p[:b.remaining]
 		}
 		n, err = b.r.Read(p)
-		b.left -= int64(n)
+		b.remaining -= int64(n)
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -352,31 +352,31 @@
 }
 
 // connErr tells the connection's errors from what the chunked reader found wrong.
-func connErr(err error) bool {
+func isConnErr(err error) bool {
 	type timeout interface{ Timeout() bool }
 	var t timeout
 	return errors.As(err, &t) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-func (b *Body) trailers() error {
-	b.r.gate.left = b.limits.HeaderBytes
-	defer func() { b.r.gate.left = -1 }()
+func (b *Body) readTrailers() error {
+	b.r.limiter.remaining = b.limits.HeaderBytes
+	defer func() { b.r.limiter.remaining = -1 }()
 	header, err := b.r.text.ReadMIMEHeader()
 	if err != nil {
-		if b.r.gate.err != nil {
-			err = b.r.gate.err
+		if b.r.limiter.err != nil {
+			err = b.r.limiter.err
 		}
 		if err == io.EOF {
 			return io.ErrUnexpectedEOF
 		}
 		var bad textproto.ProtocolError
 		if errors.As(err, &bad) {
-			return malformed("trailer: %s", string(bad))
+			return malformedErr("trailer: %s", string(bad))
 		}
 		return err
 	}
 	for name := range header { // what frames, routes or ends at a hop may not come late (RFC 9110, 6.5.1)
-		if !token(name) || name == "Content-Length" || name == "Host" || slices.Contains(hop, name) {
+		if !isToken(name) || name == "Content-Length" || name == "Host" || slices.Contains(hopByHop, name) {
 			delete(header, name)
 		}
 	}
@@ -387,33 +387,33 @@
 }
 
 // AppendHeader appends header lines in order of their names, but for some, without the empty line.
-func AppendHeader(to []byte, header textproto.MIMEHeader, but ...string) []byte {
-	var room [32]string
-	names := slices.AppendSeq(room[:0], maps.Keys(header))
+func AppendHeader(dst []byte, header textproto.MIMEHeader, except ...string) []byte {
+	var stack [32]string
+	names := slices.AppendSeq(stack[:0], maps.Keys(header))
 	slices.Sort(names)
 	for _, name := range names {
-		if slices.Contains(but, name) {
+		if slices.Contains(except, name) {
 			continue
 		}
 		for _, v := range header[name] {
-			to = append(append(append(append(to, name...), ": "...), v...), "\r\n"...)
+			dst = append(append(append(append(dst, name...), ": "...), v...), "\r\n"...)
 		}
 	}
-	return to
+	return dst
 }
 
 // AppendField appends one header line.
-func AppendField(to []byte, name, value string) []byte {
-	return append(append(append(append(to, name...), ": "...), value...), "\r\n"...)
+func AppendField(dst []byte, name, value string) []byte {
+	return append(append(append(append(dst, name...), ": "...), value...), "\r\n"...)
 }
 
 // AppendChunk appends one chunk.
-func AppendChunk(to, data []byte) []byte {
-	to = append(strconv.AppendInt(to, int64(len(data)), 16), "\r\n"...)
-	return append(append(to, data...), "\r\n"...)
+func AppendChunk(dst, data []byte) []byte {
+	dst = append(strconv.AppendInt(dst, int64(len(data)), 16), "\r\n"...)
+	return append(append(dst, data...), "\r\n"...)
 }
 
 // AppendLastChunk appends the chunk that ends a body, with its trailers.
-func AppendLastChunk(to []byte, trailers textproto.MIMEHeader) []byte {
-	return append(AppendHeader(append(to, "0\r\n"...), trailers), "\r\n"...)
+func AppendLastChunk(dst []byte, trailers textproto.MIMEHeader) []byte {
+	return append(AppendHeader(append(dst, "0\r\n"...), trailers), "\r\n"...)
 }
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -41,16 +41,16 @@
 		if err != nil {
 			return
 		}
-		q, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
+		stdRequest, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
 		if err != nil { // refused there: of Host and URL it is stricter
 			return
 		}
-		theirs, err := io.ReadAll(q.Body)
+		stdBody, err := io.ReadAll(stdRequest.Body)
 		if err != nil { // refused there: a line of the trailer that ends with LF alone
 			return
 		}
-		if q.Method != h.Method || q.RequestURI != h.Target || !bytes.Equal(body, theirs) {
-			t.Fatalf("%q: %s %q %q, by net/http %s %q %q", in, h.Method, h.Target, body, q.Method, q.RequestURI, theirs)
+		if stdRequest.Method != h.Method || stdRequest.RequestURI != h.Target || !bytes.Equal(body, stdBody) {
+			t.Fatalf("%q: %s %q %q, by net/http %s %q %q", in, h.Method, h.Target, body, stdRequest.Method, stdRequest.RequestURI, stdBody)
 		}
 	})
 }
@@ -86,18 +86,18 @@
 
 // A head that goes on and on is an error before it fills memory.
 func TestHeadBound(t *testing.T) {
-	endless := io.MultiReader(strings.NewReader("GET / HTTP/1.1\r\nHost: x\r\nX: "), repeat('a'))
+	endless := io.MultiReader(strings.NewReader("GET / HTTP/1.1\r\nHost: x\r\nX: "), repeatReader('a'))
 	if _, err := NewReader(endless, 64).Request(limits); err == nil || err.Error() != ErrTooLarge.Error() {
 		t.Errorf("an endless header: %v", err)
 	}
-	if _, err := NewReader(repeat('a'), 64).Request(limits); err == nil || err.Error() != ErrTooLarge.Error() {
+	if _, err := NewReader(repeatReader('a'), 64).Request(limits); err == nil || err.Error() != ErrTooLarge.Error() {
 		t.Errorf("an endless line: %v", err)
 	}
 }
 
-type repeat byte
+type repeatReader byte
 
-func (r repeat) Read(p []byte) (int, error) {
+func (r repeatReader) Read(p []byte) (int, error) {
 	for i := range p {
 		p[i] = byte(r)
 	}
