--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -1,5 +1,5 @@
-// Package h1 frames HTTP/1.1 messages (RFC 9110, RFC 9112) on top of net/textproto: it reads heads, says where
-// bodies end, and writes both. What could be read in two ways is an error and never handed on.
+// Package h1 reads and writes HTTP/1.1 messages (RFC 9110, RFC 9112) on top of net/textproto: it reads heads, finds the end
+// of bodies, and appends heads and chunks to buffers. A message that is ambiguous is an error and never passed on.
 package h1
 
 import (
@@ -15,19 +15,24 @@
 	"strings"
 )
 
-// Limits bounds what a head may take.
+// Limits bounds the size of a head.
 type Limits struct {
-	LineBytes, HeaderBytes int // bytes of the first line, and of all header lines
+	LineBytes, HeaderBytes int // of the first line, and of all header lines together
 }
 
-// Errors that say how a message is answered. Anything else that a reader returns is the connection's.
+// Errors of a message, which determine how it is answered. Any other error that a Reader returns comes from the connection.
 var (
-	ErrMalformed      = errors.New("malformed message")
-	ErrTooLarge       = errors.New("head too large")
+	// ErrMalformed is the error of a message that is ambiguous or not valid HTTP/1.
+	ErrMalformed = errors.New("malformed message")
+	// ErrTooLarge is the error of a message that exceeds a limit on its size.
+	ErrTooLarge = errors.New("head too large")
+	// ErrTransferCoding is the error of a transfer coding other than chunked.
 	ErrTransferCoding = errors.New("transfer coding not known")
-	ErrVersion        = errors.New("HTTP version not known")
+	// ErrVersion is the error of an HTTP version other than 1.0 and 1.1.
+	ErrVersion = errors.New("HTTP version not known")
 )
 
+// malformedErr returns an ErrMalformed with a description.
 func malformedErr(format string, a ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrMalformed}, a...)...)
 }
@@ -37,66 +42,70 @@
 	Method, Target string // of a request
 	Status         int    // of a response
 	Reason         string
-	MinorVersion   int // 0 for HTTP/1.0
+	MinorVersion   int // of the HTTP version: 0 for HTTP/1.0, 1 for HTTP/1.1
 	Header         textproto.MIMEHeader
-	BodyLength     int64 // of the body: Chunked, ToEnd or its bytes
-	Close          bool  // the connection ends with this message
+	BodyLength     int64 // in bytes, or Chunked or UntilClose
+	Close          bool  // the connection closes after this message
 }
 
-// Lengths that are no number of bytes.
+// Special values of Head.BodyLength.
 const (
-	Chunked    = -1
+	// Chunked is the length of a body in the chunked transfer coding.
+	Chunked = -1
+	// UntilClose is the length of a body that ends with the connection.
 	UntilClose = -2
 )
 
 // Reader reads messages from one connection.
 type Reader struct {
 	*bufio.Reader
-	text    textproto.Reader
-	limiter headLimiter
+	textReader textproto.Reader
+	limiter    headLimiter
 }
 
-// gate bounds what a head may take from the connection below the buffer.
+// headLimiter bounds the bytes that reading a head takes from the connection. It sits below the buffer.
 type headLimiter struct {
 	r         io.Reader
-	remaining int   // -1: unbounded
+	remaining int   // bytes that may still be read; -1: unlimited
 	err       error // of the last read
 }
 
-func (g *headLimiter) Read(p []byte) (int, error) {
-	if g.remaining == 0 {
-		g.err = ErrTooLarge
+// Read reads from the connection, at most as many bytes as remain.
+func (l *headLimiter) Read(p []byte) (int, error) {
+	if l.remaining == 0 {
+		l.err = ErrTooLarge
 		return 0, ErrTooLarge
 	}
-	if g.remaining > 0 && len(p) > g.remaining {
-		p = p[:g.remaining]
+	if l.remaining > 0 && len(p) > l.remaining {
+		p = p[:l.remaining]
 	}
-	n, err := g.r.Read(p)
-	if g.remaining > 0 {
-		g.remaining -= n
+	n, err := l.r.Read(p)
+	if l.remaining > 0 {
+		l.remaining -= n
 	}
-	g.err = err
+	l.err = err
 	return n, err
 }
 
-// NewReader reads from r through a buffer of the given size.
+// NewReader returns a Reader of the messages on r, with a buffer of size bytes.
 func NewReader(r io.Reader, size int) *Reader {
 	reader := &Reader{limiter: headLimiter{r: r, remaining: -1}}
 	reader.Reader = bufio.NewReaderSize(&reader.limiter, size)
-	reader.text = textproto.Reader{R: reader.Reader}
+	reader.textReader = textproto.Reader{R: reader.Reader}
 	return reader
 }
 
-// Reset takes another connection; what is left in the buffer is dropped.
-func (r *Reader) Reset(c io.Reader) {
-	r.limiter = headLimiter{r: c, remaining: -1}
+// Reset switches to another connection and discards what is buffered.
+func (r *Reader) Reset(conn io.Reader) {
+	r.limiter = headLimiter{r: conn, remaining: -1}
 	r.Reader.Reset(&r.limiter)
 }
 
+// readHead reads the first line and the header of a message.
 func (r *Reader) readHead(l Limits) (string, textproto.MIMEHeader, error) {
 	r.limiter.remaining = l.LineBytes + l.HeaderBytes
 	defer func() { r.limiter.remaining = -1 }()
-	line, err := r.text.ReadLine()
+	line, err := r.textReader.ReadLine()
 	if err != nil {
 		return "", nil, err
 	}
@@ -108,10 +117,10 @@
 			return "", nil, malformedErr("control character in the first line")
 		}
 	}
-	header, err := r.text.ReadMIMEHeader()
+	header, err := r.textReader.ReadMIMEHeader()
 	if err != nil {
 		var bad textproto.ProtocolError
-		if r.limiter.err != nil { // half a line looks malformed; the connection says why it is half
+		if r.limiter.err != nil { // a truncated line looks malformed; the connection's error says why it is truncated
 			err = r.limiter.err
 		} else if errors.As(err, &bad) {
 			return "", nil, malformedErr("%s", string(bad))
@@ -127,7 +136,7 @@
 			return "", nil, malformedErr("header name %.40q", name)
 		}
 		for _, v := range values {
-			size += len(name) + len(v) + 4
+			size += len(name) + len(v) + 4 // with ": " and the line end
 			for i := range len(v) {
 				if v[i] < ' ' && v[i] != '\t' || v[i] == 0x7f {
 					return "", nil, malformedErr("control character in header %s", name)
@@ -143,7 +152,7 @@
 
 // Request reads the head of a request.
 func (r *Reader) Request(l Limits) (*Head, error) {
-	for { // an empty line before a request is let pass (RFC 9112, 2.2)
+	for { // empty lines before a request are ignored (RFC 9112, 2.2)
 		b, err := r.Peek(1)
 		if err != nil {
 			return nil, err
@@ -206,6 +215,7 @@
 	return h, nil
 }
 
+// parseVersion sets MinorVersion.
 func (h *Head) parseVersion(v string) error {
 	switch v {
 	case "HTTP/1.1":
@@ -220,7 +230,7 @@
 	return nil
 }
 
-// framing finds where the body ends. Two ways to tell, or an odd one, are malformed: RFC 9112, 6.3.
+// parseFraming sets BodyLength and Close. Contradictory or unusual framing is malformed (RFC 9112, 6.3).
 func (h *Head) parseFraming() error {
 	connection := h.Header["Connection"]
 	h.Close = ListsToken(connection, "close") || h.MinorVersion == 0 && !ListsToken(connection, "keep-alive")
@@ -250,7 +260,7 @@
 	return nil
 }
 
-// ListsToken says that a comma-separated header names a token.
+// ListsToken reports whether a comma-separated header field contains a token, in any case.
 func ListsToken(values []string, token string) bool {
 	for _, v := range values {
 		for part := range strings.SplitSeq(v, ",") {
@@ -262,21 +272,21 @@
 	return false
 }
 
-// ExpectsContinue says that a request's body waits for 100 Continue.
+// ExpectsContinue reports whether the client waits for 100 Continue before it sends the body.
 func (h *Head) ExpectsContinue() bool {
 	return h.MinorVersion > 0 && h.BodyLength != 0 && ListsToken(h.Header["Expect"], "100-continue")
 }
 
-// hop are the header names that end at a hop (RFC 9110, 7.6.1), those of old among them.
+// hopByHop are the names of hop-by-hop header fields (RFC 9110, 7.6.1), including obsolete ones.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// RemoveHopByHop removes what is meant for this hop only, with all that Connection names.
+// RemoveHopByHop removes the hop-by-hop header fields, including those that Connection lists.
 func (h *Head) RemoveHopByHop() {
 	for _, v := range h.Header["Connection"] {
 		for part := range strings.SplitSeq(v, ",") {
 			name := textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(part))
-			if name != "Content-Length" && name != "Host" { // what frames and routes stays, whatever is named
+			if name != "Content-Length" && name != "Host" { // framing and routing fields stay even if they are listed
 				delete(h.Header, name)
 			}
 		}
@@ -286,6 +296,7 @@
 	}
 }
 
+// isToken reports whether s is a token (RFC 9110, 5.6.2).
 func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -296,19 +307,18 @@
 	return s != ""
 }
 
-// Body reads the body of the message whose head was read last; it ends with io.EOF, and its trailers are then
-// in the header under the names that http.TrailerPrefix does not need: Trailers.
+// Body reads the body of the message whose head was read last. It ends with io.EOF; Trailers is set by then.
 type Body struct {
 	r         *Reader
 	limits    Limits
-	chunked   io.Reader
-	remaining int64 // ToEnd: until the connection ends
+	chunked   io.Reader // nil for a body of another kind
+	remaining int64     // bytes; UntilClose: until the connection closes
 	err       error
 
-	Trailers textproto.MIMEHeader
+	Trailers textproto.MIMEHeader // the allowed ones, nil for none
 }
 
-// Body gives the body of a message.
+// Body returns the body of the message with head h.
 func (r *Reader) Body(h *Head, l Limits) *Body {
 	b := &Body{r: r, remaining: h.BodyLength, limits: l}
 	if h.BodyLength == Chunked {
@@ -317,9 +327,10 @@
 	return b
 }
 
-// Done says that the body has ended whole.
+// Done reports whether the body has been read to its end.
 func (b *Body) Done() bool { return b.err == io.EOF || b.chunked == nil && b.remaining == 0 }
 
+// Read reads from the body. It returns io.ErrUnexpectedEOF if the connection ends before the body does.
 func (b *Body) Read(p []byte) (n int, err error) {
 	switch {
 	case b.err != nil:
@@ -351,17 +362,19 @@
 	return n, err
 }
 
-// connErr tells the connection's errors from what the chunked reader found wrong.
+// isConnErr reports whether an error of the chunked reader comes from the connection and not from the encoding: only errors
+// of the network have a Timeout method.
 func isConnErr(err error) bool {
 	type timeout interface{ Timeout() bool }
 	var t timeout
 	return errors.As(err, &t) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
+// readTrailers reads the trailer section and sets Trailers.
 func (b *Body) readTrailers() error {
 	b.r.limiter.remaining = b.limits.HeaderBytes
 	defer func() { b.r.limiter.remaining = -1 }()
-	header, err := b.r.text.ReadMIMEHeader()
+	header, err := b.r.textReader.ReadMIMEHeader()
 	if err != nil {
 		if b.r.limiter.err != nil {
 			err = b.r.limiter.err
@@ -375,7 +388,7 @@
 		}
 		return err
 	}
-	for name := range header { // what frames, routes or ends at a hop may not come late (RFC 9110, 6.5.1)
+	for name := range header { // framing, routing and hop-by-hop fields are not allowed in trailers (RFC 9110, 6.5.1)
 		if !isToken(name) || name == "Content-Length" || name == "Host" || slices.Contains(hopByHop, name) {
 			delete(header, name)
 		}
@@ -386,10 +399,10 @@
 	return nil
 }
 
-// AppendHeader appends header lines in order of their names, but for some, without the empty line.
+// AppendHeader appends header lines in the order of their names, except those given, and no empty line.
 func AppendHeader(dst []byte, header textproto.MIMEHeader, except ...string) []byte {
-	var stack [32]string
-	names := slices.AppendSeq(stack[:0], maps.Keys(header))
+	var buf [32]string // avoids an allocation for most headers
+	names := slices.AppendSeq(buf[:0], maps.Keys(header))
 	slices.Sort(names)
 	for _, name := range names {
 		if slices.Contains(except, name) {
@@ -413,7 +426,7 @@
 	return append(append(dst, data...), "\r\n"...)
 }
 
-// AppendLastChunk appends the chunk that ends a body, with its trailers.
+// AppendLastChunk appends the last chunk of a body, with trailers.
 func AppendLastChunk(dst []byte, trailers textproto.MIMEHeader) []byte {
 	return append(AppendHeader(append(dst, "0\r\n"...), trailers), "\r\n"...)
 }
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -22,8 +22,8 @@
 	"\r\n\r\nGET / HTTP/1.1\nHost: x\n\n",
 }
 
-// What this reader takes as one request, net/http's takes as the same one: method, target, and the same bytes of body.
-// It may refuse what net/http takes; it must not read anything otherwise.
+// A request that this reader accepts is read in the same way by net/http: the same method, target and body.
+// It may reject what net/http accepts, but must not read anything differently.
 func FuzzRequest(f *testing.F) {
 	for _, s := range seeds {
 		f.Add([]byte(s))
@@ -35,27 +35,27 @@
 			return
 		}
 		if h.BodyLength < 0 && h.BodyLength != Chunked {
-			t.Fatalf("a request of length %d", h.BodyLength)
+			t.Fatalf("a request with body length %d", h.BodyLength)
 		}
 		body, err := io.ReadAll(r.Body(h, limits))
 		if err != nil {
 			return
 		}
 		stdRequest, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(in)))
-		if err != nil { // refused there: of Host and URL it is stricter
+		if err != nil { // net/http is stricter about Host and URL
 			return
 		}
 		stdBody, err := io.ReadAll(stdRequest.Body)
-		if err != nil { // refused there: a line of the trailer that ends with LF alone
+		if err != nil { // net/http rejects a trailer line that ends with LF alone
 			return
 		}
 		if stdRequest.Method != h.Method || stdRequest.RequestURI != h.Target || !bytes.Equal(body, stdBody) {
-			t.Fatalf("%q: %s %q %q, by net/http %s %q %q", in, h.Method, h.Target, body, stdRequest.Method, stdRequest.RequestURI, stdBody)
+			t.Fatalf("%q: read as %s %q %q, by net/http as %s %q %q", in, h.Method, h.Target, body, stdRequest.Method, stdRequest.RequestURI, stdBody)
 		}
 	})
 }
 
-// A response is read to an end or an error, whatever comes, and what is passed on holds no line break of the sender's.
+// Any response is read to its end or an error, and header values that are passed on contain no line breaks of the sender.
 func FuzzResponse(f *testing.F) {
 	for _, s := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi", "HTTP/1.1 204 No\r\n\r\n",
 		"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n", "HTTP/1.0 200\r\n\r\nto the end",
@@ -79,22 +79,23 @@
 		io.Copy(io.Discard, r.Body(h, limits))
 		h.RemoveHopByHop()
 		if out := AppendHeader(nil, h.Header); bytes.Count(out, []byte("\n")) != bytes.Count(out, []byte("\r\n")) {
-			t.Fatalf("written as %q", out)
+			t.Fatalf("header written as %q", out)
 		}
 	})
 }
 
-// A head that goes on and on is an error before it fills memory.
+// An endless head is an error before it fills the memory.
 func TestHeadBound(t *testing.T) {
 	endless := io.MultiReader(strings.NewReader("GET / HTTP/1.1\r\nHost: x\r\nX: "), repeatReader('a'))
 	if _, err := NewReader(endless, 64).Request(limits); err == nil || err.Error() != ErrTooLarge.Error() {
-		t.Errorf("an endless header: %v", err)
+		t.Errorf("endless header: error %v, want ErrTooLarge", err)
 	}
 	if _, err := NewReader(repeatReader('a'), 64).Request(limits); err == nil || err.Error() != ErrTooLarge.Error() {
-		t.Errorf("an endless line: %v", err)
+		t.Errorf("endless first line: error %v, want ErrTooLarge", err)
 	}
 }
 
+// repeatReader is an endless stream of one byte.
 type repeatReader byte
 
 func (r repeatReader) Read(p []byte) (int, error) {
