--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -12,14 +12,16 @@
 	"arrowcleat/internal/h1"
 )
 
-// How long accepting waits where descriptors have run out, and how often it says so. Nobody tells when one is free again, and what
-// waits in the accept queue has its time running: the longest wait is short beside any time that a client gives.
+// Backoff between accepts while descriptors are exhausted, and how often that is logged. Nothing signals that a descriptor is
+// free again, and the time limits of requests in the accept queue are running: the longest wait is short compared with any
+// client's time limit.
 const (
 	minAcceptRetry    = time.Millisecond
 	maxAcceptRetry    = 20 * time.Millisecond
 	acceptLogInterval = time.Second
 )
 
+// acceptLoop accepts connections on one listener until the server stops or the listener fails.
 func (s *Server) acceptLoop(ln Listener) error {
 	wait := minAcceptRetry
 	var lastLogged time.Time
@@ -31,7 +33,7 @@
 				return nil
 			}
 			var netErr net.Error
-			if errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed) { // out of descriptors: they come back
+			if errors.As(err, &netErr) && !errors.Is(err, net.ErrClosed) { // descriptors are exhausted, which passes
 				if time.Since(lastLogged) > acceptLogInterval {
 					s.Log.Warn("no connection could be accepted", "err", err)
 					lastLogged = time.Now()
@@ -47,20 +49,21 @@
 	}
 }
 
-// deadlined is a listener that can be woken without being closed.
+// deadlineListener is a listener that can be woken without being closed.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// lastAcceptsFor is how long connections that go on coming are taken after the word to stop.
-const maxFinalAccepts = 10 * finalReadTimeout
+// maxFinalAccepts bounds how long a stopping server accepts connections that keep arriving.
+const maxFinalAcceptTime = 10 * finalReadTimeout
 
-// lastAccepts takes what the kernel has accepted already, and closes the listener once nothing has come for a moment: a connection that is in
-// its queue then is reset, with whatever request it carries. An accept that fails says nothing of the queue: it is tried again until the
-// server has to end.
+// acceptPending accepts the connections in the kernel's accept queue, and closes the listener once none has arrived for a
+// moment: closing it resets a connection that is still queued, with whatever request it carries. A failed accept says
+// nothing about the queue, so it is retried until the server is aborted.
 func (s *Server) acceptPending(ln Listener) {
 	defer ln.Close()
 	withDeadline, ok := ln.Listener.(deadlineListener)
-	end := time.Now().Add(maxFinalAccepts)
-	for timeouts := 0; ok && !s.killed.Load() && timeouts < 2 && time.Now().Before(end); { // one that stood still may find its deadline past before it has looked
+	end := time.Now().Add(maxFinalAcceptTime)
+	// Two timeouts in a row are needed: a process that was not scheduled may find its deadline past before it has tried.
+	for timeouts := 0; ok && !s.killed.Load() && timeouts < 2 && time.Now().Before(end); {
 		withDeadline.SetDeadline(time.Now().Add(finalReadTimeout))
 		nc, err := ln.Accept()
 		switch {
@@ -74,16 +77,18 @@
 		default:
 			time.Sleep(minAcceptRetry)
 			if !s.aborted.Load() {
-				timeouts, end = 0, time.Now().Add(maxFinalAccepts)
+				timeouts, end = 0, time.Now().Add(maxFinalAcceptTime)
 			}
 		}
 	}
 }
 
+// accept registers a new connection and starts its goroutines, or rejects it if the limit of connections is reached.
 func (s *Server) accept(nc net.Conn, listener string) {
 	now := time.Now()
-	c := &conn{server: s, nc: nc, lifecycle: newLifecycle(nc, now, s.Clock.Now()), listener: listener, reader: h1.NewReader(nc, readBufferBytes),
-		requests: make(chan *request, 1), bodyRead: make(chan struct{}, 1), commands: make(chan command, 16)}
+	c := &conn{server: s, nc: nc, lifecycle: newLifecycle(nc, now, s.Clock.Now()), listener: listener,
+		reader: h1.NewReader(nc, readBufferBytes), requests: make(chan *request, 1), bodyRead: make(chan struct{}, 1),
+		commands: make(chan command, 16)}
 	c.host, _, _ = splitHost(nc.RemoteAddr().String())
 	if s.Protocol.FirstRequestTimeoutMs > 0 {
 		c.lifecycle.firstDeadline = now.Add(ms(s.Protocol.FirstRequestTimeoutMs))
@@ -120,11 +125,11 @@
 	go c.workLoop()
 }
 
-// turnAway refuses a connection that there is no room for. In a flood it does so on the goroutine that accepts: else
-// hundreds would hold a descriptor each until their own goroutines have had their turn.
+// rejectConnection answers a connection beyond the limit and closes it. In a connection flood it does so on the accepting
+// goroutine: otherwise hundreds of connections would each hold a descriptor until their own goroutines are scheduled.
 func (c *conn) rejectConnection() {
 	s := c.server
-	c.lifecycle.state = statePending // the answer comes before the request, which need not be waited for
+	c.lifecycle.state = statePending // the answer does not wait for the request
 	reject := func(linger bool) {
 		c.writePlain(503, NotAccepted, "too many connections", closeRejected)
 		if linger {
@@ -143,7 +148,7 @@
 	}()
 }
 
-// evict has a connection give way to a new one; s.mu is held. It says whether one does.
+// evict asks an idle connection to close in favour of a new one, and reports whether it found one. s.mu is held.
 func (s *Server) evict() bool {
 	now := s.Clock.Now()
 	var conns []*conn
@@ -156,7 +161,7 @@
 		}
 	}
 	chosen := connlimit.Evict(candidates)
-	for chosen >= 0 && (back.Unread(conns[chosen].nc) || !conns[chosen].lifecycle.evict()) { // its request is here already
+	for chosen >= 0 && (back.Unread(conns[chosen].nc) || !conns[chosen].lifecycle.evict()) { // its request has already arrived
 		candidates[chosen].Busy = true
 		chosen = connlimit.Evict(candidates)
 	}
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -167,7 +167,7 @@
 func (x *exchange) writeRequest(node *back.Conn, outcome *back.Fate) (int64, error) {
 	h := x.head
 	b := append(append(append(append(node.Buf[:0], h.Method...), ' '), h.Target...), " HTTP/1.1\r\n"...)
-	b = h1.AppendHeader(b, h.Header, "Content-Length", "Via", "X-Forwarded-For", x.conn.server.headerNames.timeLimitMs)
+	b = h1.AppendHeader(b, h.Header, "Content-Length", "Via", "X-Forwarded-For", x.conn.server.headerNames.timeLimit)
 	via := x.conn.server.viaField
 	for _, v := range h.Header["Via"] {
 		via = v + ", " + via
@@ -182,7 +182,7 @@
 	if x.acceptsTrailers {
 		b = h1.AppendField(h1.AppendField(b, "Connection", "TE"), "TE", "trailers")
 	}
-	if name := x.conn.server.headerNames.timeLimitMs; name != "" {
+	if name := x.conn.server.headerNames.timeLimit; name != "" {
 		left := max(0, x.deadlineMs-x.conn.server.Clock.Now())
 		if x.conn.server.Faults.InflateTimeLeft {
 			left += 1000
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -1,5 +1,5 @@
-// Package front is a marshal's side towards the clients: it takes invocations from connections, carries out what
-// the module decides on each, and gives each its one final answer.
+// Package front is the client-facing side of a marshal: it accepts invocations from client connections, carries out the
+// module's decisions on each of them and writes exactly one final answer to each.
 package front
 
 import (
@@ -20,42 +20,46 @@
 	"arrowcleat/internal/settings"
 )
 
-// AnswerHeader is the header that says which final answer a client got; NotAccepted is the word for none: the invocation
-// was turned away before the marshal took it.
+// The response header that tells a client which final answer it got, and the values of that header.
 const (
+	// AnswerHeader is the name of the header.
 	AnswerHeader = "Arrowcleat-Answer"
-	Succeeded    = "succeeded"
-	Throttled    = "throttled"
-	Terminated   = "terminated"
-	NotAccepted  = "not-taken"
+	// Succeeded says that the response of a node is passed on.
+	Succeeded = "succeeded"
+	// Throttled says that retrying is harmless.
+	Throttled = "throttled"
+	// Terminated says that the effect of the invocation is unknown.
+	Terminated = "terminated"
+	// NotAccepted says that the marshal rejected the request before it accepted an invocation.
+	NotAccepted = "not-taken"
 )
 
-// Server takes connections from clients.
+// Server serves the connections of clients.
 type Server struct {
 	Settings *settings.Settings
 	Clock    loop.Clock
-	Loops    []*loop.Loop      // one for each core
-	Cores    [][]*marshal.Core // by core, of the pools
+	Loops    []*loop.Loop      // one per core
+	Cores    [][]*marshal.Core // by core, then by pool
 	Pool     *back.Pool
 	Log      *slog.Logger
 	Protocol ProtocolOptions
 
-	openIDs          sync.Map     // of the requests that are open
-	draining         atomic.Bool  // every connection ends with its next answer
-	lingering        atomic.Int64 // connections turned away that still hold a descriptor
+	openIDs          sync.Map     // ids of open requests
+	draining         atomic.Bool  // every connection closes after its next answer
+	lingering        atomic.Int64 // rejected connections that still hold a descriptor
 	updatedSettings  atomic.Pointer[settings.Settings]
 	listeners        []Listener
 	mu               sync.Mutex
 	conns            map[*conn]bool
-	evicting         int            // of them, those that give way and are not yet closed
-	openListeners    int            // listeners that are not closed
-	coreConnections  []atomic.Int64 // connections of each core
-	movedInvocations atomic.Int64   // invocations that another core took
+	evicting         int            // entries of conns that are being evicted and are not closed yet
+	openListeners    int            // listeners that may still accept connections
+	coreConnections  []atomic.Int64 // connections assigned to each core
+	movedInvocations atomic.Int64   // invocations accepted by another core than their connection's
 	wg               sync.WaitGroup
-	openInvocations  atomic.Int64 // invocations between their head and their answer
+	openInvocations  atomic.Int64 // invocations between request head and final answer
 	stopping         atomic.Bool
-	killed           atomic.Bool // nothing is accepted any more, not even what the kernel has
-	aborted          atomic.Bool // nothing more is waited for
+	killed           atomic.Bool // no connection is accepted any more, not even those in the kernel's accept queue
+	aborted          atomic.Bool // nothing is waited for any more
 	viaField         string
 	limits           h1.Limits
 	headerNames      headerNames
@@ -63,35 +67,36 @@
 	Faults           InjectedFaults
 }
 
-// InjectedFaults are planted, so that an audit can be seen to find them; none is set on a marshal that serves.
+// InjectedFaults are faults that tests inject to check that an audit finds them; a marshal in service has none set.
 type InjectedFaults struct {
-	AnswerTwice       bool // answers are written twice
-	DuplicateRequests bool // a request goes out on a second connection too
-	IgnoreDraining    bool // the word that a node drains does not stop what is about to be written to it
-	// NoAnswerDeadline leaves what the loop has lost without an answer.
+	AnswerTwice       bool // every answer is written twice
+	DuplicateRequests bool // every request is also sent on a second connection
+	IgnoreDraining    bool // a dispatch is written although its node is draining
+	// NoAnswerDeadline leaves an invocation that the loop has lost without an answer.
 	NoAnswerDeadline bool
-	InflateTimeLeft  bool // nodes are told of a second more than there is
-	IgnoreClientGone bool // nobody looks whether a client has left
-	// DiscardUnread reads and throws away what comes on a connection that closes.
+	InflateTimeLeft  bool // nodes are sent a time limit that is a second too high
+	IgnoreClientGone bool // clients that have disconnected go unnoticed
+	// DiscardUnread reads and discards what arrives on a connection that is closing.
 	DiscardUnread bool
 }
 
-// Counters is what never reaches the module. Once nothing is open, Read is Answered and Left together.
+// Counters counts events that the module does not see. Once nothing is open, RequestsRead equals Answered plus ClientsGone.
 type Counters struct {
+	// Connections that arrived, connections and requests that were rejected, and requests that could not be read.
 	Connections, Rejected, Malformed atomic.Int64
 
-	RequestsRead         atomic.Int64 // requests read, also those that could not be used
-	Answered             atomic.Int64 // of them, those whose final answer was begun
-	ClientsGone          atomic.Int64 // and those whose client had gone before it
-	SuppressedDispatches atomic.Int64 // dispatches decided on that the last look before writing held back
-	Closed               [closeReasonCount]atomic.Int64
+	RequestsRead         atomic.Int64                   // requests read, including malformed ones
+	Answered             atomic.Int64                   // requests whose final answer was begun
+	ClientsGone          atomic.Int64                   // requests whose client had disconnected before the answer
+	SuppressedDispatches atomic.Int64                   // dispatches suppressed by the final check before writing
+	Closed               [closeReasonCount]atomic.Int64 // connections closed, by reason
 
-	// Violations of what must hold: each is also logged.
-	Unanswered    atomic.Int64 // requests read whose connection was closed without an answer, or would have been
-	SecondAnswers atomic.Int64 // answers held back where none was owed
+	// Violations of invariants; each is also logged as an error.
+	Unanswered    atomic.Int64 // requests whose connection was closed without an answer, or would have been
+	SecondAnswers atomic.Int64 // answers suppressed because none was pending
 }
 
-// LogValue is the counts as one group of a log line.
+// LogValue returns the counters as one group of a log line.
 func (c *Counters) LogValue() slog.Value {
 	return slog.GroupValue(slog.Int64("connections", c.Connections.Load()), slog.Int64("turned_away", c.Rejected.Load()),
 		slog.Int64("malformed", c.Malformed.Load()), slog.Int64("read", c.RequestsRead.Load()), slog.Int64("answered", c.Answered.Load()),
@@ -99,30 +104,30 @@
 		slog.Int64("second_answers", c.SecondAnswers.Load()), slog.String("closed", fmt.Sprint(c.ClosedByReason())))
 }
 
-// ClosedByReason gives how many connections were closed for each reason.
+// ClosedByReason returns the number of connections closed for each reason.
 func (c *Counters) ClosedByReason() map[string]int64 {
-	all := map[string]int64{}
+	byReason := map[string]int64{}
 	for reason := range closeReasonCount {
 		if n := c.Closed[reason].Load(); n > 0 {
-			all[reason.String()] = n
+			byReason[reason.String()] = n
 		}
 	}
-	return all
+	return byReason
 }
 
-// names are the headers that settings name, in canonical form.
-type headerNames struct{ tenant, key, idempotencyKey, timeLimitMs, costMs, retry, rejected string }
+// headerNames are the request and response headers named in the settings, in canonical form.
+type headerNames struct{ tenant, key, idempotencyKey, timeLimit, cost, retry, rejected string }
 
-// Listener is an address that clients call, and the name by which operations are kept to it.
+// Listener is an address that clients connect to, with the name by which operations are restricted to it.
 type Listener struct {
 	net.Listener
 	Name string
 }
 
-// Serve takes connections from all listeners until Stop.
+// Serve accepts connections on all listeners until Stop is called.
 func (s *Server) Serve(listeners []Listener) error {
 	s.initServing(listeners)
-	if s.stopping.Load() { // it was told so before there was a listener
+	if s.stopping.Load() { // Stop was called before there was a listener
 		s.wakeWaiters()
 	}
 	results := make(chan error, len(listeners))
@@ -143,33 +148,35 @@
 	return errors.Join(errs...)
 }
 
+// initServing sets up what connections need before the first one is accepted.
 func (s *Server) initServing(listeners []Listener) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.listeners, s.conns, s.coreConnections = listeners, map[*conn]bool{}, make([]atomic.Int64, len(s.Loops))
 	s.openListeners = len(listeners)
-	s.wg.Add(len(listeners)) // whoever waits for the connections waits for those that listeners may still bring
+	s.wg.Add(len(listeners)) // waiting for the connections includes those that listeners may still accept
 	s.viaField = "1.1 marshal-" + strconv.Itoa(int(s.CurrentSettings().Instance.Number))
 	s.limits = h1.Limits{LineBytes: int(s.CurrentSettings().Limits.LineBytes), HeaderBytes: int(s.CurrentSettings().Limits.HeaderBytes)}
 	headers, canonical := s.CurrentSettings().Headers, textproto.CanonicalMIMEHeaderKey
-	s.headerNames = headerNames{canonical(headers.Tenant), canonical(headers.Key), canonical(headers.Mark), canonical(headers.TimeMs), canonical(headers.CostMs), canonical(headers.Retry),
-		canonical(headers.TurnedAway)}
+	s.headerNames = headerNames{canonical(headers.Tenant), canonical(headers.Key), canonical(headers.Mark),
+		canonical(headers.TimeMs), canonical(headers.CostMs), canonical(headers.Retry), canonical(headers.TurnedAway)}
 }
 
-// CurrentSettings is the settings as they are now; Change takes others, for what begins from then on.
+// CurrentSettings returns the settings that apply now.
 func (s *Server) CurrentSettings() *settings.Settings {
-	if now := s.updatedSettings.Load(); now != nil {
-		return now
+	if updated := s.updatedSettings.Load(); updated != nil {
+		return updated
 	}
 	return s.Settings
 }
 
+// UpdateSettings replaces the settings for whatever begins from now on.
 func (s *Server) UpdateSettings(set *settings.Settings) { s.updatedSettings.Store(set) }
 
-// Drain lets every connection end with its next answer; all that comes is still served, until Stop.
+// Drain makes every connection close after its next answer. New connections and requests are still served until Stop.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Stop takes nothing new: no connection, and no invocation on those there are.
+// Stop makes the server accept no new connections, and no new invocations on existing ones.
 func (s *Server) Stop() {
 	if s.stopping.Swap(true) {
 		return
@@ -177,7 +184,7 @@
 	s.wakeWaiters()
 }
 
-// wake wakes the listeners, and the readers that wait for a request.
+// wakeWaiters wakes the listeners and the readers that wait for a request.
 func (s *Server) wakeWaiters() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -191,14 +198,15 @@
 	}
 }
 
-// Connections is the number of clients' connections that are not closed, and of listeners that may still bring some.
+// Connections returns the number of client connections that are not closed plus the number of listeners that may still
+// accept some.
 func (s *Server) Connections() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns) + s.openListeners
 }
 
-// Close waits for the connections to end, and after a time ends them.
+// Close waits for the connections to close, and closes those that are left after the timeout.
 func (s *Server) Close(timeout time.Duration) {
 	s.Stop()
 	done := make(chan struct{})
@@ -218,7 +226,7 @@
 	<-done
 }
 
-// Abort gives every invocation that waits its answer, terminated, and every request that is half read its error.
+// Abort answers every pending invocation with Terminated and every partly read request with its error.
 func (s *Server) Abort() {
 	s.Stop()
 	s.aborted.Store(true)
@@ -230,7 +238,7 @@
 	}
 }
 
-// Kill closes every socket at once, as the end of the process would.
+// Kill closes every socket at once, as if the process had ended.
 func (s *Server) Kill() {
 	s.killed.Store(true)
 	s.Stop()
@@ -245,7 +253,7 @@
 	}
 }
 
-// remove forgets a connection that is closed.
+// remove unregisters a closed connection.
 func (s *Server) remove(c *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -256,25 +264,27 @@
 	s.coreConnections[c.homeCore].Add(-1)
 }
 
-// OpenInvocations is the number of invocations between their head and their answer.
+// OpenInvocations returns the number of invocations between request head and final answer.
 func (s *Server) OpenInvocations() int { return int(s.openInvocations.Load()) }
 
 const (
 	readBufferBytes = 4096
-	// For a client to read why its request was rejected: how long and how much more of it is read.
+	// lingerTimeout and lingerBytes bound what is read of a rejected request after its answer, so that the client can read
+	// why it was rejected.
 	lingerTimeout = 300 * time.Millisecond
 	lingerBytes   = 1 << 18
-	// mostParting are the connections turned away that may linger, and those that give way at once: in a flood they
+	// maxLingering bounds the rejected connections that linger, and the concurrent evictions: in a connection flood they
 	// would use up the descriptors.
 	maxLingering = 8
 )
 
+// ms converts milliseconds to a duration.
 func ms(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
+// queued returns the number of arrivals that wait at a core.
 func (s *Server) queued(core int) int { return s.Loops[core].Waiting() }
 
-// CoreConnections is the number of connections of each core, Moved that of the invocations that went to another one than their
-// connection's because so much more waited there.
+// CoreConnections returns the number of connections assigned to a core.
 func (s *Server) CoreConnections(core int) int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -284,4 +294,6 @@
 	return s.coreConnections[core].Load()
 }
 
+// MovedInvocations returns the number of invocations accepted by another core than their connection's because so many
+// more waited at that one.
 func (s *Server) MovedInvocations() int64 { return s.movedInvocations.Load() }
--- a/internal/front/terms.go
+++ b/internal/front/terms.go
@@ -54,11 +54,11 @@
 	if o.Repeat == settings.Repeat_FINGERPRINTED && h.Header.Get(s.headerNames.idempotencyKey) == "" {
 		return params, NewRejection(400, o.Name+" needs a mark against repeats in "+s.headerNames.idempotencyKey)
 	}
-	limit, err := parseMs(h.Header, s.headerNames.timeLimitMs, o.LimitMs)
+	limit, err := parseMs(h.Header, s.headerNames.timeLimit, o.LimitMs)
 	if err != nil {
 		return params, NewRejection(400, err.Error())
 	}
-	cost, err := parseMs(h.Header, s.headerNames.costMs, 0)
+	cost, err := parseMs(h.Header, s.headerNames.cost, 0)
 	if err != nil {
 		return params, NewRejection(400, err.Error())
 	}
