--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -30,7 +30,7 @@
 	}
 	body := node.R.Body(h, s.limits)
 	held, err := x.readUpTo(c.responseBuf[:0], body, int(s.CurrentSettings().Limits.HeldAnswerBytes), nil)
-	if cap(held) <= 1<<16 {
+	if cap(held) <= maxReusedBufferBytes {
 		c.responseBuf = held
 	}
 	complete := err == io.EOF || err == nil && body.Done()
@@ -169,7 +169,7 @@
 	}
 	c.writeBuf = x.appendAnswerHead(c.writeBuf[:0], h, body, length, reason)
 	var err error
-	buf, chunk := make([]byte, 32<<10), held
+	buf, chunk := make([]byte, streamBufferBytes), held
 	for {
 		if len(chunk) > 0 && chunked {
 			c.writeBuf = h1.AppendChunk(c.writeBuf, chunk)
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -14,37 +14,40 @@
 	"arrowcleat/internal/h1"
 )
 
-// conn is one client's connection. One goroutine reads heads, and finds out when the client goes; the other one works on one request
-// after the other. The reader stands still while the worker reads a body, and reads no request before the one before has its answer.
+// conn is the connection of one client. Its reader goroutine reads request heads and notices when the client disconnects; its
+// worker goroutine processes one request after the other. The reader pauses while the worker reads a body, and reads no
+// request before the previous one has its answer.
 type conn struct {
 	server        *Server
 	nc            net.Conn
 	lifecycle     *lifecycle
-	listener      string // that it came to
-	host          string // the client's
-	answerTimer   *time.Timer
-	homeCore      int // the core that takes what nothing binds to another
+	listener      string      // name of the listener that accepted it
+	host          string      // the client's address without the port
+	answerTimer   *time.Timer // fires when run has to answer or to offer the invocation elsewhere; reused
+	homeCore      int         // the core of the invocations that no key binds to another one
 	reader        *h1.Reader
-	requests      chan *request
-	bodyRead      chan struct{}
-	commands      chan command
-	clientGone    atomic.Bool
-	omitBody      bool   // the request being worked on is a HEAD
-	openID        string // of the request that is open, until its answer begins
-	lastRequestID string // of the request that was read last, for the log
-	evicted       bool   // it gives way to another; s.mu
-	exchange      atomic.Pointer[exchange]
-	writeBuf      []byte // room for what is written to the client
-	responseBuf   []byte // and for an answer that is held
-	requestBuf    []byte // and for a request's body
+	requests      chan *request            // from the reader to the worker
+	bodyRead      chan struct{}            // the worker has read the request's body
+	commands      chan command             // from the loop to the worker
+	clientGone    atomic.Bool              // the client has disconnected
+	omitBody      bool                     // the current request is a HEAD
+	openID        string                   // id of the open request, until its answer begins
+	lastRequestID string                   // id of the request read last, for the log
+	evicted       bool                     // it closes in favour of a new connection; guarded by s.mu
+	exchange      atomic.Pointer[exchange] // the invocation in progress, nil for none
+	writeBuf      []byte                   // buffer for what is written to the client
+	responseBuf   []byte                   // buffer for a response that is held until it is complete
+	requestBuf    []byte                   // buffer for a request's body
 }
 
+// request is what the reader hands to the worker: a head, or the error that took its place.
 type request struct {
 	head    *h1.Head
 	startMs float64 // when its first byte was read
-	err     error   // in place of a head
+	err     error   // why there is no head
 }
 
+// readLoop is the reader goroutine: it passes requests to the worker until the connection closes.
 func (c *conn) readLoop() {
 	defer c.server.wg.Done()
 	defer close(c.requests)
@@ -76,8 +79,8 @@
 	}
 }
 
-// awaitRequest waits until the first byte of a request has been read and the request before has its answer. It gives the clock's time at
-// which that byte was read: the client's time runs from then. False says that the connection ends.
+// awaitRequest waits until the first byte of a request has been read and the previous request has its answer. It returns the
+// clock's time at which that byte was read, from which the client's time limit runs. False means that the connection closes.
 func (c *conn) awaitRequest() (startMs float64, ok bool) {
 	for c.lifecycle.awaitRead(time.Now(), ms(c.server.CurrentSettings().Times.IdleMs)) {
 		_, err := c.reader.Peek(1)
@@ -93,7 +96,8 @@
 	return 0, false
 }
 
-// readBy bounds the next read, for a first request by what is left until it must be whole. A server that ends waits for nothing more.
+// setReadDeadline bounds the next read, for a first request also by the deadline for its arrival. An aborted server does not
+// wait at all.
 func (c *conn) setReadDeadline(timeoutMs float64) {
 	deadline := time.Now().Add(ms(timeoutMs))
 	if firstDeadline := c.lifecycle.firstRequestDeadline(); !firstDeadline.IsZero() && firstDeadline.Before(deadline) {
@@ -105,7 +109,7 @@
 	}
 }
 
-// leave says that the client has gone.
+// noteClientGone records that the client has disconnected, and reports it to the module.
 func (c *conn) noteClientGone() {
 	c.clientGone.Store(true)
 	if x := c.exchange.Load(); x != nil && !c.server.Faults.IgnoreClientGone {
@@ -113,6 +117,7 @@
 	}
 }
 
+// workLoop is the worker goroutine: it processes requests until the connection closes.
 func (c *conn) workLoop() {
 	defer c.server.wg.Done()
 	for req := range c.requests {
@@ -123,20 +128,20 @@
 	c.finish()
 }
 
-// process works on one request, and says for what the connection ends with it. A request that is owed an answer gets one here if nothing
-// else has given it any.
+// process handles one request, and returns the reason for which the connection closes after it. It answers a request that
+// nothing else has answered.
 func (c *conn) process(req *request) (reason closeReason) {
 	c.server.Counters.RequestsRead.Add(1)
 	c.lastRequestID = ""
 	keepAlive := c.serveRecovering(req)
 	if c.lifecycle.answerPending() && !c.clientGone.Load() {
 		c.server.Counters.Unanswered.Add(1)
-		c.server.Log.Error("a request was given up without an answer", "request", c.lastRequestID, "state", statePending.String())
+		c.server.Log.Error("a request was abandoned without an answer", "request", c.lastRequestID, "state", statePending.String())
 		c.writePlain(502, Terminated, "terminated: what it did is not known", closeRejected)
 		keepAlive = false
 	}
 	switch {
-	case c.lifecycle.answerPending(): // the client has gone, or has only ended its sending: then this reaches it
+	case c.lifecycle.answerPending(): // the client is gone, or has only closed its sending side: then this answer reaches it
 		c.server.Counters.ClientsGone.Add(1)
 		c.writePlain(502, Terminated, "given up: the connection was closed", closeClientGone)
 		reason = closeClientGone
@@ -152,8 +157,9 @@
 	return reason
 }
 
-// beginAnswer is called before the first byte of a final answer. must is for what the connection has to end with it. The result is for what
-// it does, which the answer's head has to say; ok is false where no answer is owed, and nothing may be written.
+// beginAnswer is called before the first byte of a final answer. required is the reason for which the connection has to close
+// after it, keepOpen for none. The result is the reason for which it does close, which the answer's head has to announce.
+// ok is false if no answer is pending: then nothing may be written.
 func (c *conn) beginAnswer(required closeReason) (reason closeReason, ok bool) {
 	optional, unread := keepOpen, false
 	if s := c.server; s.draining.Load() || s.stopping.Load() {
@@ -162,12 +168,13 @@
 	reason, previous := c.lifecycle.beginAnswer(required, optional, unread)
 	if previous == stateAnswering {
 		c.server.Counters.SecondAnswers.Add(1)
-		c.server.Log.Error("a second answer was held back", "request", c.lastRequestID)
+		c.server.Log.Error("a second answer was suppressed", "request", c.lastRequestID)
 	}
 	return reason, previous == statePending
 }
 
-// serveSafely is serve; a panic costs the connection, not the process and all that it owes to others.
+// serveRecovering calls serve and recovers from a panic, which then costs this connection only and not the process with
+// its other pending answers.
 func (c *conn) serveRecovering(req *request) (keepAlive bool) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -178,21 +185,22 @@
 	return c.serve(req)
 }
 
-// finish closes the connection once its lifecycle allows it. The reader, if it still waits, ends with it.
+// finish closes the connection after its last request, which also ends a reader that still waits.
 func (c *conn) finish() {
 	if c.lifecycle.closeReason() == closeRejected || c.server.Faults.DiscardUnread {
 		c.linger()
 	}
 	c.closeSocket(closeClientGone)
 	close(c.bodyRead)
-	for range c.requests { // the reader hands on nothing more, and closes this as it ends
+	for range c.requests { // the reader should send nothing more, and closes the channel when it ends
 		c.server.Counters.Unanswered.Add(1)
-		c.server.Log.Error("a request was read and is not answered", "request", c.lastRequestID)
+		c.server.Log.Error("a request was read but not answered", "request", c.lastRequestID)
 	}
 	c.server.remove(c)
 }
 
-// end closes the socket without reading from it: what has come unread stays so, and the kernel tells the client.
+// closeSocket closes the socket without reading from it: if unread data has arrived, the kernel resets the connection, so that
+// the client can tell.
 func (c *conn) closeSocket(reason closeReason) {
 	previous, finalReason := c.lifecycle.close(reason)
 	if previous == stateClosed {
@@ -202,14 +210,15 @@
 	c.server.Counters.Closed[finalReason].Add(1)
 	if reason == closeForced && (previous == statePending || previous == stateAnswering) && !c.clientGone.Load() {
 		c.server.Counters.Unanswered.Add(1)
-		c.server.Log.Error("a request was open when its connection was closed", "request", c.openRequestID(), "state", previous.String(), "reason", finalReason.String(), "client", c.nc.RemoteAddr().String())
+		c.server.Log.Error("a request was open when its connection was closed", "request", c.openRequestID(),
+			"state", previous.String(), "reason", finalReason.String(), "client", c.nc.RemoteAddr().String())
 	}
 	if c.server.Log.Enabled(context.Background(), slog.LevelDebug) {
 		c.server.Log.Debug("connection closed", "client", c.nc.RemoteAddr().String(), "state", previous.String(), "reason", finalReason.String())
 	}
 }
 
-// openID is the id of the request that is worked on, empty where it has none.
+// openRequestID returns the id of the request in progress, empty if it has none.
 func (c *conn) openRequestID() string {
 	if x := c.exchange.Load(); x != nil {
 		return x.requestID
@@ -217,8 +226,8 @@
 	return ""
 }
 
-// discardRest lets the client read why its request was rejected before the connection is gone: it may still be sending the rest of that
-// request, and closing with something unread would reset it.
+// linger lets the client read why its request was rejected before the connection closes: the client may still be sending the
+// rest of that request, and closing with unread data would reset the connection.
 func (c *conn) linger() {
 	if t, ok := c.nc.(halfCloser); ok && !c.clientGone.Load() {
 		t.CloseWrite()
@@ -227,20 +236,21 @@
 	}
 }
 
+// halfCloser is a connection whose sending side can be closed alone.
 type halfCloser interface{ CloseWrite() error }
 
-// interrupt ends what the worker waits for at a node.
+// terminateExchange terminates the invocation in progress, so that the worker stops waiting for a node.
 func (c *conn) terminateExchange() {
 	if x := c.exchange.Load(); x != nil {
 		x.Abrupt()
 	}
 }
 
-// write sends what is in out.
+// write sends the contents of writeBuf to the client.
 func (c *conn) write() error {
 	c.nc.SetWriteDeadline(time.Now().Add(ms(c.server.CurrentSettings().Times.WriteMs)))
 	_, err := c.nc.Write(c.writeBuf)
-	if cap(c.writeBuf) > 1<<16 {
+	if cap(c.writeBuf) > maxReusedBufferBytes {
 		c.writeBuf = nil
 	}
 	return err
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -208,7 +208,7 @@
 			b = h1.AppendLastChunk(b, x.body.Trailers)
 		}
 	}
-	if cap(b) <= 1<<16 {
+	if cap(b) <= maxReusedBufferBytes {
 		node.Buf = b
 	}
 	if x.conn.server.Faults.DuplicateRequests {
@@ -229,7 +229,7 @@
 // stream passes on what of a body is too long to be kept; from here on the invocation can't be sent again.
 func (x *exchange) streamBody(node *back.Conn, wrote int64) (int64, error) {
 	x.streamed = true
-	buf, chunked := make([]byte, 32<<10), x.head.BodyLength == h1.Chunked
+	buf, chunked := make([]byte, streamBufferBytes), x.head.BodyLength == h1.Chunked
 	var b []byte
 	for {
 		wait := min(x.conn.server.CurrentSettings().Times.BodyMs, x.answerByMs-x.conn.server.Clock.Now())
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -258,7 +258,7 @@
 	maxBytes := int(c.server.CurrentSettings().Limits.RepeatBodyBytes)
 	retained, err := x.readUpTo(c.requestBuf[:0], x.body, maxBytes, func() { c.setReadDeadline(c.server.CurrentSettings().Times.BodyMs) })
 	x.retained = retained
-	if cap(retained) <= 1<<16 {
+	if cap(retained) <= maxReusedBufferBytes {
 		c.requestBuf = retained
 	}
 	switch {
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -276,6 +276,9 @@
 	// maxLingering bounds the rejected connections that linger, and the concurrent evictions: in a connection flood they
 	// would use up the descriptors.
 	maxLingering = 8
+
+	maxReusedBufferBytes = 1 << 16 // larger buffers are not kept for the next request
+	streamBufferBytes    = 32 << 10
 )
 
 // ms converts milliseconds to a duration.
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -15,12 +15,14 @@
 	"arrowcleat/internal/settings"
 )
 
+// reasonPhrases are the reason phrases of the status codes that the marshal itself answers with.
 var reasonPhrases = map[int]string{200: "OK", 400: "Bad Request", 404: "Not Found", 405: "Method Not Allowed",
 	408: "Request Timeout", 409: "Conflict", 413: "Content Too Large",
 	417: "Expectation Failed", 429: "Too Many Requests", 431: "Request Header Fields Too Large", 501: "Not Implemented",
 	502: "Bad Gateway", 503: "Service Unavailable", 504: "Gateway Timeout", 505: "HTTP Version Not Supported"}
 
-// plain writes an answer of the marshal's own. must is for what the connection has to end with it; false says that it ends.
+// writePlain writes an answer of the marshal itself. required is the reason for which the connection has to close after it,
+// keepOpen for none; false means that it closes. fields are names and values of additional header fields.
 func (c *conn) writePlain(status int, final, text string, required closeReason, fields ...string) (keepAlive bool) {
 	reason, pending := c.beginAnswer(required)
 	if !pending {
@@ -45,7 +47,7 @@
 	return c.write() == nil && reason == keepOpen
 }
 
-// refuse turns a request away before it is taken.
+// reject answers a request that the marshal does not accept.
 func (c *conn) reject(status int, text string, required closeReason, fields ...string) (keepAlive bool) {
 	c.server.Counters.Rejected.Add(1)
 	if c.server.Log.Enabled(context.Background(), slog.LevelDebug) {
@@ -54,6 +56,7 @@
 	return c.writePlain(status, NotAccepted, text, required, fields...)
 }
 
+// rejectUnreadable answers a request that could not be read.
 func (c *conn) rejectUnreadable(err error) bool {
 	c.server.Counters.Malformed.Add(1)
 	switch {
@@ -68,11 +71,11 @@
 	case back.Timeout(err):
 		return c.reject(408, "the request took too long to arrive", closeRejected)
 	}
-	c.clientGone.Store(true) // the connection broke
+	c.clientGone.Store(true) // the connection failed
 	return false
 }
 
-// serve works on one request; false ends the connection.
+// serve handles one request; false closes the connection.
 func (c *conn) serve(req *request) (keepAlive bool) {
 	if req.err != nil {
 		return c.rejectUnreadable(req.err)
@@ -84,12 +87,12 @@
 	if s.Protocol.HealthPath != "" && h.Target == s.Protocol.HealthPath && h.Method == "GET" && h.BodyLength == 0 {
 		return c.writePlain(200, NotAccepted, "serving", x.requiredClose())
 	}
-	// What the head asks for: operation, tenant, key, mark, time. Nothing has been taken yet.
+	// Read operation, tenant, key, idempotency key and time limit from the head. Nothing has been accepted yet.
 	splitAbsoluteTarget(h)
 	params, err := c.readParams(h)
 	c.lastRequestID, x.requestID = params.RequestID, params.RequestID
 	required := x.requiredClose()
-	if h.BodyLength != 0 { // the body that is not read is in the way of the next request
+	if h.BodyLength != 0 { // an unread body stands before the next request
 		required = closeRejected
 	}
 	var rejected rejection
@@ -160,11 +163,12 @@
 	return x.run()
 }
 
-// behind turns away what no core has taken.
+// rejectOverloaded rejects an invocation that no core has accepted because too many wait.
 func (s *Server) rejectOverloaded(x *exchange) bool {
 	return x.conn.reject(503, "this marshal is behind", x.requiredClose(), "Retry-After", "1")
 }
 
+// parseMs reads a header field as a time in milliseconds, or returns fallback if the field or its name is empty.
 func parseMs(h textproto.MIMEHeader, name string, fallback float64) (float64, error) {
 	if name == "" {
 		return fallback, nil
@@ -180,7 +184,7 @@
 	return v, nil
 }
 
-// status of a termination: the nodes' fault, or time that ran out.
+// terminationStatus returns the status code of a termination: 504 after a timeout, else 502.
 func (x *exchange) terminationStatus() int {
 	if x.lastOutcome == balance.TimedOut {
 		return 504
--- a/internal/front/terms.go
+++ b/internal/front/terms.go
@@ -9,26 +9,32 @@
 	"arrowcleat/internal/settings"
 )
 
-// ProtocolOptions are what a protocol asks of the clients' side beyond its settings; the zero value is the project's own.
+// ProtocolOptions adapt the client side to a protocol, beyond the settings. The zero value is the project's own protocol.
 type ProtocolOptions struct {
-	ParseRequest          func(h *h1.Head) (RequestParams, error) // nil: by the names that settings give
-	HealthPath            string                                  // a path at which the marshal says that it serves
-	MaxBodyBytes          int64                                   // bytes of a body, of a request or an answer; longer ones are errors. 0: they are streamed
-	FirstRequestTimeoutMs float64                                 // from a connection's opening to its first whole request; 0: as for any other
-	RetryAfter            func(ms float64) (field, value string)  // when a throttled client may come back
-	DropInterimResponses  bool                                    // what nodes send ahead of an answer is not passed on
+	// ParseRequest reads the parameters of a request from its head; nil: from the headers named in the settings.
+	ParseRequest func(h *h1.Head) (RequestParams, error)
+	// HealthPath is the path of the marshal's health check; empty: none.
+	HealthPath string
+	// MaxBodyBytes bounds the body of a request or response; a longer one is an error. 0: no limit, long bodies are streamed.
+	MaxBodyBytes int64
+	// FirstRequestTimeoutMs runs from the opening of a connection to its first complete request; 0: as for any other request.
+	FirstRequestTimeoutMs float64
+	// RetryAfter returns the header field that says when a throttled client may retry; nil: the project's own fields.
+	RetryAfter func(ms float64) (field, value string)
+	// DropInterimResponses drops the interim responses (1xx) of nodes instead of passing them on.
+	DropInterimResponses bool
 }
 
-// RequestParams is what a request asks for.
+// RequestParams are the parameters that a request's head carries.
 type RequestParams struct {
-	Operation, Tenant int
-	Key               string
-	RequestID         string  // no two of one id are open at once; empty: it has none
-	LimitMs, CostMs   float64 // ms
-	IsRetry, IsWrite  bool
+	Operation, Tenant int     // indices in the settings
+	Key               string  // empty: it has none
+	RequestID         string  // at most one request with an id is open at a time; empty: it has none
+	LimitMs, CostMs   float64 // time limit; the client's estimate of the cost, 0 for none
+	IsRetry, IsWrite  bool    // the client marked it as a retry; its operation writes
 }
 
-// refusal is why a request is turned away before it is taken.
+// rejection is the error of a request that is rejected before it is accepted.
 type rejection struct {
 	status int
 	text   string
@@ -36,37 +42,38 @@
 
 func (r rejection) Error() string { return r.text }
 
-// NewRejection is an error that turns a request away with a status.
+// NewRejection returns an error that rejects a request with an HTTP status and a text.
 func NewRejection(status int, text string) error { return rejection{status, text} }
 
-// asked finds operation, tenant, key, mark and time in a head as the project's own protocol has them.
+// readParams reads a request's parameters from its head, by default under the header names in the settings.
 func (c *conn) readParams(h *h1.Head) (params RequestParams, err error) {
 	s := c.server
 	if s.Protocol.ParseRequest != nil {
 		return s.Protocol.ParseRequest(h)
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
-	op := s.CurrentSettings().Find(c.listener, h.Method, path)
-	if op < 0 || h.Method == "CONNECT" {
+	index := s.CurrentSettings().Find(c.listener, h.Method, path)
+	if index < 0 || h.Method == "CONNECT" {
 		return params, NewRejection(404, "no operation matches "+h.Method+" "+path)
 	}
-	o := s.CurrentSettings().Operation[op]
-	if o.Repeat == settings.Repeat_FINGERPRINTED && h.Header.Get(s.headerNames.idempotencyKey) == "" {
-		return params, NewRejection(400, o.Name+" needs a mark against repeats in "+s.headerNames.idempotencyKey)
+	operation := s.CurrentSettings().Operation[index]
+	if operation.Repeat == settings.Repeat_FINGERPRINTED && h.Header.Get(s.headerNames.idempotencyKey) == "" {
+		return params, NewRejection(400, operation.Name+" needs a mark against repeats in "+s.headerNames.idempotencyKey)
 	}
-	limit, err := parseMs(h.Header, s.headerNames.timeLimit, o.LimitMs)
+	limitMs, err := parseMs(h.Header, s.headerNames.timeLimit, operation.LimitMs)
 	if err != nil {
 		return params, NewRejection(400, err.Error())
 	}
-	cost, err := parseMs(h.Header, s.headerNames.cost, 0)
+	costMs, err := parseMs(h.Header, s.headerNames.cost, 0)
 	if err != nil {
 		return params, NewRejection(400, err.Error())
 	}
-	return RequestParams{Operation: op, Tenant: s.CurrentSettings().TenantIndex(h.Header.Get(s.headerNames.tenant)), Key: h.Header.Get(s.headerNames.key),
-		LimitMs: min(limit, o.LimitMs), CostMs: cost, IsRetry: s.headerNames.retry != "" && h.Header.Get(s.headerNames.retry) != "", IsWrite: o.Write}, nil
+	return RequestParams{Operation: index, Tenant: s.CurrentSettings().TenantIndex(h.Header.Get(s.headerNames.tenant)),
+		Key: h.Header.Get(s.headerNames.key), LimitMs: min(limitMs, operation.LimitMs), CostMs: costMs,
+		IsRetry: s.headerNames.retry != "" && h.Header.Get(s.headerNames.retry) != "", IsWrite: operation.Write}, nil
 }
 
-// absolute takes the authority of a target in absolute form for the host.
+// splitAbsoluteTarget replaces a target in absolute form by its path, and the Host header by its authority.
 func splitAbsoluteTarget(h *h1.Head) {
 	path, _, _ := strings.Cut(h.Target, "?")
 	i := strings.Index(path, "://")
@@ -81,7 +88,7 @@
 	}
 }
 
-// claim opens an id; false says that it is open.
+// claimID marks a request id as open; false means that it is open already.
 func (s *Server) claimID(id string) bool {
 	if id == "" {
 		return true
@@ -90,8 +97,8 @@
 	return !open
 }
 
-// release lets the id of the open request go, before the client can have the last byte of its answer: it may come back
-// with the same one at once.
+// releaseID frees the id of the open request. It is called before the client can have the last byte of the answer, since the
+// client may use the same id again at once.
 func (c *conn) releaseID() {
 	if c.openID != "" {
 		c.server.openIDs.Delete(c.openID)
@@ -99,16 +106,16 @@
 	}
 }
 
-// tooLong says that a body is known to be longer than the terms allow.
+// tooLong reports whether a body is known to be longer than the protocol allows.
 func (s *Server) tooLong(length int64) bool {
 	return s.Protocol.MaxBodyBytes > 0 && length > s.Protocol.MaxBodyBytes
 }
 
-// retryAfter are the fields that say when to come back.
-func (s *Server) retryAfterFields(ms float64) []string {
+// retryAfterFields returns names and values of the header fields that say when to retry.
+func (s *Server) retryAfterFields(afterMs float64) []string {
 	if s.Protocol.RetryAfter != nil {
-		field, value := s.Protocol.RetryAfter(ms)
+		field, value := s.Protocol.RetryAfter(afterMs)
 		return []string{field, value}
 	}
-	return []string{"Retry-After", strconv.Itoa(max(1, int(ms/1000+0.999))), "Retry-After-Ms", fmt.Sprintf("%.0f", ms)}
+	return []string{"Retry-After", strconv.Itoa(max(1, int(afterMs/1000+0.999))), "Retry-After-Ms", fmt.Sprintf("%.0f", afterMs)}
 }
