--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -15,62 +15,63 @@
 	"arrowcleat/internal/marshal"
 )
 
-// exchange is one invocation from its head to its answer. The loop calls the methods of marshal.Exchange; the
-// connection's worker runs all else.
+// exchange is one invocation, from its request head to its final answer. The loop calls the methods of marshal.Exchange;
+// everything else runs on the connection's worker.
 type exchange struct {
 	conn         *conn
-	invocationID string       // given on the loop
-	requestID    string       // the client's
-	offeredCore  atomic.Int32 // the core that it was offered to last
-	acceptedBy   atomic.Int32 // the one that took it, counted from 1
-	clientGone   atomic.Bool  // the client has gone
+	invocationID string       // assigned by the core; used on its loop only
+	requestID    string       // the id that the client gave, may be empty
+	offeredCore  atomic.Int32 // the core that it was last offered to
+	acceptedBy   atomic.Int32 // the core that accepted it plus 1, 0 for none
+	clientGone   atomic.Bool  // the client has disconnected
 	head         *h1.Head
-	startMs      float64
-	limitMs      float64
-	deadlineMs   float64
-	answerByMs   float64 // when the connection answers by itself
-	closeAfter   bool    // the connection ends with it
+	startMs      float64 // when its first byte was read
+	limitMs      float64 // the client's time limit, from startMs
+	deadlineMs   float64 // when its time limit is over, less a reserve for the answer
+	answerByMs   float64 // when the connection answers without the module
+	closeAfter   bool    // the connection closes after it
 
-	// What the module is told of it, and what binds it to a core: a key, a mark or nothing.
+	// Parameters that the core gets, and what binds the invocation to a core: its key, its idempotency key or nothing.
 	pool, operation, tenant int
 	key, placementKey       string
 	costMs                  float64
 	isRetry, isWrite        bool
 
-	acceptsTrailers bool // the client takes trailers
+	acceptsTrailers bool // the client accepts trailers
 
-	body          *h1.Body // what is still to be read of the request's body, nil for nothing
-	retained      []byte   // what of it can be sent again
-	bodyRetained  bool     // all of it is in kept
-	streamed      bool     // part of the rest has been sent: it can't be sent again
-	readerResumed bool
-	lastOutcome   balance.Ending // of the last dispatch
+	body          *h1.Body       // the request's body, nil for an empty one
+	retained      []byte         // the part of the body that can be sent again
+	bodyRetained  bool           // the whole body is in retained
+	streamed      bool           // part of the rest has been sent: the request can't be sent again
+	readerResumed bool           // the reader was told that the body has been read
+	lastOutcome   balance.Ending // how the last dispatch ended
 
-	// A dispatch that may have run is sent again only while nodes remember the key: memory ms from when the first such began.
-	keyMemoryMs  float64 // 0 for no bound
-	mayHaveRunMs float64 // 0 for none that may have run
+	// A dispatch that may have been executed is repeated only while nodes remember the idempotency key: keyMemoryMs from the
+	// start of the first such dispatch.
+	keyMemoryMs       float64 // 0: no limit
+	mayHaveRunSinceMs float64 // start of the first dispatch that may have been executed, 0 for none
 
-	state   atomic.Int32 // offered, taken or withdrawn; once more for each time that it was offered
-	decided atomic.Bool  // the final answer has been decided on, by a success or by the module
+	state   atomic.Int32 // offered, accepted or withdrawn, plus stateCount for each further offer
+	decided atomic.Bool  // the final answer has been decided, by a successful dispatch or by the module
 
 	mu         sync.Mutex
-	finished   bool // its connection carries out no further command
-	dispatchNo int  // of the dispatch that is out
-	inFlight   bool
-	nodeConn   *back.Conn
-	cancelDial context.CancelFunc
-	canceled   bool
+	finished   bool               // the connection executes no further commands
+	dispatchNo int                // number of the dispatch in flight
+	inFlight   bool               // a dispatch is in flight
+	nodeConn   *back.Conn         // the connection that carries it, once there is one
+	cancelDial context.CancelFunc // cancels the opening of that connection
+	canceled   bool               // the dispatch in flight was canceled
 }
 
-// Where an exchange stands between its worker, which offered it, and the loop, which takes it.
+// States of an exchange between its worker, which offers it, and the loop, which accepts it.
 const (
 	offered = iota
 	accepted
 	withdrawn
-	stateCount // how many there are
+	stateCount // number of states
 )
 
-// offer has a core take it; false says that too much waits there.
+// offer queues the exchange at a core; false means that the core's queue is full.
 func (x *exchange) offer(core int) bool {
 	s, round := x.conn.server, x.state.Load()/stateCount*stateCount
 	coreLoop, marshalCore := s.Loops[core], s.Cores[core][x.pool]
@@ -84,13 +85,15 @@
 			x.Let()
 			return
 		}
-		// Its time runs while it waits its turn.
-		x.invocationID = marshalCore.Arrived(x, x.operation, x.tenant, x.key, x.deadlineMs-coreLoop.Now(), x.costMs, x.isRetry, x.isWrite)
+		// The time limit runs while the exchange is queued.
+		x.invocationID = marshalCore.Arrived(x, x.operation, x.tenant, x.key, x.deadlineMs-coreLoop.Now(), x.costMs,
+			x.isRetry, x.isWrite)
 	})
 }
 
-// move takes it back from a core that lets it wait, and offers it to another: none has taken it, so it is no second
-// copy. What a key or a mark binds to its core stays there. It says whether the other core refused it.
+// offerElsewhere withdraws the exchange from a core that lets it wait, and offers it to another one. No core has accepted it
+// yet, so this makes no second copy. An exchange that a key binds to its core stays there. It reports whether the other core
+// rejected it.
 func (x *exchange) offerElsewhere() (rejected bool) {
 	s := x.conn.server
 	if len(s.Loops) == 1 || x.placementKey != "" {
@@ -102,7 +105,7 @@
 	if !ok || state%stateCount != offered || !x.state.CompareAndSwap(state, state+withdrawn) {
 		return false
 	}
-	x.state.Store(state + stateCount) // offered anew: only the call made next can take it
+	x.state.Store(state + stateCount) // offered anew: only the call that is queued next can accept it
 	if !x.offer(target) {
 		return true
 	}
@@ -110,14 +113,16 @@
 	return false
 }
 
-// recall is for how many ms an invocation waits at a core before it is looked whether another would take it.
+// reofferAfterMs is how long an invocation waits at a core before it may be offered to another one.
 const reofferAfterMs = 50.0
 
+// core and loop return the core that the exchange was last offered to, and its loop.
 func (x *exchange) core() *marshal.Core { return x.conn.server.Cores[x.offeredCore.Load()][x.pool] }
 func (x *exchange) loop() *loop.Loop    { return x.conn.server.Loops[x.offeredCore.Load()] }
 
+// command is what the loop asks the connection's worker to do.
 type command struct {
-	kind         int
+	kind         int // one of the constants below
 	dispatchNo   int
 	address      string
 	timeoutMs    float64
@@ -125,18 +130,19 @@
 	decidedAt    time.Time
 }
 
+// Kinds of commands.
 const (
 	commandDispatch = iota
 	commandThrottle
 	commandTerminate
-	commandRelease
+	commandDiscard // end without an answer
 )
 
-// send hands a command to the connection's goroutine; x.mu is held, and the exchange is not over. It never waits: at most a
-// dispatch and the last commands are ever in the channel.
+// send passes a command to the connection's worker. x.mu is held, and the exchange is not finished. It never blocks: the
+// channel never holds more than a dispatch and the last commands.
 func (x *exchange) send(cmd command) { x.conn.commands <- cmd }
 
-// Dispatch and the methods below are marshal.Exchange.
+// Dispatch sends the invocation to a node. It implements marshal.Exchange, as do the other exported methods.
 func (x *exchange) Dispatch(dispatchNo int, node uint32, address string, timeoutMs float64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -145,17 +151,19 @@
 		return
 	}
 	x.dispatchNo, x.inFlight, x.canceled = dispatchNo, true, false
-	// What has run of the call so far counts as before the decision: a cap that fell meanwhile isn't known to it.
+	// The decision counts as made when the current call on the loop began: it can't know of a cap lowered since then.
 	inCallTime := ms(x.conn.server.Clock.Now() - x.loop().Now())
-	x.send(command{kind: commandDispatch, dispatchNo: dispatchNo, address: address, timeoutMs: timeoutMs, decidedAt: x.conn.server.Pool.Time().Add(-inCallTime)})
+	x.send(command{kind: commandDispatch, dispatchNo: dispatchNo, address: address, timeoutMs: timeoutMs,
+		decidedAt: x.conn.server.Pool.Time().Add(-inCallTime)})
 }
 
-// neverSent tells the module that a dispatch has ended without having begun.
+// reportNotSent reports to the module that a dispatch has ended without having been sent.
 func (x *exchange) reportNotSent(dispatchNo int) {
 	x.loop().Post(func() { x.core().Ended(x.invocationID, dispatchNo, balance.Ignored, 0, false, nil) })
 }
 
-// finish takes no command any more: the invocation has its answer. A dispatch that was decided on meanwhile is never sent.
+// finish ends the exchange once it has its answer: no further command is executed, and a dispatch that was decided in the
+// meantime is reported as not sent.
 func (x *exchange) finish() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -172,6 +180,7 @@
 	}
 }
 
+// Cancel ends the dispatch of this number if it is in flight.
 func (x *exchange) Cancel(dispatchNo int) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -180,7 +189,7 @@
 	}
 }
 
-// stop ends the dispatch that is out; x.mu is held.
+// cancelInFlight ends the dispatch in flight; x.mu is held.
 func (x *exchange) cancelInFlight() {
 	x.canceled = true
 	if x.cancelDial != nil {
@@ -191,16 +200,21 @@
 	}
 }
 
-func (x *exchange) Throttle(retryAfter float64) {
-	x.decide(command{kind: commandThrottle, retryAfterMs: retryAfter})
+// Throttle answers that retrying is harmless.
+func (x *exchange) Throttle(retryAfterMs float64) {
+	x.decide(command{kind: commandThrottle, retryAfterMs: retryAfterMs})
 }
+
+// Terminate answers that it is unknown whether the invocation was executed.
 func (x *exchange) Terminate() { x.decide(command{kind: commandTerminate}) }
-func (x *exchange) Abrupt()    { x.decide(command{kind: commandTerminate}) }
 
-// Let gives up what is out: nobody waits for it any more, and a connection that comes up late must carry nothing.
-func (x *exchange) Let() { x.endWith(command{kind: commandRelease}) }
+// Abrupt terminates the invocation when the marshal ends.
+func (x *exchange) Abrupt() { x.decide(command{kind: commandTerminate}) }
+
+// Let abandons the dispatch in flight: nobody waits for it any more, and a connection that opens late must not carry it.
+func (x *exchange) Let() { x.endWith(command{kind: commandDiscard}) }
 
-// end ends what is still out and has the worker carry out the last command.
+// endWith cancels the dispatch in flight and sends the worker the last command.
 func (x *exchange) endWith(cmd command) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -213,7 +227,7 @@
 	x.send(cmd)
 }
 
-// final decides on the answer unless a success was faster, and ends what is still out.
+// decide decides the final answer, unless a successful dispatch was faster, and cancels the dispatch in flight.
 func (x *exchange) decide(cmd command) {
 	if x.decided.Swap(true) {
 		return
@@ -221,10 +235,10 @@
 	x.endWith(cmd)
 }
 
-// lapse tells the module that the client is gone.
+// reportClientGone reports to the module that the client has disconnected.
 func (x *exchange) reportClientGone() {
 	x.clientGone.Store(true)
-	core := x.offeredCore.Load() // where it is now; if it is moved, whoever takes it sees that the client has gone
+	core := x.offeredCore.Load() // if it is offered elsewhere, the accepting core sees clientGone
 	x.conn.server.Loops[core].Post(func() {
 		if x.acceptedBy.Load() == core+1 && x.invocationID != "" {
 			x.conn.server.Cores[core][x.pool].Lapsed(x.invocationID)
@@ -232,7 +246,7 @@
 	})
 }
 
-// resumeReader lets the connection's reader go on once the body has been read.
+// resumeReader lets the connection's reader continue once the body has been read.
 func (x *exchange) resumeReader() {
 	if x.body != nil && !x.readerResumed && x.body.Done() {
 		x.readerResumed = true
@@ -240,8 +254,8 @@
 	}
 }
 
-// takeBody reads the request's body as far as it may be kept for a repeat: then a slow client keeps no node
-// waiting, and a client that breaks off has cost none anything.
+// retainBody reads the request's body up to the size that is retained for a repeat. A slow client then keeps no node
+// waiting, and a client that aborts its upload has cost no node anything.
 func (x *exchange) retainBody() error {
 	h, c := x.head, x.conn
 	if h.BodyLength == 0 {
@@ -256,7 +270,8 @@
 	}
 	x.body = c.reader.Body(h, c.server.limits)
 	maxBytes := int(c.server.CurrentSettings().Limits.RepeatBodyBytes)
-	retained, err := x.readUpTo(c.requestBuf[:0], x.body, maxBytes, func() { c.setReadDeadline(c.server.CurrentSettings().Times.BodyMs) })
+	retained, err := x.readUpTo(c.requestBuf[:0], x.body, maxBytes,
+		func() { c.setReadDeadline(c.server.CurrentSettings().Times.BodyMs) })
 	x.retained = retained
 	if cap(retained) <= maxReusedBufferBytes {
 		c.requestBuf = retained
@@ -266,7 +281,7 @@
 		x.bodyRetained = true
 		x.resumeReader()
 		return nil
-	case err == nil && x.body.Done(): // just as long as may be kept
+	case err == nil && x.body.Done(): // exactly as long as may be retained
 		x.bodyRetained = true
 		x.resumeReader()
 		return nil
@@ -274,17 +289,17 @@
 	return err
 }
 
-// fill reads until the end or until most bytes are held, giving each read its time.
-func (x *exchange) readUpTo(buf []byte, from io.Reader, maxBytes int, setDeadline func()) ([]byte, error) {
+// readUpTo reads until the end or until buf holds maxBytes, and sets the deadline before each read.
+func (x *exchange) readUpTo(buf []byte, source io.Reader, maxBytes int, setDeadline func()) ([]byte, error) {
 	for len(buf) < maxBytes {
 		if len(buf) == cap(buf) {
 			buf = append(buf, 0)[:len(buf)]
 		}
-		room := buf[len(buf):min(cap(buf), maxBytes)]
+		free := buf[len(buf):min(cap(buf), maxBytes)]
 		if setDeadline != nil {
 			setDeadline()
 		}
-		n, err := from.Read(room)
+		n, err := source.Read(free)
 		buf = buf[:len(buf)+n]
 		if err != nil {
 			return buf, err
@@ -293,15 +308,15 @@
 	return buf, nil
 }
 
-// run carries out the module's commands until the final answer; false ends the connection.
+// run executes the module's commands until the final answer; false closes the connection.
 func (x *exchange) run() (keepAlive bool) {
 	s := x.conn.server
 	untilNextCheck := func() time.Duration {
-		left := x.answerByMs - s.Clock.Now()
+		leftMs := x.answerByMs - s.Clock.Now()
 		if len(s.Loops) > 1 && x.state.Load()%stateCount == offered {
-			left = min(left, reofferAfterMs)
+			leftMs = min(leftMs, reofferAfterMs)
 		}
-		return ms(left)
+		return ms(leftMs)
 	}
 	timer := x.conn.answerTimer
 	if timer == nil {
@@ -336,29 +351,31 @@
 				return keepAlive
 			}
 		case commandThrottle:
-			return x.conn.writePlain(503, Throttled, "throttled: trying again is harmless", x.requiredClose(), s.retryAfterFields(cmd.retryAfterMs)...)
+			return x.conn.writePlain(503, Throttled, "throttled: trying again is harmless", x.requiredClose(),
+				s.retryAfterFields(cmd.retryAfterMs)...)
 		case commandTerminate:
 			return x.conn.writePlain(x.terminationStatus(), Terminated, "terminated: what it did is not known", x.requiredClose())
-		case commandRelease:
+		case commandDiscard:
 			return false
 		}
 	}
 }
 
-// overdue answers in time when the loop does not: it stands still, or the module has lost the invocation. What the
-// loop has not taken yet was never taken; the rest is terminated, which promises nothing.
+// answerOverdue answers in time when the loop does not, because it is stalled or the module has lost the invocation. An
+// invocation that the loop has not accepted yet is rejected; any other is terminated, which promises nothing.
 func (x *exchange) answerOverdue() (answered, keepAlive bool) {
 	if state := x.state.Load(); state%stateCount == offered && x.state.CompareAndSwap(state, state+withdrawn) {
 		return true, x.conn.reject(503, "this marshal stands still", x.requiredClose(), "Retry-After", "1")
 	}
 	if x.decided.Swap(true) {
-		return false, false // its answer is on the way
+		return false, false // its answer has been decided
 	}
 	x.loop().Post(func() { x.core().Overtaken(x.invocationID) })
 	return true, x.conn.writePlain(x.terminationStatus(), Terminated, "terminated: what it did is not known", x.requiredClose())
 }
 
-// mustEnd is for what the connection can't go on after the answer: part of the request's body is unread, or the client asked so.
+// requiredClose returns the reason for which the connection has to close after the answer, keepOpen for none: part of the
+// request's body is unread, or the client asked for it.
 func (x *exchange) requiredClose() closeReason {
 	switch {
 	case x.body != nil && !x.body.Done():
@@ -370,6 +387,7 @@
 	}
 }
 
+// splitHost splits an address at its last colon.
 func splitHost(address string) (host, port string, ok bool) {
 	for i := len(address) - 1; i > 0; i-- {
 		if address[i] == ':' {
