--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -11,24 +11,24 @@
 	"arrowcleat/internal/h1"
 )
 
-// answer reads what the node answers; a success goes to the client, all else to the module.
-func (x *exchange) readAnswer(node *back.Conn, dispatchNo int, startMs float64, outcome *back.Fate) (answered, keepAlive bool,
+// readAnswer reads a node's response. A success is passed on to the client, any other outcome is left to the module.
+func (x *exchange) readAnswer(nodeConn *back.Conn, dispatchNo int, startMs float64, outcome *back.Fate) (answered, keepAlive bool,
 	report map[string]float64) {
 	s, c := x.conn.server, x.conn
-	h, err := x.readResponseHead(node)
+	h, err := x.readResponseHead(nodeConn)
 	if err != nil {
 		outcome.Err = err
-		node.Close()
+		nodeConn.Close()
 		return false, false, nil
 	}
 	report = s.Pool.Report(h.Header)
 	outcome.Away = s.headerNames.rejected != "" && h.Header.Get(s.headerNames.rejected) != ""
 	if s.tooLong(h.BodyLength) {
 		outcome.Err = h1.ErrTooLarge
-		node.Close()
+		nodeConn.Close()
 		return false, false, report
 	}
-	body := node.R.Body(h, s.limits)
+	body := nodeConn.R.Body(h, s.limits)
 	held, err := x.readUpTo(c.responseBuf[:0], body, int(s.CurrentSettings().Limits.HeldAnswerBytes), nil)
 	if cap(held) <= maxReusedBufferBytes {
 		c.responseBuf = held
@@ -36,31 +36,31 @@
 	complete := err == io.EOF || err == nil && body.Done()
 	if err != nil && err != io.EOF {
 		outcome.Err = err
-		node.Close()
+		nodeConn.Close()
 		return false, false, report
 	}
 	outcome.Status = h.Status
-	var reported balance.Ending
+	var result balance.Ending
 	if !complete && s.Protocol.MaxBodyBytes > 0 {
 		outcome.Err = h1.ErrTooLarge
-		node.Close()
+		nodeConn.Close()
 		return false, false, report
 	}
-	if !complete { // too long to be held: it goes to the client as it comes
+	if !complete { // too long to hold: it is streamed to the client
 		if outcome.Ending() != balance.Succeeded || x.decided.Swap(true) {
-			node.Close()
+			nodeConn.Close()
 			return false, false, report
 		}
-		return true, x.streamAnswer(node, h, body, held, dispatchNo, startMs, report), report
+		return true, x.streamAnswer(nodeConn, h, body, held, dispatchNo, startMs, report), report
 	}
-	if reported = x.detach(outcome); reported != balance.Succeeded || x.decided.Swap(true) {
-		x.returnNodeConn(node, h)
+	if result = x.detach(outcome); result != balance.Succeeded || x.decided.Swap(true) {
+		x.returnNodeConn(nodeConn, h)
 		return false, false, report
 	}
-	// The module learns of it before the client does: what the client asks next, it asks a marshal that knows.
+	// The module gets the outcome before the client does, so that it is known when the client's next request arrives.
 	tookMs := s.Clock.Now() - startMs
 	x.loop().Post(func() { x.core().Ended(x.invocationID, dispatchNo, balance.Succeeded, tookMs, true, report) })
-	x.returnNodeConn(node, h)
+	x.returnNodeConn(nodeConn, h)
 	reason, pending := c.beginAnswer(x.requiredClose())
 	if !pending {
 		return true, false, report
@@ -83,19 +83,20 @@
 	return true, c.write() == nil && reason == keepOpen, report
 }
 
-func (x *exchange) returnNodeConn(node *back.Conn, h *h1.Head) {
+// returnNodeConn returns a connection to the pool, or closes it if it can't carry another request.
+func (x *exchange) returnNodeConn(nodeConn *back.Conn, h *h1.Head) {
 	if h.Close || !x.bodyRetained && !x.readerResumed {
-		node.Close()
+		nodeConn.Close()
 		return
 	}
-	x.conn.server.Pool.Put(node)
+	x.conn.server.Pool.Put(nodeConn)
 }
 
-// responseHead reads heads up to the final one; an interim one is passed on (RFC 9110, 15.2), but for 100, which
-// the client has had from the marshal, and 101, which nobody asked for.
-func (x *exchange) readResponseHead(node *back.Conn) (*h1.Head, error) {
+// readResponseHead reads heads up to the final one. Interim responses are passed on (RFC 9110, 15.2), except 100, which the
+// client got from the marshal, and 101, which nobody requested.
+func (x *exchange) readResponseHead(nodeConn *back.Conn) (*h1.Head, error) {
 	for {
-		h, err := node.R.Response(x.head.Method, x.conn.server.limits)
+		h, err := nodeConn.R.Response(x.head.Method, x.conn.server.limits)
 		if err != nil {
 			return nil, err
 		}
@@ -115,13 +116,14 @@
 	}
 }
 
+// appendStatusLine appends the status line of a node's response.
 func (x *exchange) appendStatusLine(b []byte, h *h1.Head) []byte {
 	b = strconv.AppendInt(append(b, "HTTP/1.1 "...), int64(h.Status), 10)
 	return append(append(append(b, ' '), h.Reason...), "\r\n"...)
 }
 
-// answerHead writes the head of a node's answer as the client gets it. held is the length of its body, or one of
-// h1's lengths; ends is for what the connection ends with it.
+// appendAnswerHead appends the head of a node's response as the client gets it. bodyLength is the length of its body, or one of
+// h1's special lengths; reason is the reason for which the connection closes after it, keepOpen for none.
 func (x *exchange) appendAnswerHead(b []byte, h *h1.Head, body *h1.Body, bodyLength int, reason closeReason) []byte {
 	length := h.Header["Content-Length"]
 	h.RemoveHopByHop()
@@ -146,14 +148,14 @@
 	return append(b, "\r\n"...)
 }
 
-// passOn streams an answer that is too long to be held. Once it has begun it is the client's, and the client's
-// time no longer ends it; a node that stands still does.
-func (x *exchange) streamAnswer(node *back.Conn, h *h1.Head, body *h1.Body, held []byte, dispatchNo int, startMs float64,
+// streamAnswer streams a response that is too long to hold. Once it has begun, the client's time limit no longer ends it; a
+// node that stalls does.
+func (x *exchange) streamAnswer(nodeConn *back.Conn, h *h1.Head, body *h1.Body, held []byte, dispatchNo int, startMs float64,
 	report map[string]float64) (keepAlive bool) {
 	s, c := x.conn.server, x.conn
-	l := x.loop()
-	l.Post(func() { x.core().Began(x.invocationID, dispatchNo, l.Now()-startMs) })
-	x.mu.Lock() // no cancel ends what the client has begun to read
+	coreLoop := x.loop()
+	coreLoop.Post(func() { x.core().Began(x.invocationID, dispatchNo, coreLoop.Now()-startMs) })
+	x.mu.Lock() // an answer that the client has begun to read can't be canceled
 	x.nodeConn, x.cancelDial = nil, nil
 	x.mu.Unlock()
 	length := int(h.BodyLength)
@@ -164,7 +166,7 @@
 	x.closeAfter = x.closeAfter || length < 0 && !chunked
 	reason, pending := c.beginAnswer(x.requiredClose())
 	if !pending {
-		node.Close()
+		nodeConn.Close()
 		return false
 	}
 	c.writeBuf = x.appendAnswerHead(c.writeBuf[:0], h, body, length, reason)
@@ -182,7 +184,7 @@
 		if len(c.writeBuf) > 0 {
 			if writeErr := c.write(); writeErr != nil {
 				c.noteClientGone()
-				err = nil // the node did its part
+				err = nil // the node did not fail
 				break
 			}
 			c.writeBuf = c.writeBuf[:0]
@@ -190,7 +192,7 @@
 		if err == io.EOF {
 			break
 		}
-		node.SetDeadline(time.Now().Add(ms(s.CurrentSettings().Times.BodyMs)))
+		nodeConn.SetDeadline(time.Now().Add(ms(s.CurrentSettings().Times.BodyMs)))
 		var n int
 		n, err = body.Read(buf)
 		chunk = buf[:n]
@@ -198,17 +200,17 @@
 			break
 		}
 	}
-	reported := balance.Succeeded
+	result := balance.Succeeded
 	if err != nil && err != io.EOF {
-		reported = back.Fate{Dialed: true, Wrote: 1, Err: err}.Ending()
-		reason = closeWriteFailed // cut short: only the end of the connection can tell
+		result = back.Fate{Dialed: true, Wrote: 1, Err: err}.Ending()
+		reason = closeWriteFailed // truncated: only closing the connection can tell the client
 	}
 	tookMs := s.Clock.Now() - startMs
-	x.loop().Post(func() { x.core().Ended(x.invocationID, dispatchNo, reported, tookMs, true, report) })
+	x.loop().Post(func() { x.core().Ended(x.invocationID, dispatchNo, result, tookMs, true, report) })
 	if err == io.EOF {
-		x.returnNodeConn(node, h)
+		x.returnNodeConn(nodeConn, h)
 	} else {
-		node.Close()
+		nodeConn.Close()
 	}
 	return err == io.EOF && reason == keepOpen && !c.clientGone.Load()
 }
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -13,50 +13,52 @@
 	"arrowcleat/internal/marshal"
 )
 
-// dispatch sends the invocation to a node and waits for what becomes of it.
+// dispatch sends the invocation to a node and waits for the outcome. A success is answered, any other outcome is reported to
+// the module.
 func (x *exchange) dispatch(cmd command) (answered, keepAlive bool) {
 	s := x.conn.server
 	startMs := s.Clock.Now()
-	// The clock that the module decided by may be behind: a dispatch ends before the connection has to answer by itself.
+	// The module's clock may be behind: a dispatch ends at the latest when the connection answers without the module.
 	timeoutMs := min(cmd.timeoutMs, x.answerByMs-startMs)
 	deadline := time.Now().Add(ms(timeoutMs))
 	outcome := back.Fate{Strict: s.Pool.Strict}
-	var node *back.Conn
+	var nodeConn *back.Conn
 	var report map[string]float64
-	if x.streamed || timeoutMs <= 0 { // what was streamed is gone, or there is no time left: this dispatch is never sent
+	if x.streamed || timeoutMs <= 0 { // the body can't be sent again, or there is no time left: this dispatch is not sent
 		outcome.Canceled = true
 	} else {
-		node = x.sendRequest(cmd.address, deadline, x.writeDeadline(startMs, deadline), cmd.decidedAt, &outcome)
+		nodeConn = x.sendRequest(cmd.address, deadline, x.writeDeadline(startMs, deadline), cmd.decidedAt, &outcome)
 	}
-	if node != nil {
-		answered, keepAlive, report = x.readAnswer(node, cmd.dispatchNo, startMs, &outcome)
+	if nodeConn != nil {
+		answered, keepAlive, report = x.readAnswer(nodeConn, cmd.dispatchNo, startMs, &outcome)
 	}
 	if answered {
 		return answered, keepAlive
 	}
 	outcome.Expired = outcome.Expired || !time.Now().Before(deadline)
 	x.lastOutcome = x.detach(&outcome)
-	if x.mayHaveRunMs == 0 && !marshal.NeverRan(x.lastOutcome) {
-		x.mayHaveRunMs = startMs
+	if x.mayHaveRunSinceMs == 0 && !marshal.NeverRan(x.lastOutcome) {
+		x.mayHaveRunSinceMs = startMs
 	}
-	reported, tookMs := x.lastOutcome, s.Clock.Now()-startMs
-	x.loop().Post(func() { x.core().Ended(x.invocationID, cmd.dispatchNo, reported, tookMs, false, report) })
+	result, tookMs := x.lastOutcome, s.Clock.Now()-startMs
+	x.loop().Post(func() { x.core().Ended(x.invocationID, cmd.dispatchNo, result, tookMs, false, report) })
 	return false, false
 }
 
-// writeBy is until when a dispatch that begins now may be written: the connection to its node may come up late.
+// writeDeadline returns the time until which a dispatch that begins now may be written. A repeat must not be written once nodes
+// have forgotten the idempotency key, and the connection to its node may open late.
 func (x *exchange) writeDeadline(nowMs float64, deadline time.Time) time.Time {
-	if x.keyMemoryMs == 0 || x.mayHaveRunMs == 0 {
+	if x.keyMemoryMs == 0 || x.mayHaveRunSinceMs == 0 {
 		return deadline
 	}
-	forgotten := time.Now().Add(ms(x.mayHaveRunMs + x.keyMemoryMs - nowMs))
+	forgotten := time.Now().Add(ms(x.mayHaveRunSinceMs + x.keyMemoryMs - nowMs))
 	if forgotten.Before(deadline) {
 		return forgotten
 	}
 	return deadline
 }
 
-// detach ends the dispatch that is out: from here on a cancel finds nothing.
+// detach ends the dispatch in flight, which can't be canceled any more, and returns its outcome.
 func (x *exchange) detach(outcome *back.Fate) balance.Ending {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -65,88 +67,90 @@
 	return outcome.Ending()
 }
 
-// attach makes a connection the one that a cancel breaks; false if it was cancelled already.
-func (x *exchange) attach(c *back.Conn, deadline time.Time) bool {
+// attach registers the connection that a cancellation interrupts; false means that the dispatch was canceled already.
+func (x *exchange) attach(nodeConn *back.Conn, deadline time.Time) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.canceled {
 		return false
 	}
 	x.cancelDial = nil
-	x.nodeConn = c
-	c.SetDeadline(deadline)
+	x.nodeConn = nodeConn
+	nodeConn.SetDeadline(deadline)
 	return true
 }
 
-// request connects and writes the request. A kept connection that takes no byte of it is replaced by a new one:
-// nothing has run. It returns nil where the dispatch has ended, with its fate.
+// sendRequest connects to a node and writes the request. A reused connection on which no byte could be written is replaced by
+// a new one, since nothing was executed. It returns nil if the dispatch has ended, with its outcome.
 func (x *exchange) sendRequest(address string, deadline, writeDeadline, decidedAt time.Time, outcome *back.Fate) *back.Conn {
 	for fresh := false; ; fresh = true {
-		var node *back.Conn
+		var nodeConn *back.Conn
 		if !fresh {
-			node = x.conn.server.Pool.Kept(address)
+			nodeConn = x.conn.server.Pool.Kept(address)
 		}
-		if node == nil {
+		if nodeConn == nil {
 			var err error
-			if node, err = x.dial(address, writeDeadline); err != nil {
+			if nodeConn, err = x.dial(address, writeDeadline); err != nil {
 				outcome.Err = err
-				outcome.Canceled = writeDeadline.Before(deadline) && !time.Now().Before(writeDeadline) // not for want of an answer from the node
+				// Only the write deadline passed: the node did not fail to respond.
+				outcome.Canceled = writeDeadline.Before(deadline) && !time.Now().Before(writeDeadline)
 				return nil
 			}
 		}
 		outcome.Dialed = true
-		if !x.attach(node, deadline) {
-			x.conn.server.Pool.Put(node)
+		if !x.attach(nodeConn, deadline) {
+			x.conn.server.Pool.Put(nodeConn)
 			outcome.Err = context.Canceled
 			return nil
 		}
 		if err := x.checkBeforeWrite(address, writeDeadline, decidedAt); err != nil {
-			x.conn.server.Pool.Put(node)
+			x.conn.server.Pool.Put(nodeConn)
 			outcome.Canceled, outcome.Err = true, err
 			x.conn.server.Counters.SuppressedDispatches.Add(1)
 			x.conn.server.Log.Debug("dispatch not written", "request", x.requestID, "node", address, "why", err)
 			return nil
 		}
-		outcome.Wrote, outcome.Err = x.writeRequest(node, outcome)
+		outcome.Wrote, outcome.Err = x.writeRequest(nodeConn, outcome)
 		if outcome.Err == nil {
-			return node
+			return nodeConn
 		}
 		if errors.Is(outcome.Err, errClientGone) {
 			outcome.Canceled = true
-		} else if outcome.Wrote > 0 && !outcome.Part && back.Gone(outcome.Err) { // it may have answered before it had read all, and closed
+		} else if outcome.Wrote > 0 && !outcome.Part && back.Gone(outcome.Err) {
+			// The node may have answered and closed before it had read everything.
 			outcome.Err = nil
-			return node
+			return nodeConn
 		}
-		node.Close()
-		if outcome.Wrote == 0 && node.Kept && !back.Timeout(outcome.Err) {
+		nodeConn.Close()
+		if outcome.Wrote == 0 && nodeConn.Kept && !back.Timeout(outcome.Err) {
 			continue
 		}
 		return nil
 	}
 }
 
-// dial opens a connection, unless the dispatch is cancelled or its time is up before.
+// dial opens a connection, unless the dispatch is canceled or the deadline passes first.
 func (x *exchange) dial(address string, deadline time.Time) (*back.Conn, error) {
-	ctx, undial := context.WithDeadline(context.Background(), deadline)
-	defer undial()
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
+	defer cancel()
 	x.mu.Lock()
-	x.cancelDial = undial
+	x.cancelDial = cancel
 	if x.canceled {
-		undial()
+		cancel()
 	}
 	x.mu.Unlock()
 	return x.conn.server.Pool.Get(ctx, address, true)
 }
 
-// Why a dispatch that was decided on is not written.
+// Reasons for suppressing a dispatch after it was decided.
 var (
-	errNodeDraining = errors.New("the node drains or is gone")
-	errCapLowered   = errors.New("the cap of the node's build has fallen since it was decided on")
-	errTooLate      = errors.New("its time, or that in which nodes know the key, is over")
-	errClientGone   = errors.New("the client has gone, or broke off its body")
+	errNodeDraining = errors.New("the node is draining or gone")
+	errCapLowered   = errors.New("the cap of the node's build was lowered after the decision")
+	errTooLate      = errors.New("its time limit, or the time for which nodes remember the idempotency key, is over")
+	errClientGone   = errors.New("the client has disconnected, or did not complete the request's body")
 )
 
-// mayWrite is the last look before a dispatch is written: what it was decided on by may be over by now.
+// checkBeforeWrite is the final check before a dispatch is written: the conditions under which it was decided may have changed.
 func (x *exchange) checkBeforeWrite(address string, writeDeadline, decidedAt time.Time) error {
 	pool, faults := x.conn.server.Pool, &x.conn.server.Faults
 	switch {
@@ -156,17 +160,17 @@
 		return errCapLowered
 	case !time.Now().Before(writeDeadline):
 		return errTooLate
-	case back.Ended(x.conn.nc) && !faults.IgnoreClientGone: // its reader, which has its turn after this one, has not noticed yet
+	case back.Ended(x.conn.nc) && !faults.IgnoreClientGone: // the reader goroutine has not run since and does not know yet
 		x.conn.noteClientGone()
 		return errClientGone
 	}
 	return nil
 }
 
-// writeTo writes the request as it goes on to a node.
-func (x *exchange) writeRequest(node *back.Conn, outcome *back.Fate) (int64, error) {
+// writeRequest writes the request to a node, and streams the part of the body that is not retained.
+func (x *exchange) writeRequest(nodeConn *back.Conn, outcome *back.Fate) (int64, error) {
 	h := x.head
-	b := append(append(append(append(node.Buf[:0], h.Method...), ' '), h.Target...), " HTTP/1.1\r\n"...)
+	b := append(append(append(append(nodeConn.Buf[:0], h.Method...), ' '), h.Target...), " HTTP/1.1\r\n"...)
 	b = h1.AppendHeader(b, h.Header, "Content-Length", "Via", "X-Forwarded-For", x.conn.server.headerNames.timeLimit)
 	via := x.conn.server.viaField
 	for _, v := range h.Header["Via"] {
@@ -183,11 +187,11 @@
 		b = h1.AppendField(h1.AppendField(b, "Connection", "TE"), "TE", "trailers")
 	}
 	if name := x.conn.server.headerNames.timeLimit; name != "" {
-		left := max(0, x.deadlineMs-x.conn.server.Clock.Now())
+		leftMs := max(0, x.deadlineMs-x.conn.server.Clock.Now())
 		if x.conn.server.Faults.InflateTimeLeft {
-			left += 1000
+			leftMs += 1000
 		}
-		b = h1.AppendField(b, name, strconv.FormatFloat(left, 'f', 0, 64))
+		b = h1.AppendField(b, name, strconv.FormatFloat(leftMs, 'f', 0, 64))
 	}
 	trailers := x.body != nil && x.body.Trailers != nil
 	switch {
@@ -209,43 +213,43 @@
 		}
 	}
 	if cap(b) <= maxReusedBufferBytes {
-		node.Buf = b
+		nodeConn.Buf = b
 	}
 	if x.conn.server.Faults.DuplicateRequests {
-		if duplicate, err := x.conn.server.Pool.Get(context.Background(), node.RemoteAddr().String(), true); err == nil {
+		if duplicate, err := x.conn.server.Pool.Get(context.Background(), nodeConn.RemoteAddr().String(), true); err == nil {
 			duplicate.Write(b)
 			time.AfterFunc(time.Second, func() { duplicate.Close() })
 		}
 	}
-	n, err := node.Write(b)
+	n, err := nodeConn.Write(b)
 	wrote := int64(n)
 	if err != nil || x.bodyRetained {
 		outcome.Part = x.conn.server.Pool.Strict && n < len(b)
 		return wrote, err
 	}
-	return x.streamBody(node, wrote)
+	return x.streamBody(nodeConn, wrote)
 }
 
-// stream passes on what of a body is too long to be kept; from here on the invocation can't be sent again.
-func (x *exchange) streamBody(node *back.Conn, wrote int64) (int64, error) {
+// streamBody passes on the part of a body that is too long to retain. From here on the invocation can't be sent again.
+func (x *exchange) streamBody(nodeConn *back.Conn, wrote int64) (int64, error) {
 	x.streamed = true
 	buf, chunked := make([]byte, streamBufferBytes), x.head.BodyLength == h1.Chunked
-	var b []byte
+	var out []byte
 	for {
-		wait := min(x.conn.server.CurrentSettings().Times.BodyMs, x.answerByMs-x.conn.server.Clock.Now())
-		x.conn.nc.SetReadDeadline(time.Now().Add(ms(wait)))
+		waitMs := min(x.conn.server.CurrentSettings().Times.BodyMs, x.answerByMs-x.conn.server.Clock.Now())
+		x.conn.nc.SetReadDeadline(time.Now().Add(ms(waitMs)))
 		n, err := x.body.Read(buf)
-		b = b[:0]
+		out = out[:0]
 		if n > 0 && chunked {
-			b = h1.AppendChunk(b, buf[:n])
+			out = h1.AppendChunk(out, buf[:n])
 		} else {
-			b = append(b, buf[:n]...)
+			out = append(out, buf[:n]...)
 		}
 		if err == io.EOF && chunked {
-			b = h1.AppendLastChunk(b, x.body.Trailers)
+			out = h1.AppendLastChunk(out, x.body.Trailers)
 		}
-		if len(b) > 0 {
-			n, err := node.Write(b)
+		if len(out) > 0 {
+			n, err := nodeConn.Write(out)
 			wrote += int64(n)
 			if err != nil {
 				return wrote, err
