--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// state is where a client's connection stands between its opening and its end.
+// state is the state of a client connection.
 type state int
 
 const (
-	stateIdle      state = iota // nothing of a request has been read since the last answer
+	stateIdle      state = iota // no part of a request has been read since the last answer
 	stateReading                // part of a request has been read
-	statePending                // a request has been read and is owed its final answer
+	statePending                // a request has been read, and its final answer is pending
 	stateAnswering              // its final answer has begun
-	stateClosing                // no further request is read, and none is owed an answer
+	stateClosing                // no further request is read, and no answer is pending
 	stateClosed                 // the socket is closed
 )
 
@@ -21,66 +21,69 @@
 
 func (s state) String() string { return stateNames[s] }
 
-// closeReason is why a connection ends.
+// closeReason is the reason for which a connection closes.
 type closeReason int
 
 const (
-	keepOpen         closeReason = iota
-	closeStop                    // the server stops or drains
-	closeIdle                    // no request for the idle time
-	closeEvicted                 // it gives way to a new connection
-	closeNoRequest               // no first request in its time
-	closeRequested               // its request says Connection: close, or the answer can only end so
-	closeRejected                // its request could not be read, or not all of it was
-	closeClientGone              // the client closed or broke it
-	closeWriteFailed             // an answer could not be written
-	closeForced                  // the process ends
-	closeReasonCount             // how many there are
+	keepOpen         closeReason = iota // the connection stays open
+	closeStop                           // the server stops or drains
+	closeIdle                           // no request within the idle timeout
+	closeEvicted                        // evicted in favour of a new connection
+	closeNoRequest                      // no first request within its timeout
+	closeRequested                      // its request says Connection: close, or only closing can end the answer's body
+	closeRejected                       // its request could not be read, or only partly
+	closeClientGone                     // the client disconnected
+	closeWriteFailed                    // an answer could not be written
+	closeForced                         // the process ends
+	closeReasonCount                    // number of reasons
 )
 
-var reasonNames = [...]string{"open", "stop", "idle", "evicted", "no first request", "asked", "rejected", "client gone", "write failed", "forced"}
+var reasonNames = [...]string{"open", "stop", "idle", "evicted", "no first request", "asked", "rejected",
+	"client gone", "write failed", "forced"}
 
 func (r closeReason) String() string { return reasonNames[r] }
 
-// How long a connection that is to close is read once more, since a process that was held up may find its deadline past before it has
-// looked. One that never asked may have its first request still on its way when the server stops.
+// Timeouts of the final read of a connection that is to close. It is needed because a process that was not scheduled may find
+// its deadline past before it has read. The first request of a new connection may still be on its way when the server stops.
 const (
 	finalReadTimeout      = 5 * time.Millisecond
 	finalFirstReadTimeout = 300 * time.Millisecond
 )
 
-// deadliner is the part of a connection that wakes its reader.
+// readDeadliner is a connection whose reader can be woken by a deadline.
 type readDeadliner interface{ SetReadDeadline(time.Time) error }
 
+// pastDeadline is a deadline that wakes a reader at once.
 var pastDeadline = time.Unix(1, 0)
 
-// lifecycle owns the end of one connection. A connection closes only out of stateClosing, and that is reached only while no request is
-// owed an answer: by its reader, out of stateIdle, once a read that took nothing has ended; or by its worker, with an answer that said
-// so. All others only ask for the end. Whatever has been read is therefore answered, and what has not stays unread, so that the kernel
-// resets the connection and the client can tell.
+// lifecycle controls the closing of one connection. A connection closes only from stateClosing, which is reached only while no
+// answer is pending: by the reader, from stateIdle, after a read that returned nothing; or by the worker, after an answer that
+// announced it. Everyone else only requests the close. So every request that has been read is answered, and data that arrives
+// later stays unread, so that the kernel resets the connection and the client can tell.
 type lifecycle struct {
 	mu            sync.Mutex
-	answerDone    sync.Cond // the connection is neither stateTaken nor stateAnswering any more
+	answerDone    sync.Cond // signals that the state is neither statePending nor stateAnswering any more
 	socket        readDeadliner
 	state         state
-	reason        closeReason // for which it is to close, or has; keepOpen: it stays
-	finalRead     bool        // it was read once more since that was asked
-	nextStarted   bool        // part of the next request was read while one was owed its answer
-	served        bool        // it had an answer
-	idleSince     time.Time   // it is idle
-	idleSinceMs   float64     // the same by the server's clock
-	firstDeadline time.Time   // when its first request has to be whole; zero once it is, or for no bound
+	reason        closeReason // why it is to close or has closed; keepOpen: it stays open
+	finalRead     bool        // the final read after a requested close has begun
+	nextStarted   bool        // part of the next request was read while an answer was pending
+	served        bool        // at least one request has been answered
+	idleSince     time.Time   // start of the current idle time
+	idleSinceMs   float64     // the same by the server's clock, in ms
+	firstDeadline time.Time   // when its first request has to be complete; zero once it is, or for no limit
 }
 
+// newLifecycle returns the lifecycle of a connection opened now; nowMs is the same time by the server's clock.
 func newLifecycle(socket readDeadliner, now time.Time, nowMs float64) *lifecycle {
 	l := &lifecycle{socket: socket, idleSince: now, idleSinceMs: nowMs}
 	l.answerDone.L = &l.mu
 	return l
 }
 
-// await prepares the reader's next wait for the first byte of a request, or for the client's end while a request is owed its answer.
-// False says that the connection closes, and that the reader reads nothing more.
-func (l *lifecycle) awaitRead(now time.Time, idle time.Duration) bool {
+// awaitRead prepares the reader's next wait, for the first byte of a request or, while an answer is pending, for the client to
+// disconnect. False means that the connection closes and the reader must not read any more.
+func (l *lifecycle) awaitRead(now time.Time, idleTimeout time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch l.state {
@@ -91,9 +94,9 @@
 	default:
 		return false
 	}
-	l.checkTimeouts(now, idle)
+	l.checkTimeouts(now, idleTimeout)
 	if l.reason == keepOpen {
-		l.socket.SetReadDeadline(l.idleDeadline(idle))
+		l.socket.SetReadDeadline(l.idleDeadline(idleTimeout))
 		return true
 	}
 	if l.finalRead {
@@ -109,28 +112,28 @@
 	return true
 }
 
-// expire asks for the end of a connection whose time is over; mu is held.
-func (l *lifecycle) checkTimeouts(now time.Time, idle time.Duration) {
+// checkTimeouts requests the close of a connection whose time is over; mu is held.
+func (l *lifecycle) checkTimeouts(now time.Time, idleTimeout time.Duration) {
 	switch {
 	case l.reason != keepOpen:
 	case !l.firstDeadline.IsZero() && !now.Before(l.firstDeadline):
 		l.reason = closeNoRequest
-	case !now.Before(l.idleSince.Add(idle)):
+	case !now.Before(l.idleSince.Add(idleTimeout)):
 		l.reason = closeIdle
 	}
 }
 
-// idleUntil is when a connection that rests is over; mu is held.
-func (l *lifecycle) idleDeadline(idle time.Duration) time.Time {
-	deadline := l.idleSince.Add(idle)
+// idleDeadline returns the time at which an idle connection times out; mu is held.
+func (l *lifecycle) idleDeadline(idleTimeout time.Duration) time.Time {
+	deadline := l.idleSince.Add(idleTimeout)
 	if !l.firstDeadline.IsZero() && l.firstDeadline.Before(deadline) {
 		return l.firstDeadline
 	}
 	return deadline
 }
 
-// begin is called by the reader with the first byte of a request. It waits until the request before has its answer; false says that the
-// connection closes with it, as a client that sends before its answer has to expect.
+// beginRequest is called by the reader with the first byte of a request. It waits until the previous request has its answer.
+// False means that the connection closes after that answer, which a client that sends early has to expect.
 func (l *lifecycle) beginRequest() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -146,7 +149,8 @@
 	return true
 }
 
-// taken is called by the reader once it has read a request or found that it can't. False says that the connection was closed meanwhile.
+// requestRead is called by the reader once it has read a request or failed to. False means that the connection was closed in
+// the meantime.
 func (l *lifecycle) requestRead() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,18 +161,18 @@
 	return true
 }
 
-// whole says that the first request has arrived: its bound ends with its last byte. Kept until the answer, it would be long past for a
-// client that waits.
+// requestComplete clears the deadline for the first request with its last byte. If it were kept until the answer, it would have
+// passed for a client that waits.
 func (l *lifecycle) requestComplete() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.firstDeadline = time.Time{}
 }
 
-// answering is called by the worker before the first byte of a request's final answer. must is for what the connection has to end with
-// it, may for what it can; keepOpen: for nothing. more says that bytes of a next request are there: it is answered too where the end can
-// wait. The result is for what the answer ends the connection, which its head has to say, and the state before: an answer is owed in stateTaken
-// alone.
+// beginAnswer is called by the worker before the first byte of a request's final answer. required is the reason for which the
+// connection has to close after it, optional one for which it may close; keepOpen means none. unread says that bytes of a next
+// request have arrived: it is answered too if closing can wait. The results are the reason for which the connection closes
+// after the answer, which its head has to announce, and the previous state: an answer is pending in statePending alone.
 func (l *lifecycle) beginAnswer(required, optional closeReason, unread bool) (reason closeReason, previous state) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -189,9 +193,9 @@
 	return chosen, statePending
 }
 
-// answered is called by the worker after a request: with keepOpen once its answer is written and did not end the connection, else with
-// the reason for which it ends.
-func (l *lifecycle) finishAnswer(reason closeReason, now time.Time, nowMs float64, idle time.Duration) {
+// finishAnswer is called by the worker after a request: with keepOpen if its answer is written and the connection stays open,
+// else with the reason for which the connection closes.
+func (l *lifecycle) finishAnswer(reason closeReason, now time.Time, nowMs float64, idleTimeout time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.state == stateClosed {
@@ -203,29 +207,30 @@
 	switch {
 	case reason != keepOpen:
 		l.state, l.reason = stateClosing, reason
-	case l.reason != keepOpen: // asked for since the answer began
+	case l.reason != keepOpen: // requested since the answer began
 		l.socket.SetReadDeadline(pastDeadline)
 	default:
-		l.socket.SetReadDeadline(l.idleDeadline(idle))
+		l.socket.SetReadDeadline(l.idleDeadline(idleTimeout))
 	}
 	l.answerDone.Broadcast()
 }
 
-// owed says that a request has been read and its final answer has not begun.
+// answerPending reports whether a request has been read and its final answer has not begun.
 func (l *lifecycle) answerPending() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state == statePending
 }
 
-// end asks for the end of the connection as soon as nothing is owed: with the next answer, or now if it is idle.
+// requestClose requests that the connection closes as soon as no answer is pending: after the next answer, or now if it is
+// idle.
 func (l *lifecycle) requestClose(reason closeReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.requestCloseLocked(reason)
 }
 
-// ask is end with mu held.
+// requestCloseLocked is requestClose with mu held.
 func (l *lifecycle) requestCloseLocked(reason closeReason) {
 	if l.reason != keepOpen {
 		return
@@ -236,7 +241,7 @@
 	}
 }
 
-// evict asks for the end of a connection that is idle and stays otherwise; false says that it is not.
+// evict requests the close of an idle connection. False means that it is not idle, or is to close already.
 func (l *lifecycle) evict() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -247,28 +252,28 @@
 	return true
 }
 
-// reasonNow is for what the connection is to close, or has.
+// closeReason returns the reason for which the connection is to close or has closed.
 func (l *lifecycle) closeReason() closeReason {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.reason
 }
 
-// firstDue is when the first request has to be whole; zero for no bound.
+// firstRequestDeadline returns the time by which the first request has to be complete, zero for no limit.
 func (l *lifecycle) firstRequestDeadline() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.firstDeadline
 }
 
-// rest describes a connection for the choice of the one that gives way.
+// idleState describes the connection for the choice of the one to evict.
 func (l *lifecycle) idleState() (idle, served bool, idleSinceMs float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.state == stateIdle, l.served, l.idleSinceMs
 }
 
-// close ends the lifecycle, whoever closes the socket, and gives the state and the reason in which it was.
+// close ends the lifecycle, whoever closes the socket, and returns the previous state and the reason of the close.
 func (l *lifecycle) close(reason closeReason) (previous state, finalReason closeReason) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
