--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -20,19 +20,20 @@
 	"arrowcleat/internal/settings"
 )
 
-// serving starts a clients' side with room for so many connections; every request is answered before it is taken.
+// startServer starts a server with a limit of connections. No loop runs, so every request is answered without being accepted.
 func startServer(t *testing.T, maxConnections uint32, protocol ProtocolOptions) (*Server, string) {
 	t.Helper()
 	s, address, _ := startCountingServer(t, maxConnections, protocol)
 	return s, address
 }
 
-// reading counts the reads on the connections that a listener accepts.
+// countingListener counts the reads on the connections that it accepts.
 type countingListener struct {
 	net.Listener
 	reads *atomic.Int64
 }
 
+// countingConn counts the reads on a connection.
 type countingConn struct {
 	net.Conn
 	reads *atomic.Int64
@@ -48,7 +49,7 @@
 	return c.Conn.Read(b)
 }
 
-// counted is serving, with a count of reads.
+// startCountingServer is startServer with a count of reads.
 func startCountingServer(t *testing.T, maxConnections uint32, protocol ProtocolOptions) (*Server, string, *atomic.Int64) {
 	t.Helper()
 	reads := &atomic.Int64{}
@@ -68,6 +69,7 @@
 	return s, ln.Addr().String(), reads
 }
 
+// roundTrip sends a request and returns the status of its response.
 func roundTrip(nc net.Conn, text string) (int, error) {
 	nc.SetDeadline(time.Now().Add(3 * time.Second))
 	if _, err := io.WriteString(nc, text); err != nil {
@@ -80,9 +82,10 @@
 	return r.StatusCode, r.Body.Close()
 }
 
+// healthRequest is a request to the health check of the protocol options below.
 const healthRequest = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// Clients that come all at once and ask at once are all answered: none gives way before its request has been read.
+// Clients that all connect and send a request at once all get an answer: none is evicted before its request has been read.
 func TestBurstOfConnections(t *testing.T) {
 	_, address := startServer(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 2000})
 	var wg sync.WaitGroup
@@ -103,11 +106,11 @@
 	}
 	wg.Wait()
 	if n := unanswered.Load(); n > 0 {
-		t.Errorf("%d of 120 requests got no answer", n)
+		t.Errorf("%d of 120 requests were not answered", n)
 	}
 }
 
-// Clients that say nothing give way to one that asks, and are closed in time in any case.
+// Clients that send nothing are evicted for one that sends a request, and time out in any case.
 func TestSilentClients(t *testing.T) {
 	_, address := startServer(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 600})
 	var silent []net.Conn
@@ -126,7 +129,7 @@
 	}
 	defer nc.Close()
 	if status, err := roundTrip(nc, healthRequest); status != 200 || err != nil {
-		t.Errorf("a client that asks among silent ones: %d, %v", status, err)
+		t.Errorf("a request among silent clients: status %d, error %v; want 200", status, err)
 	}
 	for i, c := range silent {
 		c.SetReadDeadline(time.Now().Add(2 * time.Second))
@@ -136,14 +139,15 @@
 	}
 }
 
-// Terms turn away what is too long, and a second request of an id that is open, before either is taken.
+// With protocol options, a body that is too long and a second request with an open id are rejected before they are accepted.
 func TestProtocolOptions(t *testing.T) {
-	s, address := startServer(t, 20, ProtocolOptions{MaxBodyBytes: 10, FirstRequestTimeoutMs: 1000, ParseRequest: func(h *h1.Head) (a RequestParams, err error) {
-		if a.RequestID = h.Header.Get("X-Id"); a.RequestID == "" {
-			return a, NewRejection(400, "no id")
-		}
-		return a, nil
-	}})
+	s, address := startServer(t, 20, ProtocolOptions{MaxBodyBytes: 10, FirstRequestTimeoutMs: 1000,
+		ParseRequest: func(h *h1.Head) (params RequestParams, err error) {
+			if params.RequestID = h.Header.Get("X-Id"); params.RequestID == "" {
+				return params, NewRejection(400, "no id")
+			}
+			return params, nil
+		}})
 	s.openIDs.Store("open", true)
 	for text, want := range map[string]int{
 		"Content-Length: 5\r\n\r\nhello":              400,
@@ -157,27 +161,28 @@
 			t.Fatal(err)
 		}
 		if status, err := roundTrip(nc, fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\n%s", text)); status != want || err != nil {
-			t.Errorf("%.60q: %d, %v; want %d", text, status, err, want)
+			t.Errorf("%.60q: status %d, error %v; want %d", text, status, err, want)
 		}
 		nc.Close()
 	}
 }
 
-// While a client waits for its answer for longer than a first request may take to arrive, its reader sleeps.
+// While a client waits for its answer for longer than the timeout of a first request, its reader sleeps and does not poll.
 func TestReaderSleepsWhileAnswerPending(t *testing.T) {
 	for name, request := range map[string]string{"no body": "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
 		"body": "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"} {
-		_, address, reads := startCountingServer(t, 20, ProtocolOptions{FirstRequestTimeoutMs: 50, ParseRequest: func(*h1.Head) (RequestParams, error) { return RequestParams{LimitMs: 400}, nil }})
+		_, address, reads := startCountingServer(t, 20, ProtocolOptions{FirstRequestTimeoutMs: 50,
+			ParseRequest: func(*h1.Head) (RequestParams, error) { return RequestParams{LimitMs: 400}, nil }})
 		nc, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		if status, err := roundTrip(nc, request); status != 503 || err != nil { // no loop runs that could take it
-			t.Errorf("%s: %d, %v; want 503", name, status, err)
+		if status, err := roundTrip(nc, request); status != 503 || err != nil { // no loop runs that could accept it
+			t.Errorf("%s: status %d, error %v; want 503", name, status, err)
 		}
 		if n := reads.Load(); n > 10 {
-			t.Errorf("%s: %d reads while the client waited; want a few", name, n)
+			t.Errorf("%s: %d reads while the client waited; want at most 10", name, n)
 		}
 	}
 }
--- a/internal/front/lifecycle_test.go
+++ b/internal/front/lifecycle_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// fakeSocket has requests of a client to read, and a read deadline.
+// fakeSocket is a connection with a number of requests to read and a read deadline.
 type fakeSocket struct {
 	mu           sync.Mutex
 	readDeadline time.Time
@@ -21,14 +21,14 @@
 	return nil
 }
 
-// more says that a request can be read.
+// unread reports whether a request can be read.
 func (f *fakeSocket) unread() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.requests > 0
 }
 
-// read waits for a request or for the deadline; false is a timeout that took nothing.
+// read waits for a request or for the deadline; false means that it timed out and read nothing.
 func (f *fakeSocket) read() bool {
 	for ; ; time.Sleep(20 * time.Microsecond) {
 		f.mu.Lock()
@@ -44,10 +44,10 @@
 	}
 }
 
-// A reader, a worker and those that ask for the end cross each other at random. A connection closes, soon, and only while nothing that was
-// read is owed an answer.
+// A reader, a worker and a goroutine that requests the close interleave at random. The connection closes within 5 s, and only
+// while no request that was read lacks its answer.
 func TestLifecycleClosesOnlyWithoutPendingAnswer(t *testing.T) {
-	const rounds, idle = 400, time.Hour
+	const rounds, idleTimeout = 400, time.Hour
 	for seed := range uint64(rounds) {
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		socket := &fakeSocket{requests: rnd.IntN(6)}
@@ -57,12 +57,12 @@
 		var wg sync.WaitGroup
 		wg.Go(func() { // the reader
 			defer close(pending)
-			for l.awaitRead(time.Now(), idle) {
+			for l.awaitRead(time.Now(), idleTimeout) {
 				if !socket.read() {
 					continue
 				}
 				if !l.beginRequest() {
-					t.Errorf("seed %d: what was read has to be dropped", seed)
+					t.Errorf("seed %d: a request was read and can't be answered", seed)
 					return
 				}
 				if l.requestRead() {
@@ -77,18 +77,18 @@
 				time.Sleep(workTime)
 				reason, previous := l.beginAnswer(keepOpen, keepOpen, socket.unread())
 				if previous != statePending {
-					t.Errorf("seed %d: an answer in state %v", seed, previous)
+					t.Errorf("seed %d: the answer begins in state %v", seed, previous)
 				}
 				answered++
-				l.finishAnswer(reason, time.Now(), 0, idle)
+				l.finishAnswer(reason, time.Now(), 0, idleTimeout)
 				if reason != keepOpen {
-					socket.SetReadDeadline(pastDeadline) // as closing it does
+					socket.SetReadDeadline(pastDeadline) // wakes the reader, as closing the socket does
 					return
 				}
 			}
 		})
 		closeAfter, evictFirst := time.Duration(rnd.IntN(400))*time.Microsecond, rnd.IntN(2) == 0
-		wg.Go(func() { // whoever asks for the end
+		wg.Go(func() { // requests the close
 			time.Sleep(closeAfter)
 			if evictFirst && l.evict() {
 				return
@@ -100,10 +100,10 @@
 		select {
 		case <-done:
 		case <-time.After(5 * time.Second):
-			t.Fatalf("seed %d: it does not end; state %v, reason %v", seed, l.state, l.reason)
+			t.Fatalf("seed %d: not closed after 5 s; state %v, reason %v", seed, l.state, l.reason)
 		}
 		if previous, _ := l.close(closeForced); previous != stateClosing {
-			t.Errorf("seed %d: it ended in state %v", seed, previous)
+			t.Errorf("seed %d: closed from state %v", seed, previous)
 		}
 		if read != answered {
 			t.Errorf("seed %d: %d requests read, %d answered", seed, read, answered)
@@ -111,28 +111,30 @@
 	}
 }
 
+// A forced close while an answer is pending is reported as such, and no answer may begin after it.
 func TestLifecycleForcedWhileAnswerPending(t *testing.T) {
 	l := newLifecycle(&fakeSocket{}, time.Now(), 0)
 	if !l.beginRequest() || !l.requestRead() {
-		t.Fatal("no request could be taken")
+		t.Fatal("no request could be read")
 	}
-	if was, reason := l.close(closeForced); was != statePending || reason != closeForced {
-		t.Errorf("closed in state %v for %v", was, reason)
+	if previous, reason := l.close(closeForced); previous != statePending || reason != closeForced {
+		t.Errorf("closed from state %v with reason %v", previous, reason)
 	}
-	if _, was := l.beginAnswer(keepOpen, keepOpen, false); was != stateClosed {
-		t.Errorf("an answer may begin in state %v", was)
+	if _, previous := l.beginAnswer(keepOpen, keepOpen, false); previous != stateClosed {
+		t.Errorf("an answer may begin after the close, in state %v", previous)
 	}
 }
 
+// A second answer to a request finds that the first one has begun.
 func TestLifecycleAnswersOnce(t *testing.T) {
 	l := newLifecycle(&fakeSocket{}, time.Now(), 0)
 	l.beginRequest()
 	l.requestRead()
 	l.requestClose(closeStop)
-	if ends, was := l.beginAnswer(keepOpen, keepOpen, false); was != statePending || ends != closeStop {
-		t.Errorf("the answer begins in state %v and ends for %v", was, ends)
+	if reason, previous := l.beginAnswer(keepOpen, keepOpen, false); previous != statePending || reason != closeStop {
+		t.Errorf("the answer begins in state %v and closes the connection with reason %v", previous, reason)
 	}
-	if _, was := l.beginAnswer(keepOpen, keepOpen, false); was != stateAnswering {
-		t.Errorf("a second answer finds state %v", was)
+	if _, previous := l.beginAnswer(keepOpen, keepOpen, false); previous != stateAnswering {
+		t.Errorf("a second answer finds state %v", previous)
 	}
 }
