--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -12,8 +12,8 @@
 )
 
 // readAnswer reads a node's response. A success is passed on to the client, any other outcome is left to the module.
-func (x *exchange) readAnswer(nodeConn *back.Conn, dispatchNo int, startMs float64, outcome *back.Fate) (answered, keepAlive bool,
-	report map[string]float64) {
+func (x *exchange) readAnswer(nodeConn *back.Conn, dispatchNo int, startMs float64, outcome *back.Fate) (
+	answered, keepAlive bool, report map[string]float64) {
 	s, c := x.conn.server, x.conn
 	h, err := x.readResponseHead(nodeConn)
 	if err != nil {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -179,7 +179,8 @@
 	defer func() {
 		if p := recover(); p != nil {
 			keepAlive = false
-			c.server.Log.Error("a connection's goroutine panicked", "request", c.lastRequestID, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+			c.server.Log.Error("a connection's goroutine panicked", "request", c.lastRequestID,
+				"panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 		}
 	}()
 	return c.serve(req)
@@ -211,10 +212,12 @@
 	if reason == closeForced && (previous == statePending || previous == stateAnswering) && !c.clientGone.Load() {
 		c.server.Counters.Unanswered.Add(1)
 		c.server.Log.Error("a request was open when its connection was closed", "request", c.openRequestID(),
-			"state", previous.String(), "reason", finalReason.String(), "client", c.nc.RemoteAddr().String())
+			"state", previous.String(), "reason", finalReason.String(),
+			"client", c.nc.RemoteAddr().String())
 	}
 	if c.server.Log.Enabled(context.Background(), slog.LevelDebug) {
-		c.server.Log.Debug("connection closed", "client", c.nc.RemoteAddr().String(), "state", previous.String(), "reason", finalReason.String())
+		c.server.Log.Debug("connection closed", "client", c.nc.RemoteAddr().String(),
+			"state", previous.String(), "reason", finalReason.String())
 	}
 }
 
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -65,10 +65,10 @@
 
 // States of an exchange between its worker, which offers it, and the loop, which accepts it.
 const (
-	offered = iota
-	accepted
-	withdrawn
-	stateCount // number of states
+	offered    = iota // queued at a core
+	accepted          // its core has accepted it
+	withdrawn         // it is not to be accepted
+	stateCount        // number of states
 )
 
 // offer queues the exchange at a core; false means that the core's queue is full.
@@ -125,9 +125,9 @@
 	kind         int // one of the constants below
 	dispatchNo   int
 	address      string
-	timeoutMs    float64
-	retryAfterMs float64
-	decidedAt    time.Time
+	timeoutMs    float64   // this and the two fields above: of commandDispatch
+	retryAfterMs float64   // of commandThrottle
+	decidedAt    time.Time // when the module decided the dispatch
 }
 
 // Kinds of commands.
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -50,17 +50,17 @@
 	updatedSettings  atomic.Pointer[settings.Settings]
 	listeners        []Listener
 	mu               sync.Mutex
-	conns            map[*conn]bool
+	conns            map[*conn]bool // those that are not closed; guarded by mu
 	evicting         int            // entries of conns that are being evicted and are not closed yet
 	openListeners    int            // listeners that may still accept connections
 	coreConnections  []atomic.Int64 // connections assigned to each core
 	movedInvocations atomic.Int64   // invocations accepted by another core than their connection's
-	wg               sync.WaitGroup
-	openInvocations  atomic.Int64 // invocations between request head and final answer
-	stopping         atomic.Bool
-	killed           atomic.Bool // no connection is accepted any more, not even those in the kernel's accept queue
-	aborted          atomic.Bool // nothing is waited for any more
-	viaField         string
+	wg               sync.WaitGroup // listeners, and the goroutines of connections
+	openInvocations  atomic.Int64   // invocations between request head and final answer
+	stopping         atomic.Bool    // no new connections and invocations are accepted
+	killed           atomic.Bool    // no connection is accepted any more, not even those in the kernel's accept queue
+	aborted          atomic.Bool    // nothing is waited for any more
+	viaField         string         // this marshal's entry in the Via header
 	limits           h1.Limits
 	headerNames      headerNames
 	Counters         Counters
@@ -99,8 +99,9 @@
 // LogValue returns the counters as one group of a log line.
 func (c *Counters) LogValue() slog.Value {
 	return slog.GroupValue(slog.Int64("connections", c.Connections.Load()), slog.Int64("turned_away", c.Rejected.Load()),
-		slog.Int64("malformed", c.Malformed.Load()), slog.Int64("read", c.RequestsRead.Load()), slog.Int64("answered", c.Answered.Load()),
-		slog.Int64("left", c.ClientsGone.Load()), slog.Int64("held_back", c.SuppressedDispatches.Load()), slog.Int64("unanswered", c.Unanswered.Load()),
+		slog.Int64("malformed", c.Malformed.Load()), slog.Int64("read", c.RequestsRead.Load()),
+		slog.Int64("answered", c.Answered.Load()), slog.Int64("left", c.ClientsGone.Load()),
+		slog.Int64("held_back", c.SuppressedDispatches.Load()), slog.Int64("unanswered", c.Unanswered.Load()),
 		slog.Int64("second_answers", c.SecondAnswers.Load()), slog.String("closed", fmt.Sprint(c.ClosedByReason())))
 }
 
--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -19,6 +19,7 @@
 
 var stateNames = [...]string{"idle", "reading", "taken", "answering", "closing", "closed"}
 
+// String returns the name of the state as it appears in logs.
 func (s state) String() string { return stateNames[s] }
 
 // closeReason is the reason for which a connection closes.
@@ -41,6 +42,7 @@
 var reasonNames = [...]string{"open", "stop", "idle", "evicted", "no first request", "asked", "rejected",
 	"client gone", "write failed", "forced"}
 
+// String returns the name of the reason as it appears in logs and metrics.
 func (r closeReason) String() string { return reasonNames[r] }
 
 // Timeouts of the final read of a connection that is to close. It is needed because a process that was not scheduled may find
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -92,7 +92,7 @@
 	params, err := c.readParams(h)
 	c.lastRequestID, x.requestID = params.RequestID, params.RequestID
 	required := x.requiredClose()
-	if h.BodyLength != 0 { // an unread body stands before the next request
+	if h.BodyLength != 0 { // an unread body precedes the next request on the connection
 		required = closeRejected
 	}
 	var rejected rejection
--- a/internal/front/terms.go
+++ b/internal/front/terms.go
@@ -40,6 +40,7 @@
 	text   string
 }
 
+// Error returns the text that the client gets.
 func (r rejection) Error() string { return r.text }
 
 // NewRejection returns an error that rejects a request with an HTTP status and a text.
--- a/internal/h1/h1_test.go
+++ b/internal/h1/h1_test.go
@@ -50,7 +50,8 @@
 			return
 		}
 		if stdRequest.Method != h.Method || stdRequest.RequestURI != h.Target || !bytes.Equal(body, stdBody) {
-			t.Fatalf("%q: read as %s %q %q, by net/http as %s %q %q", in, h.Method, h.Target, body, stdRequest.Method, stdRequest.RequestURI, stdBody)
+			t.Fatalf("%q: read as %s %q %q, by net/http as %s %q %q", in, h.Method, h.Target, body,
+				stdRequest.Method, stdRequest.RequestURI, stdBody)
 		}
 	})
 }
