--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -120,13 +120,14 @@
 func (x *exchange) core() *marshal.Core { return x.conn.server.Cores[x.offeredCore.Load()][x.pool] }
 func (x *exchange) loop() *loop.Loop    { return x.conn.server.Loops[x.offeredCore.Load()] }
 
-// command is what the loop asks the connection's worker to do.
+// command is what the loop asks the connection's worker to do. dispatchNo, address, timeoutMs and decidedAt belong to
+// commandDispatch, retryAfterMs to commandThrottle.
 type command struct {
 	kind         int // one of the constants below
 	dispatchNo   int
 	address      string
-	timeoutMs    float64   // this and the two fields above: of commandDispatch
-	retryAfterMs float64   // of commandThrottle
+	timeoutMs    float64
+	retryAfterMs float64
 	decidedAt    time.Time // when the module decided the dispatch
 }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -36,18 +36,18 @@
 
 // Server serves the connections of clients.
 type Server struct {
-	Settings *settings.Settings
+	Settings *settings.Settings // at the start; CurrentSettings returns those that apply
 	Clock    loop.Clock
 	Loops    []*loop.Loop      // one per core
 	Cores    [][]*marshal.Core // by core, then by pool
-	Pool     *back.Pool
+	Pool     *back.Pool        // connections to nodes
 	Log      *slog.Logger
 	Protocol ProtocolOptions
 
-	openIDs          sync.Map     // ids of open requests
-	draining         atomic.Bool  // every connection closes after its next answer
-	lingering        atomic.Int64 // rejected connections that still hold a descriptor
-	updatedSettings  atomic.Pointer[settings.Settings]
+	openIDs          sync.Map                          // ids of open requests
+	draining         atomic.Bool                       // every connection closes after its next answer
+	lingering        atomic.Int64                      // rejected connections that still hold a descriptor
+	updatedSettings  atomic.Pointer[settings.Settings] // nil until the first update
 	listeners        []Listener
 	mu               sync.Mutex
 	conns            map[*conn]bool // those that are not closed; guarded by mu
