--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -14,234 +14,247 @@
 	"arrowcleat/internal/h1"
 )
 
-// conn is one client's connection. One goroutine reads heads, and finds out when the client goes; the other one works on one request
-// after the other. The reader stands still while the worker reads a body, and reads no request before the one before has its answer.
+// conn is the connection of one client. Its reader goroutine reads request heads and notices when the client disconnects; its
+// worker goroutine processes one request after the other. The reader pauses while the worker reads a body, and reads no
+// request before the previous one has its answer.
 type conn struct {
-	s        *Server
-	nc       net.Conn
-	life     *lifecycle
-	listener string // that it came to
-	host     string // the client's
-	guard    *time.Timer
-	home     int // the core that takes what nothing binds to another
-	r        *h1.Reader
-	requests chan *request
-	resume   chan struct{}
-	commands chan command
-	gone     atomic.Bool
-	noBody   bool   // the request being worked on is a HEAD
-	id       string // of the request that is open, until its answer begins
-	lastID   string // of the request that was read last, for the log
-	evicted  bool   // it gives way to another; s.mu
-	current  atomic.Pointer[exchange]
-	out      []byte // room for what is written to the client
-	held     []byte // and for an answer that is held
-	body     []byte // and for a request's body
+	server        *Server
+	nc            net.Conn
+	lifecycle     *lifecycle
+	listener      string      // name of the listener that accepted it
+	host          string      // the client's address without the port
+	answerTimer   *time.Timer // fires when run has to answer or to offer the invocation elsewhere; reused
+	homeCore      int         // the core of the invocations that no key binds to another one
+	reader        *h1.Reader
+	requests      chan *request            // from the reader to the worker
+	bodyRead      chan struct{}            // the worker has read the request's body
+	commands      chan command             // from the loop to the worker
+	clientGone    atomic.Bool              // the client has disconnected
+	omitBody      bool                     // the current request is a HEAD
+	openID        string                   // id of the open request, until its answer begins
+	lastRequestID string                   // id of the request read last, for the log
+	evicted       bool                     // it closes in favour of a new connection; guarded by s.mu
+	exchange      atomic.Pointer[exchange] // the invocation in progress, nil for none
+	writeBuf      []byte                   // buffer for what is written to the client
+	responseBuf   []byte                   // buffer for a response that is held until it is complete
+	requestBuf    []byte                   // buffer for a request's body
 }
 
+// request is what the reader hands to the worker: a head, or the error that took its place.
 type request struct {
-	head  *h1.Head
-	began float64 // when its first byte was read
-	fault error   // in place of a head
+	head    *h1.Head
+	startMs float64 // when its first byte was read
+	err     error   // why there is no head
 }
 
-func (c *conn) read() {
-	defer c.s.wg.Done()
+// readLoop is the reader goroutine: it passes requests to the worker until the connection closes.
+func (c *conn) readLoop() {
+	defer c.server.wg.Done()
 	defer close(c.requests)
 	for {
-		began, ok := c.awaitRequest()
+		startMs, ok := c.awaitRequest()
 		if !ok {
 			return
 		}
-		c.readBy(c.s.Current().Times.HeaderMs)
-		h, err := c.r.Request(c.s.limits)
-		if !c.life.taken() {
+		c.setReadDeadline(c.server.CurrentSettings().Times.HeaderMs)
+		h, err := c.reader.Request(c.server.limits)
+		if !c.lifecycle.requestRead() {
 			return
 		}
 		if err != nil {
-			c.requests <- &request{fault: err}
+			c.requests <- &request{err: err}
 			return
 		}
-		body := h.Length != 0
-		if !body {
-			c.life.whole()
+		hasBody := h.BodyLength != 0
+		if !hasBody {
+			c.lifecycle.requestComplete()
 		}
-		c.requests <- &request{head: h, began: began}
-		if body {
-			if _, ok := <-c.resume; !ok {
+		c.requests <- &request{head: h, startMs: startMs}
+		if hasBody {
+			if _, ok := <-c.bodyRead; !ok {
 				return
 			}
-			c.life.whole()
+			c.lifecycle.requestComplete()
 		}
 	}
 }
 
-// awaitRequest waits until the first byte of a request has been read and the request before has its answer. It gives the clock's time at
-// which that byte was read: the client's time runs from then. False says that the connection ends.
-func (c *conn) awaitRequest() (began float64, ok bool) {
-	for c.life.await(time.Now(), ms(c.s.Current().Times.IdleMs)) {
-		_, err := c.r.Peek(1)
+// awaitRequest waits until the first byte of a request has been read and the previous request has its answer. It returns the
+// clock's time at which that byte was read, from which the client's time limit runs. False means that the connection closes.
+func (c *conn) awaitRequest() (startMs float64, ok bool) {
+	for c.lifecycle.awaitRead(time.Now(), ms(c.server.CurrentSettings().Times.IdleMs)) {
+		_, err := c.reader.Peek(1)
 		if err == nil {
-			began = c.s.Clock.Now()
-			return began, c.life.begin()
+			startMs = c.server.Clock.Now()
+			return startMs, c.lifecycle.beginRequest()
 		}
 		if !back.Timeout(err) {
-			c.leave()
+			c.noteClientGone()
 			break
 		}
 	}
 	return 0, false
 }
 
-// readBy bounds the next read, for a first request by what is left until it must be whole. A server that ends waits for nothing more.
-func (c *conn) readBy(within float64) {
-	at := time.Now().Add(ms(within))
-	if by := c.life.firstDue(); !by.IsZero() && by.Before(at) {
-		at = by
+// setReadDeadline bounds the next read, for a first request also by the deadline for its arrival. An aborted server does not
+// wait at all.
+func (c *conn) setReadDeadline(timeoutMs float64) {
+	deadline := time.Now().Add(ms(timeoutMs))
+	if firstDeadline := c.lifecycle.firstRequestDeadline(); !firstDeadline.IsZero() && firstDeadline.Before(deadline) {
+		deadline = firstDeadline
 	}
-	c.nc.SetReadDeadline(at)
-	if c.s.aborted.Load() {
-		c.nc.SetReadDeadline(past)
+	c.nc.SetReadDeadline(deadline)
+	if c.server.aborted.Load() {
+		c.nc.SetReadDeadline(pastDeadline)
 	}
 }
 
-// leave says that the client has gone.
-func (c *conn) leave() {
-	c.gone.Store(true)
-	if x := c.current.Load(); x != nil && !c.s.Faults.Gone {
-		x.lapse()
+// noteClientGone records that the client has disconnected, and reports it to the module.
+func (c *conn) noteClientGone() {
+	c.clientGone.Store(true)
+	if x := c.exchange.Load(); x != nil && !c.server.Faults.IgnoreClientGone {
+		x.reportClientGone()
 	}
 }
 
-func (c *conn) work() {
-	defer c.s.wg.Done()
+// workLoop is the worker goroutine: it processes requests until the connection closes.
+func (c *conn) workLoop() {
+	defer c.server.wg.Done()
 	for req := range c.requests {
-		if ends := c.process(req); ends != keepOpen {
+		if reason := c.process(req); reason != keepOpen {
 			break
 		}
 	}
 	c.finish()
 }
 
-// process works on one request, and says for what the connection ends with it. A request that is owed an answer gets one here if nothing
-// else has given it any.
-func (c *conn) process(req *request) (ends closeReason) {
-	c.s.Counts.Read.Add(1)
-	c.lastID = ""
-	keep := c.serveSafely(req)
-	if c.life.owed() && !c.gone.Load() {
-		c.s.Counts.Unanswered.Add(1)
-		c.s.Log.Error("a request was given up without an answer", "request", c.lastID, "state", stateTaken.String())
-		c.plain(502, Terminated, "terminated: what it did is not known", closeRejected)
-		keep = false
+// process handles one request, and returns the reason for which the connection closes after it. It answers a request that
+// nothing else has answered.
+func (c *conn) process(req *request) (reason closeReason) {
+	c.server.Counters.RequestsRead.Add(1)
+	c.lastRequestID = ""
+	keepAlive := c.serveRecovering(req)
+	if c.lifecycle.answerPending() && !c.clientGone.Load() {
+		c.server.Counters.Unanswered.Add(1)
+		c.server.Log.Error("a request was abandoned without an answer", "request", c.lastRequestID, "state", statePending.String())
+		c.writePlain(502, Terminated, "terminated: what it did is not known", closeRejected)
+		keepAlive = false
 	}
 	switch {
-	case c.life.owed(): // the client has gone, or has only ended its sending: then this reaches it
-		c.s.Counts.Left.Add(1)
-		c.plain(502, Terminated, "given up: the connection was closed", closeGone)
-		ends = closeGone
-	case !keep:
-		c.s.Counts.Answered.Add(1)
-		if ends = c.life.reasonNow(); ends == keepOpen {
-			ends = closeWrite
+	case c.lifecycle.answerPending(): // the client is gone, or has only closed its sending side: then this answer reaches it
+		c.server.Counters.ClientsGone.Add(1)
+		c.writePlain(502, Terminated, "given up: the connection was closed", closeClientGone)
+		reason = closeClientGone
+	case !keepAlive:
+		c.server.Counters.Answered.Add(1)
+		if reason = c.lifecycle.closeReason(); reason == keepOpen {
+			reason = closeWriteFailed
 		}
 	default:
-		c.s.Counts.Answered.Add(1)
+		c.server.Counters.Answered.Add(1)
 	}
-	c.life.answered(ends, time.Now(), c.s.Clock.Now(), ms(c.s.Current().Times.IdleMs))
-	return ends
+	c.lifecycle.finishAnswer(reason, time.Now(), c.server.Clock.Now(), ms(c.server.CurrentSettings().Times.IdleMs))
+	return reason
 }
 
-// beginAnswer is called before the first byte of a final answer. must is for what the connection has to end with it. The result is for what
-// it does, which the answer's head has to say; ok is false where no answer is owed, and nothing may be written.
-func (c *conn) beginAnswer(must closeReason) (ends closeReason, ok bool) {
-	may, more := keepOpen, false
-	if s := c.s; s.draining.Load() || s.stopping.Load() {
-		may, more = closeStop, !s.aborted.Load() && back.Unread(c.nc)
+// beginAnswer is called before the first byte of a final answer. required is the reason for which the connection has to close
+// after it, keepOpen for none. The result is the reason for which it does close, which the answer's head has to announce.
+// ok is false if no answer is pending: then nothing may be written.
+func (c *conn) beginAnswer(required closeReason) (reason closeReason, ok bool) {
+	optional, unread := keepOpen, false
+	if s := c.server; s.draining.Load() || s.stopping.Load() {
+		optional, unread = closeStop, !s.aborted.Load() && back.Unread(c.nc)
 	}
-	ends, was := c.life.answering(must, may, more)
-	if was == stateAnswering {
-		c.s.Counts.SecondAnswers.Add(1)
-		c.s.Log.Error("a second answer was held back", "request", c.lastID)
+	reason, previous := c.lifecycle.beginAnswer(required, optional, unread)
+	if previous == stateAnswering {
+		c.server.Counters.SecondAnswers.Add(1)
+		c.server.Log.Error("a second answer was suppressed", "request", c.lastRequestID)
 	}
-	return ends, was == stateTaken
+	return reason, previous == statePending
 }
 
-// serveSafely is serve; a panic costs the connection, not the process and all that it owes to others.
-func (c *conn) serveSafely(req *request) (keep bool) {
+// serveRecovering calls serve and recovers from a panic, which then costs this connection only and not the process with
+// its other pending answers.
+func (c *conn) serveRecovering(req *request) (keepAlive bool) {
 	defer func() {
 		if p := recover(); p != nil {
-			keep = false
-			c.s.Log.Error("a connection's goroutine panicked", "request", c.lastID, "panic", fmt.Sprint(p), "stack", string(debug.Stack()))
+			keepAlive = false
+			c.server.Log.Error("a connection's goroutine panicked", "request", c.lastRequestID,
+				"panic", fmt.Sprint(p), "stack", string(debug.Stack()))
 		}
 	}()
 	return c.serve(req)
 }
 
-// finish closes the connection once its lifecycle allows it. The reader, if it still waits, ends with it.
+// finish closes the connection after its last request, which also ends a reader that still waits.
 func (c *conn) finish() {
-	if c.life.reasonNow() == closeRejected || c.s.Faults.Discards {
-		c.discardRest()
+	if c.lifecycle.closeReason() == closeRejected || c.server.Faults.DiscardUnread {
+		c.linger()
 	}
-	c.end(closeGone)
-	close(c.resume)
-	for range c.requests { // the reader hands on nothing more, and closes this as it ends
-		c.s.Counts.Unanswered.Add(1)
-		c.s.Log.Error("a request was read and is not answered", "request", c.lastID)
+	c.closeSocket(closeClientGone)
+	close(c.bodyRead)
+	for range c.requests { // the reader should send nothing more, and closes the channel when it ends
+		c.server.Counters.Unanswered.Add(1)
+		c.server.Log.Error("a request was read but not answered", "request", c.lastRequestID)
 	}
-	c.s.remove(c)
+	c.server.remove(c)
 }
 
-// end closes the socket without reading from it: what has come unread stays so, and the kernel tells the client.
-func (c *conn) end(why closeReason) {
-	was, reason := c.life.close(why)
-	if was == stateClosed {
+// closeSocket closes the socket without reading from it: if unread data has arrived, the kernel resets the connection, so that
+// the client can tell.
+func (c *conn) closeSocket(reason closeReason) {
+	previous, finalReason := c.lifecycle.close(reason)
+	if previous == stateClosed {
 		return
 	}
 	c.nc.Close()
-	c.s.Counts.Closed[reason].Add(1)
-	if why == closeForced && (was == stateTaken || was == stateAnswering) && !c.gone.Load() {
-		c.s.Counts.Unanswered.Add(1)
-		c.s.Log.Error("a request was open when its connection was closed", "request", c.openID(), "state", was.String(), "reason", reason.String(), "client", c.nc.RemoteAddr().String())
+	c.server.Counters.Closed[finalReason].Add(1)
+	if reason == closeForced && (previous == statePending || previous == stateAnswering) && !c.clientGone.Load() {
+		c.server.Counters.Unanswered.Add(1)
+		c.server.Log.Error("a request was open when its connection was closed", "request", c.openRequestID(),
+			"state", previous.String(), "reason", finalReason.String(),
+			"client", c.nc.RemoteAddr().String())
 	}
-	if c.s.Log.Enabled(context.Background(), slog.LevelDebug) {
-		c.s.Log.Debug("connection closed", "client", c.nc.RemoteAddr().String(), "state", was.String(), "reason", reason.String())
+	if c.server.Log.Enabled(context.Background(), slog.LevelDebug) {
+		c.server.Log.Debug("connection closed", "client", c.nc.RemoteAddr().String(),
+			"state", previous.String(), "reason", finalReason.String())
 	}
 }
 
-// openID is the id of the request that is worked on, empty where it has none.
-func (c *conn) openID() string {
-	if x := c.current.Load(); x != nil {
+// openRequestID returns the id of the request in progress, empty if it has none.
+func (c *conn) openRequestID() string {
+	if x := c.exchange.Load(); x != nil {
 		return x.requestID
 	}
 	return ""
 }
 
-// discardRest lets the client read why its request was rejected before the connection is gone: it may still be sending the rest of that
-// request, and closing with something unread would reset it.
-func (c *conn) discardRest() {
-	if t, ok := c.nc.(halfCloser); ok && !c.gone.Load() {
+// linger lets the client read why its request was rejected before the connection closes: the client may still be sending the
+// rest of that request, and closing with unread data would reset the connection.
+func (c *conn) linger() {
+	if t, ok := c.nc.(halfCloser); ok && !c.clientGone.Load() {
 		t.CloseWrite()
-		c.nc.SetReadDeadline(time.Now().Add(lingerFor))
+		c.nc.SetReadDeadline(time.Now().Add(lingerTimeout))
 		io.CopyN(io.Discard, c.nc, lingerBytes)
 	}
 }
 
+// halfCloser is a connection whose sending side can be closed alone.
 type halfCloser interface{ CloseWrite() error }
 
-// interrupt ends what the worker waits for at a node.
-func (c *conn) interrupt() {
-	if x := c.current.Load(); x != nil {
+// terminateExchange terminates the invocation in progress, so that the worker stops waiting for a node.
+func (c *conn) terminateExchange() {
+	if x := c.exchange.Load(); x != nil {
 		x.Abrupt()
 	}
 }
 
-// write sends what is in out.
+// write sends the contents of writeBuf to the client.
 func (c *conn) write() error {
-	c.nc.SetWriteDeadline(time.Now().Add(ms(c.s.Current().Times.WriteMs)))
-	_, err := c.nc.Write(c.out)
-	if cap(c.out) > 1<<16 {
-		c.out = nil
+	c.nc.SetWriteDeadline(time.Now().Add(ms(c.server.CurrentSettings().Times.WriteMs)))
+	_, err := c.nc.Write(c.writeBuf)
+	if cap(c.writeBuf) > maxReusedBufferBytes {
+		c.writeBuf = nil
 	}
 	return err
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -20,36 +20,37 @@
 	"arrowcleat/internal/settings"
 )
 
-// serving starts a clients' side with room for so many connections; every request is answered before it is taken.
-func serving(t *testing.T, connections uint32, terms Terms) (*Server, string) {
+// startServer starts a server with a limit of connections. No loop runs, so every request is answered without being accepted.
+func startServer(t *testing.T, maxConnections uint32, protocol ProtocolOptions) (*Server, string) {
 	t.Helper()
-	s, address, _ := counted(t, connections, terms)
+	s, address, _ := startCountingServer(t, maxConnections, protocol)
 	return s, address
 }
 
-// reading counts the reads on the connections that a listener accepts.
-type reading struct {
+// countingListener counts the reads on the connections that it accepts.
+type countingListener struct {
 	net.Listener
 	reads *atomic.Int64
 }
 
-type readConn struct {
+// countingConn counts the reads on a connection.
+type countingConn struct {
 	net.Conn
 	reads *atomic.Int64
 }
 
-func (r reading) Accept() (net.Conn, error) {
-	nc, err := r.Listener.Accept()
-	return readConn{nc, r.reads}, err
+func (l countingListener) Accept() (net.Conn, error) {
+	nc, err := l.Listener.Accept()
+	return countingConn{nc, l.reads}, err
 }
 
-func (c readConn) Read(b []byte) (int, error) {
+func (c countingConn) Read(b []byte) (int, error) {
 	c.reads.Add(1)
 	return c.Conn.Read(b)
 }
 
-// counted is serving, with a count of reads.
-func counted(t *testing.T, connections uint32, terms Terms) (*Server, string, *atomic.Int64) {
+// startCountingServer is startServer with a count of reads.
+func startCountingServer(t *testing.T, maxConnections uint32, protocol ProtocolOptions) (*Server, string, *atomic.Int64) {
 	t.Helper()
 	reads := &atomic.Int64{}
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -57,18 +58,19 @@
 		t.Fatal(err)
 	}
 	clock := loop.Monotonic()
-	s := &Server{Set: &settings.Settings{Instance: &settings.Instance{}, Headers: &settings.Headers{},
+	s := &Server{Settings: &settings.Settings{Instance: &settings.Instance{}, Headers: &settings.Headers{},
 		Operation: []*settings.Operation{{Name: "x"}},
-		Limits:    &settings.Limits{Connections: connections, Open: connections, LineBytes: 1000, HeaderBytes: 1000, RepeatBodyBytes: 100},
+		Limits:    &settings.Limits{Connections: maxConnections, Open: maxConnections, LineBytes: 1000, HeaderBytes: 1000, RepeatBodyBytes: 100},
 		Times:     &settings.Times{HeaderMs: 1000, BodyMs: 1000, WriteMs: 1000, IdleMs: 1000}},
 		Clock: clock, Loops: []*loop.Loop{loop.New(clock, 1)}, Cores: [][]*marshal.Core{{nil}}, Pool: &back.Pool{},
-		Log: slog.New(slog.DiscardHandler), Terms: terms}
-	go s.Serve([]Listener{{Listener: reading{ln, reads}}})
+		Log: slog.New(slog.DiscardHandler), Protocol: protocol}
+	go s.Serve([]Listener{{Listener: countingListener{ln, reads}}})
 	t.Cleanup(func() { s.Close(time.Second) })
 	return s, ln.Addr().String(), reads
 }
 
-func ask(nc net.Conn, text string) (int, error) {
+// roundTrip sends a request and returns the status of its response.
+func roundTrip(nc net.Conn, text string) (int, error) {
 	nc.SetDeadline(time.Now().Add(3 * time.Second))
 	if _, err := io.WriteString(nc, text); err != nil {
 		return 0, err
@@ -80,13 +82,14 @@
 	return r.StatusCode, r.Body.Close()
 }
 
-const healthy = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
+// healthRequest is a request to the health check of the protocol options below.
+const healthRequest = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// Clients that come all at once and ask at once are all answered: none gives way before its request has been read.
+// Clients that all connect and send a request at once all get an answer: none is evicted before its request has been read.
 func TestBurstOfConnections(t *testing.T) {
-	_, address := serving(t, 20, Terms{Health: "/healthz", FirstMs: 2000})
+	_, address := startServer(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 2000})
 	var wg sync.WaitGroup
-	var lost atomic.Int32
+	var unanswered atomic.Int32
 	for range 120 {
 		wg.Go(func() {
 			nc, err := net.Dial("tcp", address)
@@ -95,21 +98,21 @@
 				return
 			}
 			defer nc.Close()
-			if status, err := ask(nc, healthy); err != nil || status != 200 && status != 503 {
-				lost.Add(1)
+			if status, err := roundTrip(nc, healthRequest); err != nil || status != 200 && status != 503 {
+				unanswered.Add(1)
 				t.Log(status, err)
 			}
 		})
 	}
 	wg.Wait()
-	if n := lost.Load(); n > 0 {
-		t.Errorf("%d of 120 requests got no answer", n)
+	if n := unanswered.Load(); n > 0 {
+		t.Errorf("%d of 120 requests were not answered", n)
 	}
 }
 
-// Clients that say nothing give way to one that asks, and are closed in time in any case.
+// Clients that send nothing are evicted for one that sends a request, and time out in any case.
 func TestSilentClients(t *testing.T) {
-	_, address := serving(t, 20, Terms{Health: "/healthz", FirstMs: 600})
+	_, address := startServer(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 600})
 	var silent []net.Conn
 	for range 60 {
 		nc, err := net.Dial("tcp", address)
@@ -125,8 +128,8 @@
 		t.Fatal(err)
 	}
 	defer nc.Close()
-	if status, err := ask(nc, healthy); status != 200 || err != nil {
-		t.Errorf("a client that asks among silent ones: %d, %v", status, err)
+	if status, err := roundTrip(nc, healthRequest); status != 200 || err != nil {
+		t.Errorf("a request among silent clients: status %d, error %v; want 200", status, err)
 	}
 	for i, c := range silent {
 		c.SetReadDeadline(time.Now().Add(2 * time.Second))
@@ -136,15 +139,16 @@
 	}
 }
 
-// Terms turn away what is too long, and a second request of an id that is open, before either is taken.
-func TestTerms(t *testing.T) {
-	s, address := serving(t, 20, Terms{MostBody: 10, FirstMs: 1000, Read: func(h *h1.Head) (a Asked, err error) {
-		if a.ID = h.Header.Get("X-Id"); a.ID == "" {
-			return a, Refused(400, "no id")
-		}
-		return a, nil
-	}})
-	s.ids.Store("open", true)
+// With protocol options, a body that is too long and a second request with an open id are rejected before they are accepted.
+func TestProtocolOptions(t *testing.T) {
+	s, address := startServer(t, 20, ProtocolOptions{MaxBodyBytes: 10, FirstRequestTimeoutMs: 1000,
+		ParseRequest: func(h *h1.Head) (params RequestParams, err error) {
+			if params.RequestID = h.Header.Get("X-Id"); params.RequestID == "" {
+				return params, NewRejection(400, "no id")
+			}
+			return params, nil
+		}})
+	s.openIDs.Store("open", true)
 	for text, want := range map[string]int{
 		"Content-Length: 5\r\n\r\nhello":              400,
 		"X-Id: a\r\nContent-Length: 60000000\r\n\r\n": 413,
@@ -156,28 +160,29 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if status, err := ask(nc, fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\n%s", text)); status != want || err != nil {
-			t.Errorf("%.60q: %d, %v; want %d", text, status, err, want)
+		if status, err := roundTrip(nc, fmt.Sprintf("POST / HTTP/1.1\r\nHost: x\r\n%s", text)); status != want || err != nil {
+			t.Errorf("%.60q: status %d, error %v; want %d", text, status, err, want)
 		}
 		nc.Close()
 	}
 }
 
-// While a client waits for its answer for longer than a first request may take to arrive, its reader sleeps.
-func TestReaderSleepsWhileAnswerIsOut(t *testing.T) {
-	for body, request := range map[string]string{"no body": "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
+// While a client waits for its answer for longer than the timeout of a first request, its reader sleeps and does not poll.
+func TestReaderSleepsWhileAnswerPending(t *testing.T) {
+	for name, request := range map[string]string{"no body": "GET / HTTP/1.1\r\nHost: x\r\n\r\n",
 		"body": "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 2\r\n\r\nab"} {
-		_, address, reads := counted(t, 20, Terms{FirstMs: 50, Read: func(*h1.Head) (Asked, error) { return Asked{Limit: 400}, nil }})
+		_, address, reads := startCountingServer(t, 20, ProtocolOptions{FirstRequestTimeoutMs: 50,
+			ParseRequest: func(*h1.Head) (RequestParams, error) { return RequestParams{LimitMs: 400}, nil }})
 		nc, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		if status, err := ask(nc, request); status != 503 || err != nil { // no loop runs that could take it
-			t.Errorf("%s: %d, %v; want 503", body, status, err)
+		if status, err := roundTrip(nc, request); status != 503 || err != nil { // no loop runs that could accept it
+			t.Errorf("%s: status %d, error %v; want 503", name, status, err)
 		}
 		if n := reads.Load(); n > 10 {
-			t.Errorf("%s: %d reads while the client waited; want a few", body, n)
+			t.Errorf("%s: %d reads while the client waited; want at most 10", name, n)
 		}
 	}
 }
--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -1,5 +1,5 @@
-// Package h1 frames HTTP/1.1 messages (RFC 9110, RFC 9112) on top of net/textproto: it reads heads, says where
-// bodies end, and writes both. What could be read in two ways is an error and never handed on.
+// Package h1 reads and writes HTTP/1.1 messages (RFC 9110, RFC 9112) on top of net/textproto: it reads heads, finds the end
+// of bodies, and appends heads and chunks to buffers. A message that is ambiguous is an error and never passed on.
 package h1
 
 import (
@@ -15,20 +15,25 @@
 	"strings"
 )
 
-// Limits bounds what a head may take.
+// Limits bounds the size of a head.
 type Limits struct {
-	Line, Header int // bytes of the first line, and of all header lines
+	LineBytes, HeaderBytes int // of the first line, and of all header lines together
 }
 
-// Errors that say how a message is answered. Anything else that a reader returns is the connection's.
+// Errors of a message, which determine how it is answered. Any other error that a Reader returns comes from the connection.
 var (
+	// ErrMalformed is the error of a message that is ambiguous or not valid HTTP/1.
 	ErrMalformed = errors.New("malformed message")
-	ErrTooLarge  = errors.New("head too large")
-	ErrCoding    = errors.New("transfer coding not known")
-	ErrVersion   = errors.New("HTTP version not known")
+	// ErrTooLarge is the error of a message that exceeds a limit on its size.
+	ErrTooLarge = errors.New("head too large")
+	// ErrTransferCoding is the error of a transfer coding other than chunked.
+	ErrTransferCoding = errors.New("transfer coding not known")
+	// ErrVersion is the error of an HTTP version other than 1.0 and 1.1.
+	ErrVersion = errors.New("HTTP version not known")
 )
 
-func malformed(format string, a ...any) error {
+// malformedErr returns an ErrMalformed with a description.
+func malformedErr(format string, a ...any) error {
 	return fmt.Errorf("%w: "+format, append([]any{ErrMalformed}, a...)...)
 }
 
@@ -37,84 +42,88 @@
 	Method, Target string // of a request
 	Status         int    // of a response
 	Reason         string
-	Minor          int // 0 for HTTP/1.0
+	MinorVersion   int // of the HTTP version: 0 for HTTP/1.0, 1 for HTTP/1.1
 	Header         textproto.MIMEHeader
-	Length         int64 // of the body: Chunked, ToEnd or its bytes
-	Close          bool  // the connection ends with this message
+	BodyLength     int64 // in bytes, or Chunked or UntilClose
+	Close          bool  // the connection closes after this message
 }
 
-// Lengths that are no number of bytes.
+// Special values of Head.BodyLength.
 const (
+	// Chunked is the length of a body in the chunked transfer coding.
 	Chunked = -1
-	ToEnd   = -2
+	// UntilClose is the length of a body that ends with the connection.
+	UntilClose = -2
 )
 
 // Reader reads messages from one connection.
 type Reader struct {
 	*bufio.Reader
-	text textproto.Reader
-	gate gate
+	textReader textproto.Reader
+	limiter    headLimiter
 }
 
-// gate bounds what a head may take from the connection below the buffer.
-type gate struct {
-	r    io.Reader
-	left int   // -1: unbounded
-	err  error // of the last read
+// headLimiter bounds the bytes that reading a head takes from the connection. It sits below the buffer.
+type headLimiter struct {
+	r         io.Reader
+	remaining int   // bytes that may still be read; -1: unlimited
+	err       error // of the last read
 }
 
-func (g *gate) Read(p []byte) (int, error) {
-	if g.left == 0 {
-		g.err = ErrTooLarge
+// Read reads from the connection, at most as many bytes as remain.
+func (l *headLimiter) Read(p []byte) (int, error) {
+	if l.remaining == 0 {
+		l.err = ErrTooLarge
 		return 0, ErrTooLarge
 	}
-	if g.left > 0 && len(p) > g.left {
-		p = p[:g.left]
+	if l.remaining > 0 && len(p) > l.remaining {
+		p = p[:l.remaining]
 	}
-	n, err := g.r.Read(p)
-	if g.left > 0 {
-		g.left -= n
+	n, err := l.r.Read(p)
+	if l.remaining > 0 {
+		l.remaining -= n
 	}
-	g.err = err
+	l.err = err
 	return n, err
 }
 
-// NewReader reads from r through a buffer of the given size.
+// NewReader returns a Reader of the messages on r, with a buffer of size bytes.
 func NewReader(r io.Reader, size int) *Reader {
-	t := &Reader{gate: gate{r: r, left: -1}}
-	t.Reader = bufio.NewReaderSize(&t.gate, size)
-	t.text = textproto.Reader{R: t.Reader}
-	return t
+	reader := &Reader{limiter: headLimiter{r: r, remaining: -1}}
+	reader.Reader = bufio.NewReaderSize(&reader.limiter, size)
+	reader.textReader = textproto.Reader{R: reader.Reader}
+	return reader
 }
 
-// Reset takes another connection; what is left in the buffer is dropped.
-func (r *Reader) Reset(c io.Reader) {
-	r.gate = gate{r: c, left: -1}
-	r.Reader.Reset(&r.gate)
+// Reset switches to another connection and discards what is buffered.
+func (r *Reader) Reset(conn io.Reader) {
+	r.limiter = headLimiter{r: conn, remaining: -1}
+	r.Reader.Reset(&r.limiter)
 }
 
-func (r *Reader) head(l Limits) (string, textproto.MIMEHeader, error) {
-	r.gate.left = l.Line + l.Header
-	defer func() { r.gate.left = -1 }()
-	line, err := r.text.ReadLine()
+// readHead reads the first line and the header of a message.
+func (r *Reader) readHead(l Limits) (string, textproto.MIMEHeader, error) {
+	r.limiter.remaining = l.LineBytes + l.HeaderBytes
+	defer func() { r.limiter.remaining = -1 }()
+	line, err := r.textReader.ReadLine()
 	if err != nil {
 		return "", nil, err
 	}
-	if len(line) > l.Line {
+	if len(line) > l.LineBytes {
 		return "", nil, ErrTooLarge
 	}
 	for i := range len(line) {
 		if line[i] < ' ' || line[i] == 0x7f {
-			return "", nil, malformed("control character in the first line")
+			return "", nil, malformedErr("control character in the first line")
 		}
 	}
-	header, err := r.text.ReadMIMEHeader()
+	header, err := r.textReader.ReadMIMEHeader()
 	if err != nil {
 		var bad textproto.ProtocolError
-		if r.gate.err != nil { // half a line looks malformed; the connection says why it is half
-			err = r.gate.err
+		if r.limiter.err != nil { // a truncated line looks malformed; the connection's error says why it is truncated
+			err = r.limiter.err
 		} else if errors.As(err, &bad) {
-			return "", nil, malformed("%s", string(bad))
+			return "", nil, malformedErr("%s", string(bad))
 		}
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
@@ -123,19 +132,19 @@
 	}
 	size := 0
 	for name, values := range header {
-		if !token(name) {
-			return "", nil, malformed("header name %.40q", name)
+		if !isToken(name) {
+			return "", nil, malformedErr("header name %.40q", name)
 		}
 		for _, v := range values {
-			size += len(name) + len(v) + 4
+			size += len(name) + len(v) + 4 // with ": " and the line end
 			for i := range len(v) {
 				if v[i] < ' ' && v[i] != '\t' || v[i] == 0x7f {
-					return "", nil, malformed("control character in header %s", name)
+					return "", nil, malformedErr("control character in header %s", name)
 				}
 			}
 		}
 	}
-	if size > l.Header {
+	if size > l.HeaderBytes {
 		return "", nil, ErrTooLarge
 	}
 	return line, header, nil
@@ -143,7 +152,7 @@
 
 // Request reads the head of a request.
 func (r *Reader) Request(l Limits) (*Head, error) {
-	for { // an empty line before a request is let pass (RFC 9112, 2.2)
+	for { // empty lines before a request are ignored (RFC 9112, 2.2)
 		b, err := r.Peek(1)
 		if err != nil {
 			return nil, err
@@ -153,35 +162,35 @@
 		}
 		r.Discard(1)
 	}
-	line, header, err := r.head(l)
+	line, header, err := r.readHead(l)
 	if err != nil {
 		return nil, err
 	}
 	method, rest, ok := strings.Cut(line, " ")
 	target, version, ok2 := strings.Cut(rest, " ")
-	if !ok || !ok2 || !token(method) || target == "" || strings.Contains(version, " ") {
-		return nil, malformed("request line %.60q", line)
+	if !ok || !ok2 || !isToken(method) || target == "" || strings.Contains(version, " ") {
+		return nil, malformedErr("request line %.60q", line)
 	}
 	h := &Head{Method: method, Target: target, Header: header}
-	if err := h.version(version); err != nil {
+	if err := h.parseVersion(version); err != nil {
 		return nil, err
 	}
 	hosts := header["Host"]
-	if len(hosts) > 1 || len(hosts) == 0 && h.Minor > 0 {
-		return nil, malformed("%d Host headers where one is due", len(hosts))
+	if len(hosts) > 1 || len(hosts) == 0 && h.MinorVersion > 0 {
+		return nil, malformedErr("%d Host headers where one is due", len(hosts))
 	}
-	if err := h.framing(); err != nil {
+	if err := h.parseFraming(); err != nil {
 		return nil, err
 	}
-	if h.Length == ToEnd {
-		h.Length = 0
+	if h.BodyLength == UntilClose {
+		h.BodyLength = 0
 	}
 	return h, nil
 }
 
 // Response reads the head of a response to a request of the given method.
 func (r *Reader) Response(method string, l Limits) (*Head, error) {
-	line, header, err := r.head(l)
+	line, header, err := r.readHead(l)
 	if err != nil {
 		return nil, err
 	}
@@ -189,69 +198,70 @@
 	code, reason, _ := strings.Cut(rest, " ")
 	status, err := strconv.Atoi(code)
 	if err != nil || len(code) != 3 || status < 100 {
-		return nil, malformed("status line %.60q", line)
+		return nil, malformedErr("status line %.60q", line)
 	}
 	h := &Head{Status: status, Reason: reason, Header: header}
-	if err := h.version(version); err != nil {
+	if err := h.parseVersion(version); err != nil {
 		return nil, err
 	}
-	if err := h.framing(); err != nil {
+	if err := h.parseFraming(); err != nil {
 		return nil, err
 	}
 	if method == "HEAD" || status < 200 || status == 204 || status == 304 {
-		h.Length = 0
-	} else if h.Length == ToEnd {
+		h.BodyLength = 0
+	} else if h.BodyLength == UntilClose {
 		h.Close = true
 	}
 	return h, nil
 }
 
-func (h *Head) version(v string) error {
+// parseVersion sets MinorVersion.
+func (h *Head) parseVersion(v string) error {
 	switch v {
 	case "HTTP/1.1":
-		h.Minor = 1
+		h.MinorVersion = 1
 	case "HTTP/1.0":
 	default:
 		if len(v) == 8 && strings.HasPrefix(v, "HTTP/") && v[6] == '.' {
 			return ErrVersion
 		}
-		return malformed("version %.20q", v)
+		return malformedErr("version %.20q", v)
 	}
 	return nil
 }
 
-// framing finds where the body ends. Two ways to tell, or an odd one, are malformed: RFC 9112, 6.3.
-func (h *Head) framing() error {
+// parseFraming sets BodyLength and Close. Contradictory or unusual framing is malformed (RFC 9112, 6.3).
+func (h *Head) parseFraming() error {
 	connection := h.Header["Connection"]
-	h.Close = Listed(connection, "close") || h.Minor == 0 && !Listed(connection, "keep-alive")
+	h.Close = ListsToken(connection, "close") || h.MinorVersion == 0 && !ListsToken(connection, "keep-alive")
 	codings, lengths := h.Header["Transfer-Encoding"], h.Header["Content-Length"]
 	if len(codings) > 0 {
 		if len(lengths) > 0 {
-			return malformed("both Content-Length and Transfer-Encoding")
+			return malformedErr("both Content-Length and Transfer-Encoding")
 		}
-		if h.Minor == 0 {
-			return malformed("Transfer-Encoding in HTTP/1.0")
+		if h.MinorVersion == 0 {
+			return malformedErr("Transfer-Encoding in HTTP/1.0")
 		}
 		if len(codings) > 1 || !strings.EqualFold(codings[0], "chunked") {
-			return fmt.Errorf("%w: %.40q", ErrCoding, strings.Join(codings, ", "))
+			return fmt.Errorf("%w: %.40q", ErrTransferCoding, strings.Join(codings, ", "))
 		}
-		h.Length = Chunked
+		h.BodyLength = Chunked
 		return nil
 	}
-	h.Length = ToEnd
+	h.BodyLength = UntilClose
 	if len(lengths) > 0 {
 		text := lengths[0]
 		n, err := strconv.ParseInt(text, 10, 64)
 		if len(lengths) > 1 || err != nil || n < 0 || text[0] == '+' || text[0] == '-' {
-			return malformed("Content-Length %.40q", strings.Join(lengths, ", "))
+			return malformedErr("Content-Length %.40q", strings.Join(lengths, ", "))
 		}
-		h.Length = n
+		h.BodyLength = n
 	}
 	return nil
 }
 
-// Listed says that a comma-separated header names a token.
-func Listed(values []string, token string) bool {
+// ListsToken reports whether a comma-separated header field contains a token, in any case.
+func ListsToken(values []string, token string) bool {
 	for _, v := range values {
 		for part := range strings.SplitSeq(v, ",") {
 			if strings.EqualFold(strings.TrimSpace(part), token) {
@@ -262,31 +272,32 @@
 	return false
 }
 
-// Expects says that a request's body waits for 100 Continue.
-func (h *Head) Expects() bool {
-	return h.Minor > 0 && h.Length != 0 && Listed(h.Header["Expect"], "100-continue")
+// ExpectsContinue reports whether the client waits for 100 Continue before it sends the body.
+func (h *Head) ExpectsContinue() bool {
+	return h.MinorVersion > 0 && h.BodyLength != 0 && ListsToken(h.Header["Expect"], "100-continue")
 }
 
-// hop are the header names that end at a hop (RFC 9110, 7.6.1), those of old among them.
-var hop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
+// hopByHop are the names of hop-by-hop header fields (RFC 9110, 7.6.1), including obsolete ones.
+var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Transfer-Encoding", "Upgrade", "Expect"}
 
-// DropHops removes what is meant for this hop only, with all that Connection names.
-func (h *Head) DropHops() {
+// RemoveHopByHop removes the hop-by-hop header fields, including those that Connection lists.
+func (h *Head) RemoveHopByHop() {
 	for _, v := range h.Header["Connection"] {
 		for part := range strings.SplitSeq(v, ",") {
 			name := textproto.CanonicalMIMEHeaderKey(strings.TrimSpace(part))
-			if name != "Content-Length" && name != "Host" { // what frames and routes stays, whatever is named
+			if name != "Content-Length" && name != "Host" { // framing and routing fields stay even if they are listed
 				delete(h.Header, name)
 			}
 		}
 	}
-	for _, name := range hop {
+	for _, name := range hopByHop {
 		delete(h.Header, name)
 	}
 }
 
-func token(s string) bool {
+// isToken reports whether s is a token (RFC 9110, 5.6.2).
+func isToken(s string) bool {
 	for i := range len(s) {
 		c := s[i]
 		if c <= ' ' || c >= 0x7f || strings.IndexByte("\"(),/:;<=>?@[\\]{}", c) >= 0 {
@@ -296,30 +307,30 @@
 	return s != ""
 }
 
-// Body reads the body of the message whose head was read last; it ends with io.EOF, and its trailers are then
-// in the header under the names that http.TrailerPrefix does not need: Trailers.
+// Body reads the body of the message whose head was read last. It ends with io.EOF; Trailers is set by then.
 type Body struct {
-	r       *Reader
-	limits  Limits
-	chunked io.Reader
-	left    int64 // ToEnd: until the connection ends
-	err     error
+	r         *Reader
+	limits    Limits
+	chunked   io.Reader // nil for a body of another kind
+	remaining int64     // bytes; UntilClose: until the connection closes
+	err       error
 
-	Trailers textproto.MIMEHeader
+	Trailers textproto.MIMEHeader // the allowed ones, nil for none
 }
 
-// Body gives the body of a message.
+// Body returns the body of the message with head h.
 func (r *Reader) Body(h *Head, l Limits) *Body {
-	b := &Body{r: r, left: h.Length, limits: l}
-	if h.Length == Chunked {
+	b := &Body{r: r, remaining: h.BodyLength, limits: l}
+	if h.BodyLength == Chunked {
 		b.chunked = httputil.NewChunkedReader(r.Reader)
 	}
 	return b
 }
 
-// Done says that the body has ended whole.
-func (b *Body) Done() bool { return b.err == io.EOF || b.chunked == nil && b.left == 0 }
+// Done reports whether the body has been read to its end.
+func (b *Body) Done() bool { return b.err == io.EOF || b.chunked == nil && b.remaining == 0 }
 
+// Read reads from the body. It returns io.ErrUnexpectedEOF if the connection ends before the body does.
 func (b *Body) Read(p []byte) (n int, err error) {
 	switch {
 	case b.err != nil:
@@ -327,22 +338,22 @@
 	case b.chunked != nil:
 		n, err = b.chunked.Read(p)
 		if err == io.EOF {
-			if err = b.trailers(); err == nil {
+			if err = b.readTrailers(); err == nil {
 				err = io.EOF
 			}
-		} else if err != nil && !connErr(err) {
-			err = malformed("chunk: %v", err)
+		} else if err != nil && !isConnErr(err) {
+			err = malformedErr("chunk: %v", err)
 		}
-	case b.left == 0:
+	case b.remaining == 0:
 		err = io.EOF
-	case b.left == ToEnd:
+	case b.remaining == UntilClose:
 		n, err = b.r.Read(p)
 	default:
-		if int64(len(p)) > b.left {
-			p = p[:b.left]
+		if int64(len(p)) > b.remaining {
+			p = p[:b.remaining]
 		}
 		n, err = b.r.Read(p)
-		b.left -= int64(n)
+		b.remaining -= int64(n)
 		if err == io.EOF {
 			err = io.ErrUnexpectedEOF
 		}
@@ -351,32 +362,34 @@
 	return n, err
 }
 
-// connErr tells the connection's errors from what the chunked reader found wrong.
-func connErr(err error) bool {
+// isConnErr reports whether an error of the chunked reader comes from the connection and not from the encoding: only errors
+// of the network have a Timeout method.
+func isConnErr(err error) bool {
 	type timeout interface{ Timeout() bool }
 	var t timeout
 	return errors.As(err, &t) || errors.Is(err, io.ErrUnexpectedEOF)
 }
 
-func (b *Body) trailers() error {
-	b.r.gate.left = b.limits.Header
-	defer func() { b.r.gate.left = -1 }()
-	header, err := b.r.text.ReadMIMEHeader()
+// readTrailers reads the trailer section and sets Trailers.
+func (b *Body) readTrailers() error {
+	b.r.limiter.remaining = b.limits.HeaderBytes
+	defer func() { b.r.limiter.remaining = -1 }()
+	header, err := b.r.textReader.ReadMIMEHeader()
 	if err != nil {
-		if b.r.gate.err != nil {
-			err = b.r.gate.err
+		if b.r.limiter.err != nil {
+			err = b.r.limiter.err
 		}
 		if err == io.EOF {
 			return io.ErrUnexpectedEOF
 		}
 		var bad textproto.ProtocolError
 		if errors.As(err, &bad) {
-			return malformed("trailer: %s", string(bad))
+			return malformedErr("trailer: %s", string(bad))
 		}
 		return err
 	}
-	for name := range header { // what frames, routes or ends at a hop may not come late (RFC 9110, 6.5.1)
-		if !token(name) || name == "Content-Length" || name == "Host" || slices.Contains(hop, name) {
+	for name := range header { // framing, routing and hop-by-hop fields are not allowed in trailers (RFC 9110, 6.5.1)
+		if !isToken(name) || name == "Content-Length" || name == "Host" || slices.Contains(hopByHop, name) {
 			delete(header, name)
 		}
 	}
@@ -386,34 +399,34 @@
 	return nil
 }
 
-// AppendHeader appends header lines in order of their names, but for some, without the empty line.
-func AppendHeader(to []byte, header textproto.MIMEHeader, but ...string) []byte {
-	var room [32]string
-	names := slices.AppendSeq(room[:0], maps.Keys(header))
+// AppendHeader appends header lines in the order of their names, except those given, and no empty line.
+func AppendHeader(dst []byte, header textproto.MIMEHeader, except ...string) []byte {
+	var buf [32]string // avoids an allocation for most headers
+	names := slices.AppendSeq(buf[:0], maps.Keys(header))
 	slices.Sort(names)
 	for _, name := range names {
-		if slices.Contains(but, name) {
+		if slices.Contains(except, name) {
 			continue
 		}
 		for _, v := range header[name] {
-			to = append(append(append(append(to, name...), ": "...), v...), "\r\n"...)
+			dst = append(append(append(append(dst, name...), ": "...), v...), "\r\n"...)
 		}
 	}
-	return to
+	return dst
 }
 
 // AppendField appends one header line.
-func AppendField(to []byte, name, value string) []byte {
-	return append(append(append(append(to, name...), ": "...), value...), "\r\n"...)
+func AppendField(dst []byte, name, value string) []byte {
+	return append(append(append(append(dst, name...), ": "...), value...), "\r\n"...)
 }
 
 // AppendChunk appends one chunk.
-func AppendChunk(to, data []byte) []byte {
-	to = append(strconv.AppendInt(to, int64(len(data)), 16), "\r\n"...)
-	return append(append(to, data...), "\r\n"...)
+func AppendChunk(dst, data []byte) []byte {
+	dst = append(strconv.AppendInt(dst, int64(len(data)), 16), "\r\n"...)
+	return append(append(dst, data...), "\r\n"...)
 }
 
-// AppendLastChunk appends the chunk that ends a body, with its trailers.
-func AppendLastChunk(to []byte, trailers textproto.MIMEHeader) []byte {
-	return append(AppendHeader(append(to, "0\r\n"...), trailers), "\r\n"...)
+// AppendLastChunk appends the last chunk of a body, with trailers.
+func AppendLastChunk(dst []byte, trailers textproto.MIMEHeader) []byte {
+	return append(AppendHeader(append(dst, "0\r\n"...), trailers), "\r\n"...)
 }
