--- a/cmd/arrowcleat/platform.go
+++ b/cmd/arrowcleat/platform.go
@@ -82,7 +82,7 @@
 	if errors.As(err, &p) {
 		return err
 	}
-	log.Warn("marshal has ended", "refused_behind", m.Behind(), "requests", &m.Front.Counts)
+	log.Warn("marshal has ended", "refused_behind", m.RejectedArrivals(), "requests", &m.Front.Counts)
 	return err
 }
 
--- a/cmd/arrowcleat/serve.go
+++ b/cmd/arrowcleat/serve.go
@@ -100,7 +100,7 @@
 	if errors.As(err, &p) {
 		return err
 	}
-	log.Info("marshal has ended", "refused_behind", m.Behind(), "requests", &m.Front.Counts)
+	log.Info("marshal has ended", "refused_behind", m.RejectedArrivals(), "requests", &m.Front.Counts)
 	return err
 }
 
--- a/cmd/arrowcleat/soak_test.go
+++ b/cmd/arrowcleat/soak_test.go
@@ -64,7 +64,7 @@
 		go func() { <-term; os.Exit(0) }()
 	}
 	if terms != nil {
-		hooks.Front = terms
+		hooks.ConfigureFront = terms
 	}
 	if err := runOnPlatform(os.Getenv("GW_CONFIG"), slog.LevelDebug.String(), hooks); err != nil {
 		return 1
--- a/internal/faults/machine.go
+++ b/internal/faults/machine.go
@@ -62,7 +62,7 @@
 
 // Hooks hands the machine to a marshal.
 func (m *Machine) Hooks() serve.Hooks {
-	return serve.Hooks{Clock: slowClock{loop.Monotonic(), m}, Listen: m.Listen, Connect: m.Connect, Wall: m.Wall}
+	return serve.Hooks{Clock: slowClock{loop.Monotonic(), m}, Listen: m.Listen, Connect: m.Connect, WallClock: m.Wall}
 }
 
 func (m *Machine) upTo(most time.Duration) time.Duration {
--- a/internal/plant/plant.go
+++ b/internal/plant/plant.go
@@ -27,17 +27,17 @@
 	}
 	switch rule {
 	case "twice":
-		h.Front = func(s *front.Server) { s.Faults.Twice = true }
+		h.ConfigureFront = func(s *front.Server) { s.Faults.Twice = true }
 	case audit.Answered:
-		h.Front = func(s *front.Server) { s.Faults.NoGuard = true }
+		h.ConfigureFront = func(s *front.Server) { s.Faults.NoGuard = true }
 	case audit.Drain:
-		h.Front = func(s *front.Server) { s.Faults.Late = true }
+		h.ConfigureFront = func(s *front.Server) { s.Faults.Late = true }
 	case audit.Effects:
-		h.Unguarded = true
+		h.SkipRepeatRules = true
 	case audit.OneOut:
-		h.Front = func(s *front.Server) { s.Faults.Copies = true }
+		h.ConfigureFront = func(s *front.Server) { s.Faults.Copies = true }
 	}
-	h.Module = func(host balance.Host, set balance.Settings, seed uint64) divide.Module {
+	h.NewModule = func(host balance.Host, set balance.Settings, seed uint64) divide.Module {
 		f := &faulty{Host: host, rule: rule}
 		switch rule {
 		case audit.Exposure, audit.Forward:
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -34,27 +34,27 @@
 		hooks.Clock = loop.Monotonic()
 	}
 	c.now = loop.WallClock(hooks.Clock)
-	if hooks.Wall != nil {
-		c.wall = hooks.Wall
+	if hooks.WallClock != nil {
+		c.wall = hooks.WallClock
 	}
 	known, err := c.Known(log)
 	if err != nil {
 		log.Warn("the list that was held last is of no use", "err", err)
 	}
 	m := &Marshal{stopMs: c.killMs() - lastMs}
-	hooks.Ways = &serve.Ways{
-		Terms:     front.Terms{Read: c.asked, Health: "/healthz", MostBody: mostBody, FirstMs: firstMs, RetryAfter: c.retryAfter, Quiet: true},
-		Settings:  c.Module,
-		Known:     known,
-		FirstList: firstListMs * time.Millisecond,
-		Strict:    true,
-		Settle:    settleMs * time.Millisecond,
-		Reports:   reports,
-		Roster: func(listed func(bool, []control.Line), _ func()) serve.Roster {
+	hooks.Transport = &serve.Transport{
+		ProtocolOptions:  front.Terms{Read: c.asked, Health: "/healthz", MostBody: mostBody, FirstMs: firstMs, RetryAfter: c.retryAfter, Quiet: true},
+		ModuleSettings:   c.Module,
+		KnownNodes:       known,
+		FirstListTimeout: firstListMs * time.Millisecond,
+		Strict:           true,
+		ReuseDelay:       settleMs * time.Millisecond,
+		ReportNames:      reports,
+		NewRegistry: func(listed func(bool, []control.Line), _ func()) serve.Registry {
 			m.roster = &Roster{endpoint: endpoint{address: c.Discovery}, Log: log, Listed: listed, read: c.reader(log)}
 			return m.roster
 		},
-		Conveyor: func(told Staged, failed func(balance.Ending)) serve.Conveyor {
+		NewRolloutService: func(told Staged, failed func(balance.Ending)) serve.RolloutService {
 			m.conveyor = &Conveyor{endpoint: endpoint{address: c.API}, Log: log, Staged: told, Failed: failed,
 				Patience: time.Duration(c.Set.Rollout.VoteTimeoutMs * float64(time.Millisecond))}
 			if c.news.IsObject() {
@@ -65,9 +65,9 @@
 			return m.conveyor
 		},
 	}
-	hooks.Ways.NodeConnections = int(c.Set.Limits.IdlePerNode)
+	hooks.Transport.MaxNodeConnections = int(c.Set.Limits.IdlePerNode)
 	if c.listen != "" {
-		hooks.Ways.Peers = func(told func(int, string)) (serve.Peers, error) { return c.peersOf(log, told) }
+		hooks.Transport.NewPeers = func(told func(int, string)) (serve.Peers, error) { return c.peersOf(log, told) }
 	}
 	m.Marshal, err = serve.Start(c.Set, log, hooks)
 	return m, err
@@ -116,7 +116,7 @@
 func (m *Marshal) Say() {
 	ctx, done := context.WithTimeout(context.Background(), sayWithin)
 	defer done()
-	r, err := m.LookAt(ctx, 0)
+	r, err := m.PoolSnapshot(ctx, 0)
 	if err != nil {
 		m.Log.Debug("no view", "err", err)
 		return
@@ -130,5 +130,5 @@
 	slices.Sort(nodes)
 	m.Log.Debug("view", "taken", r.Taken, "succeeded", r.Succeeded, "throttled", r.Throttled, "terminated", r.Terminated,
 		"lapsed", r.Lapsed, "open", r.Open, "dispatches", r.Dispatches, "endings", fmt.Sprint(r.Endings), "ver", r.Ver, "stage", r.Stage,
-		"cap", r.Cap, "requests", &m.Front.Counts, "violations", fmt.Sprintf("%+v", r.Violations), "refused_behind", m.Behind(), "goroutines", runtime.NumGoroutine(), "nodes", strings.Join(nodes, " "))
+		"cap", r.Cap, "requests", &m.Front.Counts, "violations", fmt.Sprintf("%+v", r.Violations), "refused_behind", m.RejectedArrivals(), "goroutines", runtime.NumGoroutine(), "nodes", strings.Join(nodes, " "))
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -330,7 +330,7 @@
 	}
 	t.Cleanup(func() { m.End() })
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if r, _ := m.Look(); len(r.Nodes) == len(s.nodes) {
+		if r, _ := m.Snapshot(); len(r.Nodes) == len(s.nodes) {
 			return m
 		}
 	}
--- a/internal/platform/roster_test.go
+++ b/internal/platform/roster_test.go
@@ -247,7 +247,7 @@
 			t.Fatal(err)
 		}
 		took := time.Since(from)
-		if r, _ := m.Look(); !silent && (len(r.Nodes) != 1 || took < 300*time.Millisecond) {
+		if r, _ := m.Snapshot(); !silent && (len(r.Nodes) != 1 || took < 300*time.Millisecond) {
 			t.Errorf("it runs after %v with %d nodes", took, len(r.Nodes))
 		} else if most := firstListMs*time.Millisecond + time.Second; took > most {
 			t.Errorf("silent %v: it runs after %v; want %v at most", silent, took, most)
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -156,7 +156,7 @@
 		discovery.say(fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[%s]}`, round+1, all[:len(all)-1]))
 		m.conveyor.tell(round+7, 1, balance.Released, 1, 90000, false)
 		for end := time.Now().Add(3 * time.Second); ; time.Sleep(time.Millisecond) {
-			r, _ := m.Look()
+			r, _ := m.Snapshot()
 			serving := 0
 			for _, n := range r.Nodes {
 				if n.Health == balance.Serving {
@@ -213,7 +213,7 @@
 	c.names.mu.Lock()
 	named := len(c.names.hosts)
 	c.names.mu.Unlock()
-	if r, _ := m.Look(); named > 2*hosts || len(r.Nodes) > 2*hosts {
+	if r, _ := m.Snapshot(); named > 2*hosts || len(r.Nodes) > 2*hosts {
 		t.Errorf("%d names and %d nodes are kept where %d hosts serve and as many have just gone", named, len(r.Nodes), hosts)
 	}
 	if g > goroutines || d > descriptors || h > heap+48<<10 {
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -37,13 +37,13 @@
 					}
 				}
 				time.Sleep(1500 * time.Millisecond) // until the modules know the pace of things
-				before, _ := m.Look()
+				before, _ := m.Snapshot()
 				b.ReportAllocs()
 				b.ResetTimer()
 				load.upTo.Store(load.done.Load() + int64(b.N))
 				<-load.ended
 				b.StopTimer()
-				if r, ok := m.Look(); !ok || r.Succeeded-before.Succeeded < int64(b.N)*9/10 {
+				if r, ok := m.Snapshot(); !ok || r.Succeeded-before.Succeeded < int64(b.N)*9/10 {
 					b.Fatalf("%d of %d succeeded", r.Succeeded-before.Succeeded, b.N)
 				}
 			})
--- a/internal/serve/close_test.go
+++ b/internal/serve/close_test.go
@@ -85,7 +85,7 @@
 			}, spread: 60 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := start(t, 1, ok, ending.change, rigHooks{Hooks: Hooks{Front: ending.front}})
+			r := start(t, 1, ok, ending.change, rigHooks{Hooks: Hooks{ConfigureFront: ending.front}})
 			clients := make([]*client, connections)
 			for i := range clients {
 				clients[i] = r.client()
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -122,7 +122,7 @@
 		f()
 	}
 	c.silent()
-	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.Terminated == 1 })
+	r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Open == 0 && l.Terminated == 1 })
 }
 
 // A core whose module panics terminates what it had and begins anew; the others notice nothing. Time and again, the
@@ -140,7 +140,7 @@
 			}
 			answer(c, q.URL.Path)
 		}
-	}, onCores(2), rigHooks{Hooks: Hooks{Module: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
+	}, onCores(2), rigHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
 		many.Add(1)
 		return panicky{balance.New(h, s, seed)}
 	}}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
@@ -191,7 +191,7 @@
 		s.Rollout.ForwardOnly, s.Rollout.Allowance = true, 1000
 		s.Rollout.Stage = []*settings.Stage{{Part: 0.5, Cap: 0.5}, {Part: 1, Cap: 1}}
 		s.Rollout.CountedOverMs = 300
-	}), rigHooks{Hooks: Hooks{Module: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
+	}), rigHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
 		return watched{balance.New(h, s, seed), func(key string) {
 			mu.Lock()
 			defer mu.Unlock()
@@ -267,7 +267,7 @@
 		s.Rollout.Stage = []*settings.Stage{{Part: 0.25, Cap: 0.1}, {Part: 1, Cap: 1}}
 	}), rigHooks{})
 	r.roster.Set(control.Line{Node: balance.Node{ID: 4, Ver: 2, Size: 1}, Address: r.lns[3].Addr().String()}, 0)
-	r.until("it is known", func() bool { l, _ := r.m.Look(); return l.Nodes[4].Ver == 2 })
+	r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return l.Nodes[4].Ver == 2 })
 	g := r.m.groups[0]
 	g.staged(2, 0, balance.OnTrial, 0.1, 0, false)
 	load := func(clients, each int) {
@@ -337,7 +337,7 @@
 	r := start(t, 1, ok, onCores(2), rigHooks{})
 	addr := r.lns[0].Addr().String()
 	r.list(1, addr, balance.Draining)
-	r.until("the word is here", func() bool { l, _ := r.m.Look(); return l.Nodes[1].Health == balance.Draining })
+	r.until("the word is here", func() bool { l, _ := r.m.Snapshot(); return l.Nodes[1].Health == balance.Draining })
 	if r.m.pool.Late(addr) {
 		t.Error("the grace is over at once")
 	}
@@ -387,7 +387,7 @@
 // Cores can't be added while a marshal runs: that says so and changes nothing.
 func TestCoresNeedARestart(t *testing.T) {
 	r := start(t, 1, ok, onCores(2), rigHooks{})
-	set := r.m.Set.Copy()
+	set := r.m.Settings.Copy()
 	set.Instance.Cores = 4
 	if _, err := r.m.Reload(set, nil); err == nil || !strings.Contains(err.Error(), "restart") || !strings.Contains(err.Error(), "cores") {
 		t.Errorf("%v", err)
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -22,8 +22,8 @@
 	m        *Marshal
 	number   int
 	set      *settings.Settings
-	roster   Roster
-	conveyor Conveyor
+	roster   Registry
+	conveyor RolloutService
 	account  *divide.Account // what the lanes share, nil for a lane alone
 	lanes    []*lane
 
@@ -67,7 +67,7 @@
 
 // wire connects what comes from the control sockets to the loops. News of nodes and builds goes before all that waits
 // there, and the account knows of a build before any instance does.
-func (g *group) wire(ways *Ways) {
+func (g *group) wire(ways *Transport) {
 	listFailed := func() {
 		if g.account != nil {
 			g.account.ListFailed()
@@ -79,7 +79,7 @@
 		l.loop.Post(func() { l.events().VoteFailed(how) })
 	}
 	if ways != nil {
-		g.roster, g.conveyor = ways.Roster(g.listed, listFailed), ways.Conveyor(g.staged, voteFailed)
+		g.roster, g.conveyor = ways.NewRegistry(g.listed, listFailed), ways.NewRolloutService(g.staged, voteFailed)
 		return
 	}
 	if r := g.set.Roster; r.Address != "" {
@@ -180,8 +180,8 @@
 // begin starts the module with the list and the stage that the marshal had last.
 func (l *lane) begin(hooks Hooks, seed uint64, nodes []balance.Node, addresses []string) {
 	var set balance.Settings
-	if hooks.Ways != nil {
-		set = hooks.Ways.Settings
+	if hooks.Transport != nil {
+		set = hooks.Transport.ModuleSettings
 	} else {
 		set = l.set.ModuleOf(l.instance)
 	}
@@ -193,10 +193,10 @@
 		}
 		var module divide.Module
 		if l.rec == nil {
-			module = hooks.Module(h, set, seed)
+			module = hooks.NewModule(h, set, seed)
 		} else {
 			tap := record.NewTap(l.rec, h, l.set, l.instance, seed, func(err error) { l.m.Log.Warn("the record ends here", "err", err) })
-			module = tap.Before(hooks.Module(tap, set, seed))
+			module = tap.Before(hooks.NewModule(tap, set, seed))
 		}
 		if l.account != nil {
 			return l.part.Before(module)
@@ -230,12 +230,12 @@
 func (l *lane) events() marshal.Module { return l.core.Events() }
 
 // last reads the list of the marshal's life before.
-func (g *group) last(ways *Ways) ([]balance.Node, []string) {
+func (g *group) last(ways *Transport) ([]balance.Node, []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if ways != nil {
-		g.list.take(true, ways.Known)
-		return g.read(ways.Known)
+		g.list.take(true, ways.KnownNodes)
+		return g.read(ways.KnownNodes)
 	}
 	lines, err := g.list.load()
 	if err != nil {
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -68,16 +68,16 @@
 		s.Operation[0].LimitMs = 10000
 	}, rigHooks{})
 	r.list(9, address, balance.Serving)
-	r.until("it is known", func() bool { l, _ := r.m.Look(); return len(l.Nodes) == 1 })
+	r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return len(l.Nodes) == 1 })
 	c := r.client()
 	c.send("GET /look HTTP/1.1\nHost: x\n\n")
-	r.until("it is on its way", func() bool { l, _ := r.m.Look(); return l.Dispatches == 1 })
+	r.until("it is on its way", func() bool { l, _ := r.m.Snapshot(); return l.Dispatches == 1 })
 	c.Close()
-	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Lapsed == 1 && l.Open == 0 })
+	r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Lapsed == 1 && l.Open == 0 })
 	if got := empty(); got != "" {
 		t.Errorf("the node got %q", got)
 	}
-	if l, _ := r.m.Look(); l.Dispatches != 1 || l.Endings[balance.Ignored]+l.Endings[balance.NoConnect] != 1 {
+	if l, _ := r.m.Snapshot(); l.Dispatches != 1 || l.Endings[balance.Ignored]+l.Endings[balance.NoConnect] != 1 {
 		t.Errorf("%d dispatches ended as %v", l.Dispatches, l.Endings)
 	}
 }
@@ -103,7 +103,7 @@
 	case <-time.After(2 * time.Second):
 		t.Error("the node's connection stays open")
 	}
-	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.Endings[balance.Canceled] == 1 })
+	r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Open == 0 && l.Endings[balance.Canceled] == 1 })
 }
 
 // last asks on a connection and says what became of it: "200", "closed" where the connection ended without a byte, or else.
@@ -269,7 +269,7 @@
 	r.list(9, hangs, balance.Serving)
 	r.list(1, r.lns[0].Addr().String(), balance.Draining)
 	r.until("only the other node serves", func() bool {
-		l, _ := r.m.Look()
+		l, _ := r.m.Snapshot()
 		return len(l.Nodes) == 2 && l.Nodes[1].Health == balance.Draining
 	})
 	close(r.gate)
@@ -280,7 +280,7 @@
 	if got := empty(); got != "" {
 		t.Errorf("after the window the node got %q", got)
 	}
-	if l, _ := r.m.Look(); l.Dispatches != 2 || l.Open != 0 {
+	if l, _ := r.m.Snapshot(); l.Dispatches != 2 || l.Open != 0 {
 		t.Errorf("%d dispatches, %d open", l.Dispatches, l.Open)
 	}
 }
@@ -297,13 +297,13 @@
 		s.Rollout.CountedOverMs = 5000
 	}, rigHooks{})
 	r.roster.Set(control.Line{Node: balance.Node{ID: 9, Ver: 2, Size: 1}, Address: hangs}, 0)
-	r.until("it is known", func() bool { l, _ := r.m.Look(); return len(l.Nodes) == 1 })
+	r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return len(l.Nodes) == 1 })
 	g := r.m.groups[0]
 	g.staged(2, 0, balance.OnTrial, 1, 0, false)
 	for range requests {
 		r.client().send(get, "look")
 	}
-	r.until("all are on their way", func() bool { l, _ := r.m.Look(); return l.Dispatches == requests })
+	r.until("all are on their way", func() bool { l, _ := r.m.Snapshot(); return l.Dispatches == requests })
 	g.staged(2, 0, balance.OnTrial, lower, 0, false)
 	most := int(r.set.Rollout.Allowance + lower*requests + passes)
 	if n := strings.Count(empty(), "GET /look"); n > most {
@@ -324,7 +324,7 @@
 	r.until("the node has it", func() bool { return r.got() == 1 })
 	c.Conn.(*net.TCPConn).CloseWrite()
 	c.expect("502 terminated")
-	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.Lapsed == 1 })
+	r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Open == 0 && l.Lapsed == 1 })
 	if n := r.m.Front.Counts.Left.Load(); n != 1 {
 		t.Errorf("%d requests counted as left", n)
 	}
--- a/internal/serve/list_test.go
+++ b/internal/serve/list_test.go
@@ -40,7 +40,7 @@
 			r.until("the list is on disk", func() bool { return saved() == 1 })
 			fails.Store(true)
 			r.list(9, "127.0.0.1:1", balance.Draining)
-			r.until("it is known", func() bool { l, _ := r.m.Look(); return len(l.Nodes) == 2 })
+			r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return len(l.Nodes) == 2 })
 			for range 5 {
 				c := r.client()
 				c.send(get, "look")
--- a/internal/serve/meter.go
+++ b/internal/serve/meter.go
@@ -72,8 +72,8 @@
 			continue
 		}
 		pool := strconv.Itoa(g.number)
-		if len(c.m.Set.Pool) > 0 {
-			pool = c.m.Set.Pool[g.number].Name
+		if len(c.m.Settings.Pool) > 0 {
+			pool = c.m.Settings.Pool[g.number].Name
 		}
 		st := g.account.Look()
 		put(descChair, level, float64(st.Chair), pool)
--- a/internal/serve/open.go
+++ b/internal/serve/open.go
@@ -44,15 +44,15 @@
 			m.closeSockets()
 		}
 	}()
-	for _, l := range append([]*settings.Listener{{Name: settings.MainListener, Address: m.Set.Listen.Invocations}}, m.Set.Listener...) {
+	for _, l := range append([]*settings.Listener{{Name: settings.MainListener, Address: m.Settings.Listen.Invocations}}, m.Settings.Listener...) {
 		ln, err := listen(l.Address)
 		if err != nil {
 			return fmt.Errorf("listener %s: %w", l.Name, err)
 		}
 		m.lns = append(m.lns, front.Listener{Listener: ln, Name: l.Name})
 	}
-	if m.Set.Listen.Peers != "" {
-		address, err := net.ResolveUDPAddr("udp", m.Set.Listen.Peers)
+	if m.Settings.Listen.Peers != "" {
+		address, err := net.ResolveUDPAddr("udp", m.Settings.Listen.Peers)
 		if err != nil {
 			return fmt.Errorf("listen.peers: %w", err)
 		}
@@ -60,17 +60,17 @@
 		if err := whileScarce(func() error { conn, err = net.ListenUDP("udp", address); return err }); err != nil {
 			return fmt.Errorf("listen.peers: %w", err)
 		}
-		peers := &control.Peers{Number: int(m.Set.Instance.Number), Conn: conn, To: map[int]*net.UDPAddr{}, Told: m.told,
+		peers := &control.Peers{Number: int(m.Settings.Instance.Number), Conn: conn, To: map[int]*net.UDPAddr{}, Told: m.told,
 			Bad: func(err error) { m.Log.Warn("between marshals", "err", err) }}
 		m.peers = peers
-		for _, p := range m.Set.Peer {
+		for _, p := range m.Settings.Peer {
 			if peers.To[int(p.Number)], err = net.ResolveUDPAddr("udp", p.Address); err != nil {
 				return fmt.Errorf("peer %d: %w", p.Number, err)
 			}
 		}
 	}
-	if m.Set.Listen.Metrics != "" {
-		if m.meter, err = listen(m.Set.Listen.Metrics); err != nil {
+	if m.Settings.Listen.Metrics != "" {
+		if m.meter, err = listen(m.Settings.Listen.Metrics); err != nil {
 			return fmt.Errorf("listen.metrics: %w", err)
 		}
 	}
--- a/internal/serve/rig_test.go
+++ b/internal/serve/rig_test.go
@@ -108,7 +108,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.close)
-	r.until("the marshal knows its nodes", func() bool { l, _ := r.m.Look(); return len(l.Nodes) >= nodes })
+	r.until("the marshal knows its nodes", func() bool { l, _ := r.m.Snapshot(); return len(l.Nodes) >= nodes })
 	return r
 }
 
--- a/internal/serve/scarce_test.go
+++ b/internal/serve/scarce_test.go
@@ -99,7 +99,7 @@
 			time.Sleep(moment)
 			n.set(0)
 			c.expect("200 succeeded /once")
-			if l, _ := r.m.Look(); l.Dispatches != 1 || r.got() != 1 {
+			if l, _ := r.m.Snapshot(); l.Dispatches != 1 || r.got() != 1 {
 				t.Errorf("%d dispatches, %d requests reached nodes; endings %v", l.Dispatches, r.got(), l.Endings)
 			}
 		})
@@ -191,10 +191,10 @@
 		}
 	}()
 	r.list(9, node.Addr().String(), balance.Serving)
-	r.until("it is known", func() bool { l, _ := r.m.Look(); return len(l.Nodes) == 1 })
+	r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return len(l.Nodes) == 1 })
 	c := r.client()
 	c.send(get, "look")
-	r.until("it is on its way", func() bool { l, _ := r.m.Look(); return l.Dispatches == 1 })
+	r.until("it is on its way", func() bool { l, _ := r.m.Snapshot(); return l.Dispatches == 1 })
 	told := time.Now()
 	r.list(9, node.Addr().String(), balance.Draining)
 	time.Sleep(grace - 50*time.Millisecond)
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -27,11 +27,11 @@
 
 // Marshal is one that runs.
 type Marshal struct {
-	Set   *settings.Settings
-	Log   *slog.Logger
-	Loop  *loop.Loop   // the first of
-	Loops []*loop.Loop // one for each core
-	Front *front.Server
+	Settings *settings.Settings
+	Log      *slog.Logger
+	Loop     *loop.Loop   // the first of
+	Loops    []*loop.Loop // one for each core
+	Front    *front.Server
 
 	pool   *back.Pool
 	now    func() time.Time // by the loops' clock
@@ -58,12 +58,12 @@
 	if hooks.Clock == nil {
 		hooks.Clock = loop.Monotonic()
 	}
-	if hooks.Module == nil {
-		hooks.Module = func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
+	if hooks.NewModule == nil {
+		hooks.NewModule = func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
 			return balance.New(h, s, seed)
 		}
 	}
-	m := &Marshal{Set: set, Log: log, ended: make(chan struct{})}
+	m := &Marshal{Settings: set, Log: log, ended: make(chan struct{})}
 	for range set.Cores() {
 		l := loop.New(hooks.Clock, int(set.Limits.Queue))
 		l.Again = set.Cores() > 1
@@ -97,7 +97,7 @@
 				prefix, log = prefix+strconv.Itoa(j)+"-", log.With("core", j)
 			}
 			l.core = marshal.New(l, log, prefix)
-			if !hooks.Unguarded {
+			if !hooks.SkipRepeatRules {
 				l.core.Rules = repeatRules(of.Operation)
 			}
 			g.lanes, cores[j] = append(g.lanes, l), append(cores[j], l.core)
@@ -111,11 +111,11 @@
 		return nil, err
 	}
 	m.pool.Connect = hooks.Connect
-	if w := hooks.Ways; w != nil {
-		m.pool.Strict, m.pool.Names, m.pool.All, m.pool.Settle = w.Strict, w.Reports, w.NodeConnections, w.Settle
-		if w.Peers != nil {
+	if w := hooks.Transport; w != nil {
+		m.pool.Strict, m.pool.Names, m.pool.All, m.pool.Settle = w.Strict, w.ReportNames, w.MaxNodeConnections, w.ReuseDelay
+		if w.NewPeers != nil {
 			err := whileScarce(func() (err error) {
-				m.peers, err = w.Peers(m.told)
+				m.peers, err = w.NewPeers(m.told)
 				return err
 			})
 			if err != nil {
@@ -128,18 +128,18 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
 	for _, g := range m.groups {
-		nodes, addresses := g.last(hooks.Ways)
+		nodes, addresses := g.last(hooks.Transport)
 		for _, l := range g.lanes {
 			l.loop.News(func() { l.begin(hooks, seed+uint64(g.number), nodes, addresses) }) // before any other
 		}
-		g.wire(hooks.Ways)
+		g.wire(hooks.Transport)
 	}
 	m.Front = &front.Server{Set: set, Clock: hooks.Clock, Loops: m.Loops, Cores: cores, Pool: m.pool, Log: log}
-	if hooks.Ways != nil {
-		m.Front.Terms = hooks.Ways.Terms
+	if hooks.Transport != nil {
+		m.Front.Terms = hooks.Transport.ProtocolOptions
 	}
-	if hooks.Front != nil {
-		hooks.Front(m.Front)
+	if hooks.ConfigureFront != nil {
+		hooks.ConfigureFront(m.Front)
 	}
 	for i := range m.Loops {
 		m.loops.Add(1)
@@ -162,8 +162,8 @@
 	if m.meter != nil {
 		m.meterOn(ctx)
 	}
-	if hooks.Ways != nil {
-		m.hear(hooks.Ways.FirstList)
+	if hooks.Transport != nil {
+		m.hear(hooks.Transport.FirstListTimeout)
 	}
 	served := make(chan struct{})
 	m.background(func() {
@@ -260,14 +260,14 @@
 	return ""
 }
 
-// Look gives a copy of the marshal's own record, of the first pool where there are several; false once it has ended.
-func (m *Marshal) Look() (marshal.Record, bool) {
-	r, err := m.LookAt(context.Background(), 0)
+// Snapshot gives a copy of the marshal's own record, of the first pool where there are several; false once it has ended.
+func (m *Marshal) Snapshot() (marshal.Record, bool) {
+	r, err := m.PoolSnapshot(context.Background(), 0)
 	return r, err == nil
 }
 
-// LookAt gives a copy of the record of one pool, of all cores together. It waits for each core until the context ends.
-func (m *Marshal) LookAt(ctx context.Context, pool int) (r marshal.Record, err error) {
+// PoolSnapshot gives a copy of the record of one pool, of all cores together. It waits for each core until the context ends.
+func (m *Marshal) PoolSnapshot(ctx context.Context, pool int) (r marshal.Record, err error) {
 	for i, l := range m.groups[pool].lanes {
 		one, err := loop.Query(ctx, l.loop, l.core.Look)
 		if err != nil {
@@ -297,8 +297,8 @@
 	g.each(func(l *lane) { l.events().Told(from, text) })
 }
 
-// Behind counts the arrivals that were refused because too many waited, at any core.
-func (m *Marshal) Behind() (count int64) {
+// RejectedArrivals counts the arrivals that were refused because too many waited, at any core.
+func (m *Marshal) RejectedArrivals() (count int64) {
 	for _, l := range m.Loops {
 		count += l.Behind()
 	}
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -164,7 +164,7 @@
 	c.send(get, "once-wait")
 	r.until("the node has it", func() bool { return r.got() == 1 })
 	c.Close()
-	r.until("the module knows", func() bool { l, _ := r.m.Look(); return l.Lapsed == 1 })
+	r.until("the module knows", func() bool { l, _ := r.m.Snapshot(); return l.Lapsed == 1 })
 	close(r.gate)
 	for i := range 60 {
 		c := r.client()
@@ -172,8 +172,8 @@
 		time.Sleep(time.Duration(1500+20*i) * time.Microsecond)
 		c.Close()
 	}
-	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.Taken >= 30 })
-	l, _ := r.m.Look()
+	r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Open == 0 && l.Taken >= 30 })
+	l, _ := r.m.Snapshot()
 	if l.Taken != l.Succeeded+l.Throttled+l.Terminated+l.Lapsed {
 		t.Errorf("%d taken, but %d+%d+%d answered and %d lapsed", l.Taken, l.Succeeded, l.Throttled, l.Terminated, l.Lapsed)
 	}
@@ -417,7 +417,7 @@
 	r := start(t, 1, func(r *rig, c net.Conn, b *bufio.Reader) {
 		r.request(b)
 		<-r.gate
-	}, nil, rigHooks{Hooks: Hooks{Module: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
+	}, nil, rigHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
 		return panicky{balance.New(h, s, seed)}
 	}}, Log: slog.New(slog.NewJSONHandler(&log, nil))})
 	waiting, fatal := r.client(), r.client()
@@ -486,7 +486,7 @@
 	r.wg.Go(func() { server.Serve(ln) })
 	defer server.Close()
 	r.list(9, ln.Addr().String(), balance.Serving)
-	r.until("it is known", func() bool { l, _ := r.m.Look(); return len(l.Nodes) == 1 })
+	r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return len(l.Nodes) == 1 })
 	url := "http://" + r.m.Address()
 	for _, c := range []struct {
 		method, path string
@@ -548,7 +548,7 @@
 	close(still)
 	time.Sleep(30 * time.Millisecond)
 	first.silent()
-	l, _ := r.m.Look()
+	l, _ := r.m.Snapshot()
 	if l.Taken != 1 || l.Open != 0 || l.Terminated != 1 || r.got() != 1 {
 		t.Errorf("taken %d, open %d, terminated %d, %d requests at nodes", l.Taken, l.Open, l.Terminated, r.got())
 	}
@@ -560,7 +560,7 @@
 func TestDispatchAfterTheGuardAnswered(t *testing.T) {
 	var slow atomic.Bool
 	held := make(chan struct{})
-	r := start(t, 1, ok, nil, rigHooks{Hooks: Hooks{Module: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
+	r := start(t, 1, ok, nil, rigHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
 		return balance.New(&slowHost{h, func() {
 			if slow.Swap(false) {
 				<-held
@@ -573,9 +573,9 @@
 		c.send("GET /look HTTP/1.1\nHost: x\nX-Time-Ms: 200\n\n")
 		c.expect("502 terminated")
 		held <- struct{}{}
-		r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 })
+		r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Open == 0 })
 	}
-	if l, _ := r.m.Look(); l.Terminated != 3 || l.Dispatches != 3 || l.Endings[balance.Ignored] != 3 || r.got() != 0 {
+	if l, _ := r.m.Snapshot(); l.Terminated != 3 || l.Dispatches != 3 || l.Endings[balance.Ignored] != 3 || r.got() != 0 {
 		t.Errorf("%d dispatches ended as %v, %d requests at nodes", l.Dispatches, l.Endings, r.got())
 	}
 	c.send(get, "look")
@@ -590,7 +590,7 @@
 	r := start(t, 1, func(r *rig, c net.Conn, b *bufio.Reader) {
 		r.request(b)
 		<-r.gate
-	}, nil, rigHooks{Hooks: Hooks{Module: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
+	}, nil, rigHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
 		return balance.New(&slowHost{h, func() { time.Sleep(hold) }}, s, seed)
 	}}})
 	c := r.client()
@@ -600,7 +600,7 @@
 	if took := time.Since(begun); took > limit+time.Duration(r.set.Rules.AnswerSlackMs)*time.Millisecond || r.got() != 1 {
 		t.Errorf("the answer came after %v, with %d requests at the node", took, r.got())
 	}
-	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 })
+	r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Open == 0 })
 }
 
 // slowHost does something before each dispatch.
@@ -636,7 +636,7 @@
 	c := r.client()
 	c.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	c.send(get, "look-long")
-	r.until("it is given up", func() bool { l, _ := r.m.Look(); return l.Taken == 1 && l.Open == 0 && r.m.Front.Open() == 0 })
+	r.until("it is given up", func() bool { l, _ := r.m.Snapshot(); return l.Taken == 1 && l.Open == 0 && r.m.Front.Open() == 0 })
 	other := r.client()
 	other.send(get, "look")
 	other.expect("200 succeeded x")
@@ -649,8 +649,8 @@
 	for i := range 300 {
 		if i == 100 {
 			r.list(1, r.lns[0].Addr().String(), balance.Draining)
-			r.until("it is known", func() bool { l, _ := r.m.Look(); return l.Nodes[1].Health == balance.Draining })
-			l, _ := r.m.Look()
+			r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return l.Nodes[1].Health == balance.Draining })
+			l, _ := r.m.Snapshot()
 			before = int(l.Nodes[1].Sent)
 		}
 		c := r.client()
@@ -658,7 +658,7 @@
 		c.expect("200 succeeded")
 		c.Close()
 	}
-	l, _ := r.m.Look()
+	l, _ := r.m.Snapshot()
 	if after := int(l.Nodes[1].Sent) - before; after > 0 || before == 0 {
 		t.Errorf("%d dispatches before the word, %d after it", before, after)
 	}
@@ -690,7 +690,7 @@
 		}
 		c.expect("200 succeeded")
 	}
-	if l, _ := r.m.Look(); l.Taken != 3 {
+	if l, _ := r.m.Snapshot(); l.Taken != 3 {
 		t.Errorf("%d taken", l.Taken)
 	}
 }
@@ -700,13 +700,13 @@
 	address, _ := full(t)
 	r := start(t, 1, ok, func(s *settings.Settings) { s.Times.DialMs = 60 }, rigHooks{})
 	r.list(9, address, balance.Serving)
-	r.until("it is known", func() bool { l, _ := r.m.Look(); return len(l.Nodes) == 2 })
+	r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return len(l.Nodes) == 2 })
 	c := r.client()
 	for range 20 {
 		c.send(get, "once")
 		c.expect("200 succeeded")
 	}
-	l, _ := r.m.Look()
+	l, _ := r.m.Snapshot()
 	if l.Nodes[9].Endings[balance.NoConnect] == 0 || l.Nodes[9].Endings[balance.NoConnect] != l.Nodes[9].Sent {
 		t.Errorf("at the full node %d were sent and ended so: %v", l.Nodes[9].Sent, l.Nodes[9].Endings)
 	}
@@ -729,7 +729,7 @@
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT cpu_utilization=0.5, rps_fractional=8, x=1, eps=bad\r\n\r\n")
 		}
 	}, func(s *settings.Settings) { s.Limits.Probes, s.Limits.ProbePath = true, "/health" },
-		rigHooks{Hooks: Hooks{Module: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
+		rigHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
 			return probed{balance.New(h, s, seed), found}
 		}}})
 	r.m.Loop.Post(func() { r.m.groups[0].lanes[0].core.Probe(1) })
@@ -801,7 +801,7 @@
 			ReconnectMs: 10, ReconnectMostMs: 50}}}
 		s.Operation[0].Pool, s.Operation[1].Pool, s.Operation[2].Pool = "a", "b", "a"
 	}, rigHooks{})
-	r.until("both pools are known", func() bool { l, _ := r.m.LookAt(t.Context(), 1); return len(l.Nodes) == 2 })
+	r.until("both pools are known", func() bool { l, _ := r.m.PoolSnapshot(t.Context(), 1); return len(l.Nodes) == 2 })
 	c := r.client()
 	ask := func(path, want string) {
 		t.Helper()
@@ -818,13 +818,13 @@
 		other.list(uint32(i+1), ln.Addr().String(), balance.Gone)
 	}
 	r.until("it is known", func() bool {
-		l, _ := r.m.LookAt(t.Context(), 1)
+		l, _ := r.m.PoolSnapshot(t.Context(), 1)
 		return l.Nodes[1].Health == balance.Gone && l.Nodes[2].Health == balance.Gone
 	})
 	ask("book", "503 throttled")
 	ask("look", "200 succeeded first/look")
-	a, _ := r.m.LookAt(t.Context(), 0)
-	b, _ := r.m.LookAt(t.Context(), 1)
+	a, _ := r.m.PoolSnapshot(t.Context(), 0)
+	b, _ := r.m.PoolSnapshot(t.Context(), 1)
 	if a.Taken != 21 || a.Succeeded != 21 || b.Taken != 11 || b.Succeeded != 10 || a.Ver == 7 || b.Ver != 7 {
 		t.Errorf("the first took %d, succeeded %d, ver %d; the second %d, %d, %d", a.Taken, a.Succeeded, a.Ver, b.Taken, b.Succeeded, b.Ver)
 	}
