--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -25,22 +25,22 @@
 		for _, cores := range []int{1, 2, 4, 8} {
 			b.Run(fmt.Sprintf("nodes=%d/cores=%d", nodes, cores), func(b *testing.B) {
 				defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
-				m := benched(b, cores, nodes, "127.0.0.1:1")
+				m := startForBenchmark(b, cores, nodes, "127.0.0.1:1")
 				defer m.End()
-				g := m.groups[0]
-				load := &calmLoad{ended: make(chan struct{})}
-				load.upTo.Store(1 << 62)
-				for _, l := range g.lanes {
+				p := m.pools[0]
+				load := &closedLoopLoad{ended: make(chan struct{})}
+				load.target.Store(1 << 62)
+				for _, w := range p.workers {
 					for range 2 { // that each core has open at once
-						c := &calmClient{l: l, calmLoad: load}
-						l.loop.Post(c.ask)
+						c := &closedLoopClient{w: w, closedLoopLoad: load}
+						w.loop.Post(c.send)
 					}
 				}
 				time.Sleep(1500 * time.Millisecond) // until the modules know the pace of things
 				before, _ := m.Snapshot()
 				b.ReportAllocs()
 				b.ResetTimer()
-				load.upTo.Store(load.done.Load() + int64(b.N))
+				load.target.Store(load.done.Load() + int64(b.N))
 				<-load.ended
 				b.StopTimer()
 				if r, ok := m.Snapshot(); !ok || r.Succeeded-before.Succeeded < int64(b.N)*9/10 {
@@ -52,8 +52,8 @@
 }
 
 // benched is a marshal that knows as many nodes, at one address.
-func benched(b *testing.B, cores, nodes int, address string) *Marshal {
-	set, err := settings.Parse("bench", []byte(text))
+func startForBenchmark(b *testing.B, cores, nodes int, address string) *Marshal {
+	set, err := settings.Parse("bench", []byte(settingsText))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -66,8 +66,8 @@
 	for i := range nodes {
 		lines = append(lines, control.Line{Node: balance.Node{ID: uint32(i + 1), Ver: 1, Size: 1}, Address: address})
 	}
-	m.groups[0].listed(true, lines)
-	m.groups[0].staged(1, 0, balance.Released, 1, 60000, false)
+	m.pools[0].nodesListed(true, lines)
+	m.pools[0].stageUpdate(1, 0, balance.Released, 1, 60000, false)
 	return m
 }
 
@@ -102,10 +102,10 @@
 					}()
 				}
 			}()
-			m := benched(b, cores, 300, ln.Addr().String())
+			m := startForBenchmark(b, cores, 300, ln.Addr().String())
 			defer m.End()
-			var left atomic.Int64
-			left.Store(int64(b.N))
+			var remaining atomic.Int64
+			remaining.Store(int64(b.N))
 			b.ReportAllocs()
 			b.ResetTimer()
 			var wg sync.WaitGroup
@@ -117,9 +117,9 @@
 						return
 					}
 					defer c.Close()
-					ask, buf := []byte("GET /look HTTP/1.1\r\nHost: x\r\n\r\n"), make([]byte, 4096)
-					for left.Add(-1) >= 0 {
-						c.Write(ask)
+					request, buf := []byte("GET /look HTTP/1.1\r\nHost: x\r\n\r\n"), make([]byte, 4096)
+					for remaining.Add(-1) >= 0 {
+						c.Write(request)
 						if n, err := c.Read(buf); err != nil || !bytes.HasPrefix(buf[:n], []byte("HTTP/1.1 ")) {
 							b.Errorf("%q %v", buf[:n], err)
 							return
@@ -133,42 +133,42 @@
 }
 
 // calmClient asks anew as soon as it is answered; its nodes answer at once.
-type calmClient struct {
-	*calmLoad
-	l  *lane
+type closedLoopClient struct {
+	*closedLoopLoad
+	w  *worker
 	id string
 }
 
-type calmLoad struct {
-	done, upTo atomic.Int64
-	ended      chan struct{}
+type closedLoopLoad struct {
+	done, target atomic.Int64
+	ended        chan struct{}
 }
 
-var _ marshal.Exchange = (*calmClient)(nil)
+var _ marshal.Exchange = (*closedLoopClient)(nil)
 
-func (c *calmClient) ask() {
-	c.id = c.l.core.Arrived(c, 0, 0, "", 500, 0, false, false)
+func (c *closedLoopClient) send() {
+	c.id = c.w.core.Arrived(c, 0, 0, "", 500, 0, false, false)
 }
 
-func (c *calmClient) Dispatch(no int, _ uint32, _ string, _ float64) {
-	c.l.loop.Post(func() {
-		c.l.core.Ended(c.id, no, balance.Succeeded, 5, true, nil)
-		c.over()
+func (c *closedLoopClient) Dispatch(no int, _ uint32, _ string, _ float64) {
+	c.w.loop.Post(func() {
+		c.w.core.Ended(c.id, no, balance.Succeeded, 5, true, nil)
+		c.completed()
 	})
 }
 
-func (c *calmClient) over() {
-	n, last := c.done.Add(1), c.upTo.Load()
-	if n == last {
+func (c *closedLoopClient) completed() {
+	n, target := c.done.Add(1), c.target.Load()
+	if n == target {
 		close(c.ended)
 	}
-	if n < last {
-		c.l.loop.Post(c.ask)
+	if n < target {
+		c.w.loop.Post(c.send)
 	}
 }
 
-func (c *calmClient) Throttle(float64) { c.over() }
-func (c *calmClient) Terminate()       { c.over() }
-func (c *calmClient) Cancel(int)       {}
-func (c *calmClient) Let()             {}
-func (c *calmClient) Abrupt()          {}
+func (c *closedLoopClient) Throttle(float64) { c.completed() }
+func (c *closedLoopClient) Terminate()       { c.completed() }
+func (c *closedLoopClient) Cancel(int)       {}
+func (c *closedLoopClient) Let()             {}
+func (c *closedLoopClient) Abrupt()          {}
--- a/internal/serve/close_test.go
+++ b/internal/serve/close_test.go
@@ -23,11 +23,11 @@
 // slowClock is a clock at which a look may take a while, as on a machine that holds the process up.
 type slowClock struct {
 	loop.Clock
-	takes atomic.Int64 // ns
+	delayNs atomic.Int64 // ns
 }
 
 func (c *slowClock) Now() float64 {
-	if d := c.takes.Load(); d > 0 {
+	if d := c.delayNs.Load(); d > 0 {
 		time.Sleep(time.Duration(d))
 	}
 	return c.Clock.Now()
@@ -35,16 +35,16 @@
 
 // crossing asks on a connection that the marshal may be closing, and says what became of the request: "answered", "unread" where the
 // marshal closed without reading it, so that the client sends it again, or "lost".
-func crossing(nc net.Conn, b *bufio.Reader, target string) string {
-	const resetIn = 700 * time.Millisecond
+func requestDuringClose(nc net.Conn, b *bufio.Reader, target string) string {
+	const resetTimeout = 700 * time.Millisecond
 	if _, err := fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", target); err != nil {
 		return "unread"
 	}
 	nc.SetReadDeadline(time.Now().Add(3 * time.Second))
-	q, err := http.ReadResponse(b, nil)
+	resp, err := http.ReadResponse(b, nil)
 	if err == nil {
-		body, err := io.ReadAll(q.Body)
-		if err != nil || q.StatusCode == http.StatusOK && string(body) != target {
+		body, err := io.ReadAll(resp.Body)
+		if err != nil || resp.StatusCode == http.StatusOK && string(body) != target {
 			return fmt.Sprintf("lost: answered with %q, %v", body, err)
 		}
 		return "answered"
@@ -52,7 +52,7 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return "lost: " + err.Error()
 	}
-	if reset, stateErr := tcpstate.ResetWithin(nc, resetIn); stateErr != nil || !reset {
+	if reset, stateErr := tcpstate.ResetWithin(nc, resetTimeout); stateErr != nil || !reset {
 		return fmt.Sprintf("lost: read and closed without an answer (%v, %v)", err, stateErr)
 	}
 	return "unread"
@@ -60,19 +60,19 @@
 
 // Requests cross the end of connections that rest, whatever ends them: each is answered, or not read. One that was read and thrown
 // away is lost: its client can't tell it from one that ran.
-func TestRequestsCrossingACloseAreNotLost(t *testing.T) {
+func TestRequestsDuringCloseAreNotLost(t *testing.T) {
 	const connections = 60
-	for name, ending := range map[string]struct {
+	for name, cause := range map[string]struct {
 		change func(*settings.Settings)
 		front  func(*front.Server)
-		end    func(t *testing.T, r *rig)
+		end    func(t *testing.T, r *testRig)
 		spread time.Duration // over which clients ask once the ending has begun
 	}{
-		"stop": {end: func(t *testing.T, r *rig) { go r.m.Stop() }, spread: 60 * time.Millisecond},
-		"idle": {change: func(s *settings.Settings) { s.Times.IdleMs = 100 }, end: func(*testing.T, *rig) { time.Sleep(70 * time.Millisecond) },
+		"stop": {end: func(t *testing.T, r *testRig) { go r.m.Stop() }, spread: 60 * time.Millisecond},
+		"idle": {change: func(s *settings.Settings) { s.Times.IdleMs = 100 }, end: func(*testing.T, *testRig) { time.Sleep(70 * time.Millisecond) },
 			spread: 60 * time.Millisecond},
 		"eviction": {change: func(s *settings.Settings) { s.Limits.Connections = connections }, front: func(s *front.Server) { s.Terms.FirstMs = 2500 },
-			end: func(t *testing.T, r *rig) {
+			end: func(t *testing.T, r *testRig) {
 				time.Sleep(2050 * time.Millisecond) // connections that have served are left alone for 2 s
 				go func() {
 					for range 20 {
@@ -85,31 +85,31 @@
 			}, spread: 60 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := start(t, 1, ok, ending.change, rigHooks{Hooks: Hooks{ConfigureFront: ending.front}})
+			r := startRig(t, 1, echoPath, cause.change, testHooks{Hooks: Hooks{ConfigureFront: cause.front}})
 			clients := make([]*client, connections)
 			for i := range clients {
 				clients[i] = r.client()
 				clients[i].send(get, "look")
 				clients[i].expect("200")
 			}
-			ending.end(t, r)
+			cause.end(t, r)
 			var wg sync.WaitGroup
 			var mu sync.Mutex
-			seen := map[string]int{}
+			outcomes := map[string]int{}
 			for i, c := range clients {
 				wg.Go(func() {
-					time.Sleep(ending.spread * time.Duration(connections-i) / connections) // what rests longest asks last
-					what := crossing(c.Conn, c.b, fmt.Sprintf("/look-%d", i))
+					time.Sleep(cause.spread * time.Duration(connections-i) / connections) // what rests longest asks last
+					outcome := requestDuringClose(c.Conn, c.b, fmt.Sprintf("/look-%d", i))
 					mu.Lock()
 					defer mu.Unlock()
-					seen[what]++
+					outcomes[outcome]++
 				})
 			}
 			wg.Wait()
-			t.Log(seen)
-			for what, n := range seen {
-				if what != "answered" && what != "unread" {
-					t.Errorf("%d of %d: %s", n, connections, what)
+			t.Log(outcomes)
+			for outcome, n := range outcomes {
+				if outcome != "answered" && outcome != "unread" {
+					t.Errorf("%d of %d: %s", n, connections, outcome)
 				}
 			}
 		})
@@ -118,10 +118,10 @@
 
 // A stop comes between an answer that keeps its connection and the moment at which the connection rests again. The connection is
 // closed in time, and what its client sends next isn't thrown away.
-func TestStopBetweenAnswerAndRest(t *testing.T) {
-	const connections, within = 40, time.Second
+func TestStopBetweenAnswerAndIdle(t *testing.T) {
+	const connections, stopTimeout = 40, time.Second
 	clock := &slowClock{Clock: loop.Monotonic()}
-	r := start(t, 1, ok, nil, rigHooks{Hooks: Hooks{Clock: clock}})
+	r := startRig(t, 1, echoPath, nil, testHooks{Hooks: Hooks{Clock: clock}})
 	clients := make([]*client, connections)
 	for i := range clients {
 		clients[i] = r.client()
@@ -131,7 +131,7 @@
 	for i, c := range clients {
 		c.send(get, fmt.Sprintf("look-%d", i))
 	}
-	clock.takes.Store(int64(3 * time.Millisecond))
+	clock.delayNs.Store(int64(3 * time.Millisecond))
 	answered := func(c *client) { // a slow clock may have some refused
 		if got := c.read(); strings.HasPrefix(got, "no answer") {
 			t.Error(got)
@@ -141,21 +141,21 @@
 		answered(c)
 	}
 	stopped := make(chan time.Duration, 1)
-	begun := time.Now()
+	start := time.Now()
 	go func() {
 		r.m.Stop()
-		stopped <- time.Since(begun)
+		stopped <- time.Since(start)
 	}()
 	for _, c := range clients[connections/2:] {
 		answered(c)
 	}
-	clock.takes.Store(0)
+	clock.delayNs.Store(0)
 	for i, c := range clients[:4] {
-		if what := crossing(c.Conn, c.b, fmt.Sprintf("/look-again-%d", i)); what != "answered" && what != "unread" {
-			t.Error(what)
+		if outcome := requestDuringClose(c.Conn, c.b, fmt.Sprintf("/look-again-%d", i)); outcome != "answered" && outcome != "unread" {
+			t.Error(outcome)
 		}
 	}
-	if took := <-stopped; took > within {
+	if took := <-stopped; took > stopTimeout {
 		t.Errorf("nobody has a request out, and the stop took %v", took)
 	}
 }
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -31,57 +31,57 @@
 }
 
 // hold lets a core stand still until the test ends or the answer is called.
-func (r *rig) hold(core int) (letGo func()) {
-	held, stopped := make(chan struct{}), make(chan struct{})
-	r.m.Loops[core].Post(func() { close(stopped); <-held })
-	<-stopped
+func (r *testRig) stallCore(core int) (resume func()) {
+	release, stalled := make(chan struct{}), make(chan struct{})
+	r.m.Loops[core].Post(func() { close(stalled); <-release })
+	<-stalled
 	var once sync.Once
-	letGo = func() { once.Do(func() { close(held) }) }
-	r.t.Cleanup(letGo)
-	return letGo
+	resume = func() { once.Do(func() { close(release) }) }
+	r.t.Cleanup(resume)
+	return resume
 }
 
 // Connections are spread over cores; while one core stands still the others go on, and what had waited there goes to
 // one of them, all but what a mark binds to it: that is turned away in its time, and what it took is answered.
-func TestCoreStandsStill(t *testing.T) {
-	r := start(t, 2, func(r *rig, c net.Conn, b *bufio.Reader) {
+func TestCoreStalls(t *testing.T) {
+	r := startRig(t, 2, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, whole := r.request(b)
-			if !whole {
+			q, _, complete := r.readRequest(b)
+			if !complete {
 				return
 			}
 			if q.URL.Path == "/once" {
-				<-r.gate
+				<-r.release
 			}
-			answer(c, q.URL.Path)
+			respond(c, q.URL.Path)
 		}
-	}, onCores(3), rigHooks{})
-	taken := r.client()
-	taken.send(get, "once")
-	r.until("the node has it", func() bool { return r.got() == 1 })
+	}, onCores(3), testHooks{})
+	accepted := r.client()
+	accepted.send(get, "once")
+	r.waitFor("the node has it", func() bool { return r.received() == 1 })
 	home := -1
-	for i, l := range r.m.groups[0].lanes {
-		if l.loop.Ask(func() {
-			if l.core.Open() == 1 {
+	for i, w := range r.m.pools[0].workers {
+		if w.loop.Ask(func() {
+			if w.core.Open() == 1 {
 				home = i
 			}
 		}); home >= 0 {
 			break
 		}
 	}
-	r.hold(home)
+	r.stallCore(home)
 	var clients []*client
 	for range 6 {
 		clients = append(clients, r.client())
 	}
-	begun := time.Now()
+	start := time.Now()
 	for _, c := range clients {
 		c.send(get, "look")
 	}
 	for _, c := range clients {
 		c.expect("200 succeeded /look")
 	}
-	if took := time.Since(begun); took > 400*time.Millisecond {
+	if took := time.Since(start); took > 400*time.Millisecond {
 		t.Errorf("with one core of three standing still, six answers took %v", took)
 	}
 	if r.m.Front.Moved() == 0 {
@@ -92,85 +92,85 @@
 			t.Errorf("core %d has %d of 7 connections", core, n)
 		}
 	}
-	bound := 0
-	for divide.Home(fmt.Sprint(bound), 3) != home {
-		bound++
+	key := 0
+	for divide.Home(fmt.Sprint(key), 3) != home {
+		key++
 	}
 	c := r.client()
-	c.send("POST /book HTTP/1.1\nHost: x\nIdempotency-Key: %d\nContent-Length: 0\nX-Time-Ms: 200\n\n", bound)
+	c.send("POST /book HTTP/1.1\nHost: x\nIdempotency-Key: %d\nContent-Length: 0\nX-Time-Ms: 200\n\n", key)
 	c.expect("503 not-taken")
-	close(r.gate) // the node answers what the core that stands still has taken: the client gets it
-	taken.expect("200 succeeded /once")
-	if look := r.m.Loops[home].Standing(); look < 100 {
-		t.Errorf("the core that stands still says it has for %v ms", look)
+	close(r.release) // the node answers what the core that stands still has taken: the client gets it
+	accepted.expect("200 succeeded /once")
+	if stalledMs := r.m.Loops[home].Standing(); stalledMs < 100 {
+		t.Errorf("the core that stands still says it has for %v ms", stalledMs)
 	}
 }
 
 // What a core that stands still had taken and that fails meanwhile is terminated in the client's time, once.
-func TestCoreStandsStillWithAFailure(t *testing.T) {
-	r := start(t, 1, func(r *rig, c net.Conn, b *bufio.Reader) {
-		r.request(b)
-		<-r.gate
-	}, onCores(2), rigHooks{})
+func TestCoreStallsDuringFailure(t *testing.T) {
+	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
+		r.readRequest(b)
+		<-r.release
+	}, onCores(2), testHooks{})
 	c := r.client()
 	c.send(get, "once")
-	r.until("the node has it", func() bool { return r.got() == 1 })
-	letGo := []func(){r.hold(0), r.hold(1)}
-	close(r.gate)
+	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	resume := []func(){r.stallCore(0), r.stallCore(1)}
+	close(r.release)
 	c.expect("502 terminated")
-	for _, f := range letGo {
+	for _, f := range resume {
 		f()
 	}
-	c.silent()
-	r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Open == 0 && l.Terminated == 1 })
+	c.expectSilence()
+	r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Terminated == 1 })
 }
 
 // A core whose module panics terminates what it had and begins anew; the others notice nothing. Time and again, the
 // marshal ends.
 func TestCorePanics(t *testing.T) {
-	var many atomic.Int32
-	r := start(t, 1, func(r *rig, c net.Conn, b *bufio.Reader) {
+	var modules atomic.Int32
+	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, whole := r.request(b)
-			if !whole {
+			q, _, complete := r.readRequest(b)
+			if !complete {
 				return
 			}
 			if strings.HasPrefix(q.URL.Path, "/once") {
-				<-r.gate
+				<-r.release
 			}
-			answer(c, q.URL.Path)
+			respond(c, q.URL.Path)
 		}
-	}, onCores(2), rigHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
-		many.Add(1)
-		return panicky{balance.New(h, s, seed)}
+	}, onCores(2), testHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
+		modules.Add(1)
+		return panickingModule{balance.New(h, s, seed)}
 	}}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
 	a, b := r.client(), r.client() // one at each core
 	a.send(get, "once/1")
 	b.send(get, "once/2")
-	r.until("the node has both", func() bool { return r.got() == 2 })
-	fatal := 0
-	for divide.Home(fmt.Sprint(fatal), 2) != 0 {
-		fatal++
+	r.waitFor("the node has both", func() bool { return r.received() == 2 })
+	key := 0
+	for divide.Home(fmt.Sprint(key), 2) != 0 {
+		key++
 	}
-	bad := func() {
+	triggerPanic := func() {
 		c := r.client()
-		c.send("GET /book HTTP/1.1\nHost: x\nIdempotency-Key: %d\n\n", fatal)
+		c.send("GET /book HTTP/1.1\nHost: x\nIdempotency-Key: %d\n\n", key)
 		c.expect("502 terminated")
 	}
-	bad()
+	triggerPanic()
 	a.expect("502 terminated")
-	close(r.gate)
+	close(r.release)
 	b.expect("200 succeeded /once/2")
 	for range 4 {
 		c := r.client()
 		c.send(get, "look")
 		c.expect("200 succeeded")
 	}
-	if n := many.Load(); n != 3 {
+	if n := modules.Load(); n != 3 {
 		t.Errorf("%d modules were made", n)
 	}
 	for range 3 {
-		bad()
+		triggerPanic()
 	}
 	select {
 	case <-r.m.Ended():
@@ -186,26 +186,26 @@
 // build has answered a key, no core sends it to an earlier one.
 func TestKeysOnCores(t *testing.T) {
 	var mu sync.Mutex
-	at := map[string]map[string]bool{} // by key, the instances that were told of it
-	r := start(t, 4, ok, onCores(4, func(s *settings.Settings) {
+	instancesOf := map[string]map[string]bool{} // by key, the instances that were told of it
+	r := startRig(t, 4, echoPath, onCores(4, func(s *settings.Settings) {
 		s.Rollout.ForwardOnly, s.Rollout.Allowance = true, 1000
 		s.Rollout.Stage = []*settings.Stage{{Part: 0.5, Cap: 0.5}, {Part: 1, Cap: 1}}
 		s.Rollout.CountedOverMs = 300
-	}), rigHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
-		return watched{balance.New(h, s, seed), func(key string) {
+	}), testHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
+		return observedModule{balance.New(h, s, seed), func(key string) {
 			mu.Lock()
 			defer mu.Unlock()
-			if at[key] == nil {
-				at[key] = map[string]bool{}
+			if instancesOf[key] == nil {
+				instancesOf[key] = map[string]bool{}
 			}
-			at[key][fmt.Sprint(s["instance"])] = true
+			instancesOf[key][fmt.Sprint(s["instance"])] = true
 		}}
 	}}})
 	for id := range uint32(4) {
-		r.roster.Set(control.Line{Node: balance.Node{ID: id + 1, Ver: 1 + int(id)/2, Size: 1}, Address: r.lns[id].Addr().String()}, 0)
+		r.registry.Set(control.Line{Node: balance.Node{ID: id + 1, Ver: 1 + int(id)/2, Size: 1}, Address: r.nodeListeners[id].Addr().String()}, 0)
 	}
-	for _, g := range r.m.groups {
-		g.staged(2, 0, balance.OnTrial, 0.5, 0, false)
+	for _, p := range r.m.pools {
+		p.stageUpdate(2, 0, balance.OnTrial, 0.5, 0, false)
 	}
 	time.Sleep(400 * time.Millisecond)
 	var wg sync.WaitGroup
@@ -220,7 +220,7 @@
 	}
 	wg.Wait()
 	cores := map[string]bool{}
-	for key, instances := range at {
+	for key, instances := range instancesOf {
 		if len(instances) != 1 {
 			t.Errorf("key %s was at cores %v", key, instances)
 		}
@@ -228,48 +228,48 @@
 			cores[i] = true
 		}
 	}
-	if len(at) != 12 || len(cores) < 3 {
-		t.Errorf("%d keys at %d cores", len(at), len(cores))
+	if len(instancesOf) != 12 || len(cores) < 3 {
+		t.Errorf("%d keys at %d cores", len(instancesOf), len(cores))
 	}
 }
 
-type watched struct {
+type observedModule struct {
 	*balance.Balancer
-	seen func(key string)
+	onArrival func(key string)
 }
 
-func (w watched) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
-	w.seen(key)
-	w.Balancer.Arrived(id, op, tenant, key, budget, cost, retry, write)
+func (o observedModule) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+	o.onArrival(key)
+	o.Balancer.Arrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
 // Eight cores at a small cap expose no more than the marshal may, together; and when the cap falls to nothing, nothing.
-func TestCapOverCores(t *testing.T) {
+func TestCapAcrossCores(t *testing.T) {
 	const window = 500 * time.Millisecond
-	heldUp := schedlag.Watch()
+	schedulingDelay := schedlag.Watch()
 	var mu sync.Mutex
-	var taken, exposed []time.Time
-	r := start(t, 4, func(r *rig, c net.Conn, b *bufio.Reader) {
+	var sentAt, exposedAt []time.Time
+	r := startRig(t, 4, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, whole := r.request(b)
-			if !whole {
+			q, _, complete := r.readRequest(b)
+			if !complete {
 				return
 			}
-			if c.LocalAddr().String() == r.lns[3].Addr().String() {
+			if c.LocalAddr().String() == r.nodeListeners[3].Addr().String() {
 				mu.Lock()
-				exposed = append(exposed, time.Now())
+				exposedAt = append(exposedAt, time.Now())
 				mu.Unlock()
 			}
-			answer(c, q.URL.Path)
+			respond(c, q.URL.Path)
 		}
 	}, onCores(8, func(s *settings.Settings) {
 		s.Rollout.Allowance, s.Rollout.CountedOverMs = 2, float64(window.Milliseconds())
 		s.Rollout.Stage = []*settings.Stage{{Part: 0.25, Cap: 0.1}, {Part: 1, Cap: 1}}
-	}), rigHooks{})
-	r.roster.Set(control.Line{Node: balance.Node{ID: 4, Ver: 2, Size: 1}, Address: r.lns[3].Addr().String()}, 0)
-	r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return l.Nodes[4].Ver == 2 })
-	g := r.m.groups[0]
-	g.staged(2, 0, balance.OnTrial, 0.1, 0, false)
+	}), testHooks{})
+	r.registry.Set(control.Line{Node: balance.Node{ID: 4, Ver: 2, Size: 1}, Address: r.nodeListeners[3].Addr().String()}, 0)
+	r.waitFor("it is known", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[4].Ver == 2 })
+	p := r.m.pools[0]
+	p.stageUpdate(2, 0, balance.OnTrial, 0.1, 0, false)
 	load := func(clients, each int) {
 		var wg sync.WaitGroup
 		for range clients {
@@ -277,7 +277,7 @@
 			wg.Go(func() {
 				for range each {
 					mu.Lock()
-					taken = append(taken, time.Now())
+					sentAt = append(sentAt, time.Now())
 					mu.Unlock()
 					c.send(get, "look")
 					c.expect("200 succeeded")
@@ -288,18 +288,18 @@
 		}
 		wg.Wait()
 	}
-	for begun := time.Now(); len(exposed) < 20 && time.Since(begun) < 5*time.Second; {
+	for start := time.Now(); len(exposedAt) < 20 && time.Since(start) < 5*time.Second; {
 		load(16, 40)
 	}
-	if len(exposed) < 20 {
-		t.Errorf("only %d of %d were exposed", len(exposed), len(taken))
+	if len(exposedAt) < 20 {
+		t.Errorf("only %d of %d were exposed", len(exposedAt), len(sentAt))
 	}
-	lag := heldUp()
+	delay := schedulingDelay()
 	// A node stamps what reaches it later than the marshal counted it, by the way there and by as long as the process was held up: a
 	// window of 500 ms at the marshal is at least that much shorter here, and what was taken in it began that much earlier.
-	const way = 20 * time.Millisecond
-	for _, at := range exposed {
-		in := func(all []time.Time, window time.Duration) (n float64) {
+	const transit = 20 * time.Millisecond
+	for _, at := range exposedAt {
+		countBefore := func(all []time.Time, window time.Duration) (n float64) {
 			for _, e := range all {
 				if !e.After(at) && at.Sub(e) < window {
 					n++
@@ -307,64 +307,64 @@
 			}
 			return n
 		}
-		if used, may := in(exposed, window-way-lag), 2+0.1*in(taken, window-way+lag)+1; used > may {
-			t.Fatalf("%v exposed where %v may be; held up for %v; without that %v where %v", used, may, lag, in(exposed, window-way),
-				2+0.1*in(taken, window-way)+1)
+		if used, limit := countBefore(exposedAt, window-transit-delay), 2+0.1*countBefore(sentAt, window-transit+delay)+1; used > limit {
+			t.Fatalf("%v exposed where %v may be; held up for %v; without that %v where %v", used, limit, delay, countBefore(exposedAt, window-transit),
+				2+0.1*countBefore(sentAt, window-transit)+1)
 		}
 	}
-	g.staged(2, 0, balance.GoingBack, 0, 0, false)
-	if addr := r.lns[3].Addr().String(); !r.m.pool.Late(addr) {
+	p.stageUpdate(2, 0, balance.GoingBack, 0, 0, false)
+	if addr := r.nodeListeners[3].Addr().String(); !r.m.upstream.Late(addr) {
 		t.Error("what was decided on before the cap fell is still written")
 	} else {
-		g.staged(2, 0, balance.OnTrial, 0.1, 0, false)
-		if r.m.pool.Late(addr) {
+		p.stageUpdate(2, 0, balance.OnTrial, 0.1, 0, false)
+		if r.m.upstream.Late(addr) {
 			t.Error("a node whose build may be exposed again is still shut")
 		}
-		g.staged(2, 0, balance.GoingBack, 0, 0, false)
+		p.stageUpdate(2, 0, balance.GoingBack, 0, 0, false)
 	}
-	before := len(exposed)
+	before := len(exposedAt)
 	load(16, 20)
-	if len(exposed) > before {
-		t.Errorf("%d exposed after the cap fell to nothing", len(exposed)-before)
+	if len(exposedAt) > before {
+		t.Errorf("%d exposed after the cap fell to nothing", len(exposedAt)-before)
 	}
-	if st := g.account.Look(); st.Ver != 2 || st.Cap != 0 || st.Refused == 0 {
-		t.Errorf("the account says %+v", st)
+	if account := p.account.Look(); account.Ver != 2 || account.Cap != 0 || account.Refused == 0 {
+		t.Errorf("the account says %+v", account)
 	}
 }
 
 // Word that a node drains holds for a core that has not read it: the grace counts from when the marshal had it.
-func TestDrainOverCores(t *testing.T) {
-	r := start(t, 1, ok, onCores(2), rigHooks{})
-	addr := r.lns[0].Addr().String()
-	r.list(1, addr, balance.Draining)
-	r.until("the word is here", func() bool { l, _ := r.m.Snapshot(); return l.Nodes[1].Health == balance.Draining })
-	if r.m.pool.Late(addr) {
+func TestDrainAcrossCores(t *testing.T) {
+	r := startRig(t, 1, echoPath, onCores(2), testHooks{})
+	addr := r.nodeListeners[0].Addr().String()
+	r.setNode(1, addr, balance.Draining)
+	r.waitFor("the word is here", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[1].Health == balance.Draining })
+	if r.m.upstream.Late(addr) {
 		t.Error("the grace is over at once")
 	}
 	time.Sleep(220 * time.Millisecond)
-	if !r.m.pool.Late(addr) {
+	if !r.m.upstream.Late(addr) {
 		t.Error("the grace does not end")
 	}
 	// A dispatch decided on before is never written, and never ran.
-	for _, l := range r.m.groups[0].lanes {
-		l.loop.Ask(func() { l.core.Listed(false, []balance.Node{{ID: 1, Ver: 1, Size: 1}}, []string{addr}) })
+	for _, w := range r.m.pools[0].workers {
+		w.loop.Ask(func() { w.core.Listed(false, []balance.Node{{ID: 1, Ver: 1, Size: 1}}, []string{addr}) })
 	}
 	c := r.client()
 	c.send(get, "once")
 	c.expect("503 throttled")
-	if r.got() != 0 {
-		t.Errorf("%d requests reached a node that drains", r.got())
+	if r.received() != 0 {
+		t.Errorf("%d requests reached a node that drains", r.received())
 	}
-	r.list(1, addr, balance.Serving)
-	r.until("it serves again", func() bool { return !r.m.pool.Late(addr) })
+	r.setNode(1, addr, balance.Serving)
+	r.waitFor("it serves again", func() bool { return !r.m.upstream.Late(addr) })
 	c.send(get, "once")
 	c.expect("200 succeeded")
 }
 
 // The metrics tell of each core, also of one that stands still.
 func TestMetrics(t *testing.T) {
-	r := start(t, 1, ok, onCores(2, func(s *settings.Settings) { s.Listen.Metrics = "127.0.0.1:0" }), rigHooks{})
-	r.hold(1)
+	r := startRig(t, 1, echoPath, onCores(2, func(s *settings.Settings) { s.Listen.Metrics = "127.0.0.1:0" }), testHooks{})
+	r.stallCore(1)
 	time.Sleep(30 * time.Millisecond)
 	q, err := http.Get("http://" + r.m.MetricsAddress() + "/metrics")
 	if err != nil {
@@ -386,7 +386,7 @@
 
 // Cores can't be added while a marshal runs: that says so and changes nothing.
 func TestCoresNeedARestart(t *testing.T) {
-	r := start(t, 1, ok, onCores(2), rigHooks{})
+	r := startRig(t, 1, echoPath, onCores(2), testHooks{})
 	set := r.m.Settings.Copy()
 	set.Instance.Cores = 4
 	if _, err := r.m.Reload(set, nil); err == nil || !strings.Contains(err.Error(), "restart") || !strings.Contains(err.Error(), "cores") {
@@ -396,8 +396,8 @@
 
 // While cores stand still one after the other and what waits is moved to and fro, no side-effecting invocation reaches
 // nodes twice, each client gets one answer, and what was told not-taken never ran.
-func TestMovesOnce(t *testing.T) {
-	r := start(t, 3, ok, onCores(3, func(s *settings.Settings) { s.Limits.Queue = 4 }), rigHooks{})
+func TestMovedInvocationsRunOnce(t *testing.T) {
+	r := startRig(t, 3, echoPath, onCores(3, func(s *settings.Settings) { s.Limits.Queue = 4 }), testHooks{})
 	var wg sync.WaitGroup
 	stop := make(chan struct{})
 	for core := range 3 {
@@ -430,7 +430,7 @@
 					return
 				}
 			}
-			c.silent()
+			c.expectSilence()
 		})
 	}
 	clients.Wait()
@@ -460,37 +460,37 @@
 // A client that does not read its long answer holds its own connection and nothing of its core.
 func TestSlowReaderOnCores(t *testing.T) {
 	large := strings.Repeat("x", 8<<20)
-	r := start(t, 1, func(r *rig, c net.Conn, b *bufio.Reader) {
+	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, whole := r.request(b)
-			if !whole {
+			q, _, complete := r.readRequest(b)
+			if !complete {
 				return
 			}
 			if strings.HasSuffix(q.URL.Path, "large") {
-				answer(c, large)
+				respond(c, large)
 			} else {
-				answer(c, q.URL.Path)
+				respond(c, q.URL.Path)
 			}
 		}
-	}, onCores(2), rigHooks{})
+	}, onCores(2), testHooks{})
 	for n := 1; n <= 8; n++ { // four at each core
 		for ok := false; !ok; { // a request of 0.6 s is turned away by a process that is held up for as long
 			c := r.client()
 			c.send(get, "look/large")
-			r.until("it is being answered, or turned away", func() bool { ok = r.got() == n; return ok || back.Unread(c.Conn) })
-			if ok = ok || r.got() == n; !ok {
+			r.waitFor("it is being answered, or turned away", func() bool { ok = r.received() == n; return ok || back.Unread(c.Conn) })
+			if ok = ok || r.received() == n; !ok {
 				c.Close()
 			}
 		}
 	}
 	for range 4 {
 		c := r.client()
-		heldUp, begun := schedlag.Watch(), time.Now()
+		schedulingDelay, start := schedlag.Watch(), time.Now()
 		c.send(get, "look")
 		c.expect("200 succeeded /look")
-		took := time.Since(begun)
-		if lag := heldUp(); took > 150*time.Millisecond+lag {
-			t.Errorf("beside clients that do not read an answer took %v, held up for %v", took, lag)
+		took := time.Since(start)
+		if delay := schedulingDelay(); took > 150*time.Millisecond+delay {
+			t.Errorf("beside clients that do not read an answer took %v, held up for %v", took, delay)
 		}
 	}
 }
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -18,37 +18,37 @@
 
 // group is one pool of nodes: its list, its news, and the instances of the module that serve it, one for each core.
 // Groups share the loops, the clients' side and the connections to nodes, and nothing that decides.
-type group struct {
+type nodePool struct {
 	m        *Marshal
 	number   int
-	set      *settings.Settings
-	roster   Registry
-	conveyor RolloutService
+	settings *settings.Settings
+	registry Registry
+	rollout  RolloutService
 	account  *divide.Account // what the lanes share, nil for a lane alone
-	lanes    []*lane
+	workers  []*worker
 
-	mu      sync.Mutex // what the lanes are told: by all in the same order
-	list    *list
-	changed chan struct{} // the list has
-	heard   chan struct{} // closed by the roster's first list
-	once    sync.Once
-	stage   func(*lane) // tells where the newest build stands
-	none    int         // the build of which nothing may be exposed, its cap being 0; or -1
-	capOf   struct {    // the cap told last
+	mu            sync.Mutex // what the lanes are told: by all in the same order
+	list          *nodeList
+	listChanged   chan struct{} // the list has
+	firstList     chan struct{} // closed by the roster's first list
+	firstListOnce sync.Once
+	replayStage   func(*worker) // tells where the newest build stands
+	blockedVer    int           // the build of which nothing may be exposed, its cap being 0; or -1
+	lastCap       struct {      // the cap told last
 		ver int
 		cap float64
 	}
 }
 
 // lane is one instance of a group's module, on its core's loop.
-type lane struct {
-	*group
+type worker struct {
+	*nodePool
 	instance int
 	loop     *loop.Loop
 	core     *marshal.Core
-	part     *divide.Part // nil for a lane alone
-	rec      *record.Writer
-	begins   []float64 // when it began anew
+	shard    *divide.Part // nil for a lane alone
+	recorder *record.Writer
+	restarts []float64 // when it began anew
 }
 
 // repeatRules are those of operations.
@@ -67,243 +67,243 @@
 
 // wire connects what comes from the control sockets to the loops. News of nodes and builds goes before all that waits
 // there, and the account knows of a build before any instance does.
-func (g *group) wire(ways *Transport) {
+func (p *nodePool) connectControl(transport *Transport) {
 	listFailed := func() {
-		if g.account != nil {
-			g.account.ListFailed()
+		if p.account != nil {
+			p.account.ListFailed()
 		}
-		g.each(func(l *lane) { l.events().ListFailed() })
+		p.postAll(func(w *worker) { w.events().ListFailed() })
 	}
-	voteFailed := func(how balance.Ending) {
-		l := g.voter()
-		l.loop.Post(func() { l.events().VoteFailed(how) })
+	voteFailed := func(outcome balance.Ending) {
+		w := p.votingWorker()
+		w.loop.Post(func() { w.events().VoteFailed(outcome) })
 	}
-	if ways != nil {
-		g.roster, g.conveyor = ways.NewRegistry(g.listed, listFailed), ways.NewRolloutService(g.staged, voteFailed)
+	if transport != nil {
+		p.registry, p.rollout = transport.NewRegistry(p.nodesListed, listFailed), transport.NewRolloutService(p.stageUpdate, voteFailed)
 		return
 	}
-	if r := g.set.Roster; r.Address != "" {
-		g.roster = &control.Roster{Address: r.Address, Ask: r.Ask, Number: int(g.set.Instance.Number),
-			Wait: dur(r.ReconnectMs), WaitMost: dur(r.ReconnectMostMs), Log: g.m.Log, Listed: g.listed, Failed: listFailed}
+	if r := p.settings.Roster; r.Address != "" {
+		p.registry = &control.Roster{Address: r.Address, Ask: r.Ask, Number: int(p.settings.Instance.Number),
+			Wait: milliseconds(r.ReconnectMs), WaitMost: milliseconds(r.ReconnectMostMs), Log: p.m.Log, Listed: p.nodesListed, Failed: listFailed}
 	}
-	if c := g.set.Conveyor; c.Address != "" {
-		g.conveyor = &control.Conveyor{Address: c.Address, Number: int(g.set.Instance.Number), Wait: dur(c.ReconnectMs),
-			WaitMost: dur(c.ReconnectMostMs), Patience: dur(g.set.Rollout.VoteTimeoutMs), Log: g.m.Log,
-			Staged: g.staged,
+	if c := p.settings.Conveyor; c.Address != "" {
+		p.rollout = &control.Conveyor{Address: c.Address, Number: int(p.settings.Instance.Number), Wait: milliseconds(c.ReconnectMs),
+			WaitMost: milliseconds(c.ReconnectMostMs), Patience: milliseconds(p.settings.Rollout.VoteTimeoutMs), Log: p.m.Log,
+			Staged: p.stageUpdate,
 			Failed: voteFailed,
 			Tallied: func(ver, op, samples, errors int, mean, age float64) {
-				g.each(func(l *lane) { l.events().Tallied(ver, op, samples, errors, mean, age) })
+				p.postAll(func(w *worker) { w.events().Tallied(ver, op, samples, errors, mean, age) })
 			},
 			Flagged: func(node uint32, op int, age float64) {
-				g.each(func(l *lane) { l.events().Flagged(node, op, age) })
+				p.postAll(func(w *worker) { w.events().Flagged(node, op, age) })
 			}}
 	}
 }
 
 // each tells every lane something.
-func (g *group) each(f func(*lane)) {
-	for _, l := range g.lanes {
-		l.loop.Post(func() { f(l) })
+func (p *nodePool) postAll(f func(*worker)) {
+	for _, w := range p.workers {
+		w.loop.Post(func() { f(w) })
 	}
 }
 
 // voter is the lane whose vote is answered.
-func (g *group) voter() *lane {
-	if g.account == nil {
-		return g.lanes[0]
+func (p *nodePool) votingWorker() *worker {
+	if p.account == nil {
+		return p.workers[0]
 	}
-	return g.lanes[g.account.Answered()]
+	return p.workers[p.account.Answered()]
 }
 
-func (g *group) staged(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	var to *lane
-	if g.account != nil {
-		g.account.Staged(ver, phase, cap)
+func (p *nodePool) stageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	var voting *worker
+	if p.account != nil {
+		p.account.Staged(ver, phase, cap)
 	}
-	g.closed(ver, cap <= 0 && phase != balance.Released)
+	p.blockBuild(ver, cap <= 0 && phase != balance.Released)
 	if reply {
-		to = g.voter()
+		voting = p.votingWorker()
 	}
-	heard := g.m.Loop.Clock().Now()
-	g.stage = func(l *lane) { // also to one that begins later
-		l.core.Staged(ver, stage, phase, cap, age+max(0, l.loop.Now()-heard), false)
+	receivedAt := p.m.Loop.Clock().Now()
+	p.replayStage = func(w *worker) { // also to one that begins later
+		w.core.Staged(ver, stage, phase, cap, age+max(0, w.loop.Now()-receivedAt), false)
 	}
-	for _, l := range g.lanes {
-		l.loop.News(func() { l.core.Staged(ver, stage, phase, cap, age, l == to) })
+	for _, w := range p.workers {
+		w.loop.News(func() { w.core.Staged(ver, stage, phase, cap, age, w == voting) })
 	}
-	g.capped(ver, phase, cap)
+	p.lowerCap(ver, phase, cap)
 }
 
 // capped keeps from nodes of a build whose cap has fallen what was decided on before. It comes after the news has been queued: what
 // is decided later knows it.
-func (g *group) capped(ver int, phase balance.Phase, cap float64) {
+func (p *nodePool) lowerCap(ver int, phase balance.Phase, cap float64) {
 	if phase == balance.Released {
 		cap = 1
 	}
-	before := g.capOf
-	g.capOf.ver, g.capOf.cap = ver, cap
+	before := p.lastCap
+	p.lastCap.ver, p.lastCap.cap = ver, cap
 	if before.ver != ver || cap >= before.cap {
 		return
 	}
-	for _, line := range g.list.lines {
+	for _, line := range p.list.lines {
 		if line.Ver == ver {
-			g.m.pool.Lower(line.Address)
+			p.m.upstream.Lower(line.Address)
 		}
 	}
 }
 
 // closed keeps from nodes of a build whose cap has fallen to nothing what was decided on before and is not written yet.
-func (g *group) closed(ver int, closed bool) {
-	none := -1
-	if closed {
-		none = ver
+func (p *nodePool) blockBuild(ver int, blocked bool) {
+	blockedVer := -1
+	if blocked {
+		blockedVer = ver
 	}
-	if none == g.none {
+	if blockedVer == p.blockedVer {
 		return
 	}
-	before := g.none
-	g.none = none
-	for _, line := range g.list.lines {
+	before := p.blockedVer
+	p.blockedVer = blockedVer
+	for _, line := range p.list.lines {
 		if line.Health != balance.Serving {
 			continue
 		}
-		if line.Ver == none {
-			g.m.pool.Shut(line.Address, 0)
+		if line.Ver == blockedVer {
+			p.m.upstream.Shut(line.Address, 0)
 		} else if line.Ver == before {
-			g.m.pool.Reopen(line.Address)
+			p.m.upstream.Reopen(line.Address)
 		}
 	}
 }
 
 // begin starts the module with the list and the stage that the marshal had last.
-func (l *lane) begin(hooks Hooks, seed uint64, nodes []balance.Node, addresses []string) {
-	var set balance.Settings
+func (w *worker) start(hooks Hooks, seed uint64, nodes []balance.Node, addresses []string) {
+	var moduleSettings balance.Settings
 	if hooks.Transport != nil {
-		set = hooks.Transport.ModuleSettings
+		moduleSettings = hooks.Transport.ModuleSettings
 	} else {
-		set = l.set.ModuleOf(l.instance)
+		moduleSettings = w.settings.ModuleOf(w.instance)
 	}
-	seed += uint64(l.instance) << 32
-	l.core.Start(func(h balance.Host) marshal.Module {
-		if l.account != nil {
-			l.part = divide.NewPart(l.account, l.instance, len(l.lanes), h, l, set)
-			h = l.part
+	seed += uint64(w.instance) << 32
+	w.core.Start(func(h balance.Host) marshal.Module {
+		if w.account != nil {
+			w.shard = divide.NewPart(w.account, w.instance, len(w.workers), h, w, moduleSettings)
+			h = w.shard
 		}
 		var module divide.Module
-		if l.rec == nil {
-			module = hooks.NewModule(h, set, seed)
+		if w.recorder == nil {
+			module = hooks.NewModule(h, moduleSettings, seed)
 		} else {
-			tap := record.NewTap(l.rec, h, l.set, l.instance, seed, func(err error) { l.m.Log.Warn("the record ends here", "err", err) })
-			module = tap.Before(hooks.NewModule(tap, set, seed))
+			recording := record.NewTap(w.recorder, h, w.settings, w.instance, seed, func(err error) { w.m.Log.Warn("the record ends here", "err", err) })
+			module = recording.Before(hooks.NewModule(recording, moduleSettings, seed))
 		}
-		if l.account != nil {
-			return l.part.Before(module)
+		if w.account != nil {
+			return w.shard.Before(module)
 		}
 		return module
 	})
 	if len(nodes) > 0 {
-		l.core.Listed(true, nodes, addresses)
+		w.core.Listed(true, nodes, addresses)
 	}
 }
 
 // again begins a lane's module anew after a panic, with what is known by now.
-func (l *lane) again(hooks Hooks, seed uint64) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	nodes, addresses := l.list.nodes(slices.SortedFunc(maps.Values(l.list.lines), byID))
-	l.begins = append(l.begins, l.loop.Clock().Now())
-	l.begin(hooks, seed+uint64(l.number)+uint64(len(l.begins))<<48, nodes, addresses)
-	if l.stage != nil {
-		l.stage(l)
+func (w *worker) restart(hooks Hooks, seed uint64) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	nodes, addresses := w.list.toNodes(slices.SortedFunc(maps.Values(w.list.lines), byID))
+	w.restarts = append(w.restarts, w.loop.Clock().Now())
+	w.start(hooks, seed+uint64(w.number)+uint64(len(w.restarts))<<48, nodes, addresses)
+	if w.replayStage != nil {
+		w.replayStage(w)
 	}
 }
 
 // Share is divide.Others.
-func (l *lane) Share(to int, outcomes []divide.Outcome) {
-	other := l.lanes[to]
-	other.loop.Post(func() { other.part.Heard(outcomes) })
+func (w *worker) Share(to int, outcomes []divide.Outcome) {
+	other := w.workers[to]
+	other.loop.Post(func() { other.shard.Heard(outcomes) })
 }
 
 // events gives the module for what needs no care on the way.
-func (l *lane) events() marshal.Module { return l.core.Events() }
+func (w *worker) events() marshal.Module { return w.core.Events() }
 
 // last reads the list of the marshal's life before.
-func (g *group) last(ways *Transport) ([]balance.Node, []string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if ways != nil {
-		g.list.take(true, ways.KnownNodes)
-		return g.read(ways.KnownNodes)
+func (p *nodePool) loadList(transport *Transport) ([]balance.Node, []string) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if transport != nil {
+		p.list.update(true, transport.KnownNodes)
+		return p.applyLines(transport.KnownNodes)
 	}
-	lines, err := g.list.load()
+	lines, err := p.list.load()
 	if err != nil {
-		g.m.Log.Warn("the last list is of no use", "file", g.set.Roster.File, "err", err)
+		p.m.Log.Warn("the last list is of no use", "file", p.settings.Roster.File, "err", err)
 	}
-	return g.read(lines)
+	return p.applyLines(lines)
 }
 
 // heldUp is how long a process may be held up between a look at its clock and a write. The grace of a node that drains covers it.
-const heldUp = 150 * time.Millisecond
+const maxSchedulingDelay = 150 * time.Millisecond
 
 // read makes nodes of lines, and opens and shuts what is kept for their addresses.
-func (g *group) read(lines []control.Line) ([]balance.Node, []string) {
+func (p *nodePool) applyLines(lines []control.Line) ([]balance.Node, []string) {
 	for _, line := range lines {
-		if line.Health == balance.Serving && line.Ver != g.none {
-			g.m.pool.Reopen(line.Address)
+		if line.Health == balance.Serving && line.Ver != p.blockedVer {
+			p.m.upstream.Reopen(line.Address)
 		} else if line.Health == balance.Serving {
-			g.m.pool.Shut(line.Address, 0)
-		} else if !g.list.other(line) {
-			g.m.pool.Shut(line.Address, max(0, dur(g.set.Rules.GraceMs)-heldUp))
+			p.m.upstream.Shut(line.Address, 0)
+		} else if !p.list.servedByOther(line) {
+			p.m.upstream.Shut(line.Address, max(0, milliseconds(p.settings.Rules.GraceMs)-maxSchedulingDelay))
 		}
 		if line.Health == balance.Gone {
-			g.m.pool.Drop(line.Address)
+			p.m.upstream.Drop(line.Address)
 		}
 	}
-	return g.list.nodes(lines)
+	return p.list.toNodes(lines)
 }
 
 // listed brings the list to all lanes.
-func (g *group) listed(whole bool, lines []control.Line) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	nodes, addresses := g.read(lines)
-	for _, l := range g.lanes {
-		l.loop.News(func() { l.core.Listed(whole, nodes, addresses) })
+func (p *nodePool) nodesListed(whole bool, lines []control.Line) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	nodes, addresses := p.applyLines(lines)
+	for _, w := range p.workers {
+		w.loop.News(func() { w.core.Listed(whole, nodes, addresses) })
 	}
-	g.list.take(whole, lines)
-	g.once.Do(func() { close(g.heard) })
+	p.list.update(whole, lines)
+	p.firstListOnce.Do(func() { close(p.firstList) })
 	select {
-	case g.changed <- struct{}{}:
+	case p.listChanged <- struct{}{}:
 	default: // it will be written anyway
 	}
 }
 
 // saveEvery is the least time between two writings of a list: a roll changes it hundreds of times a second.
-const saveEvery = 50 * time.Millisecond
+const minSaveInterval = 50 * time.Millisecond
 
 // saveAgain is between two tries where a list can't be saved.
-const saveAgain = 500 * time.Millisecond
+const saveRetryInterval = 500 * time.Millisecond
 
 // save writes the list away from the loops and from who reads the roster.
-func (g *group) save(ctx context.Context) {
+func (p *nodePool) saveChanges(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.changed:
+		case <-p.listChanged:
 		}
-		g.mu.Lock()
-		lines := g.list.copy()
-		g.mu.Unlock()
-		wait := saveEvery
-		if g.list.file != "" {
-			if err := g.list.save(written(lines)); err != nil {
-				g.m.Log.Warn("the list can't be saved", "file", g.list.file, "err", err, "again_in", saveAgain)
-				wait = saveAgain
+		p.mu.Lock()
+		lines := p.list.snapshot()
+		p.mu.Unlock()
+		wait := minSaveInterval
+		if p.list.file != "" {
+			if err := p.list.save(encodeList(lines)); err != nil {
+				p.m.Log.Warn("the list can't be saved", "file", p.list.file, "err", err, "again_in", saveRetryInterval)
+				wait = saveRetryInterval
 				select {
-				case g.changed <- struct{}{}:
+				case p.listChanged <- struct{}{}:
 				default: // it has changed since
 				}
 			}
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -19,7 +19,7 @@
 )
 
 // full is an address whose accept queue is full, so that connections to it hang, and a way to empty it for good.
-func full(t *testing.T) (address string, empty func() (got string)) {
+func fullAcceptQueue(t *testing.T) (address string, drain func() (got string)) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
 	if err != nil {
@@ -61,39 +61,39 @@
 
 // A client that leaves while the connection to its node hangs: the attempt is given up, and nothing is written once the
 // connection comes up.
-func TestClientLeavesBeforeAnythingIsSent(t *testing.T) {
-	address, empty := full(t)
-	r := start(t, 0, ok, func(s *settings.Settings) {
+func TestClientLeavesBeforeDispatchIsWritten(t *testing.T) {
+	address, drain := fullAcceptQueue(t)
+	r := startRig(t, 0, echoPath, func(s *settings.Settings) {
 		s.Times.DialMs = 10000
 		s.Operation[0].LimitMs = 10000
-	}, rigHooks{})
-	r.list(9, address, balance.Serving)
-	r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return len(l.Nodes) == 1 })
+	}, testHooks{})
+	r.setNode(9, address, balance.Serving)
+	r.waitFor("it is known", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
 	c := r.client()
 	c.send("GET /look HTTP/1.1\nHost: x\n\n")
-	r.until("it is on its way", func() bool { l, _ := r.m.Snapshot(); return l.Dispatches == 1 })
+	r.waitFor("it is on its way", func() bool { s, _ := r.m.Snapshot(); return s.Dispatches == 1 })
 	c.Close()
-	r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Lapsed == 1 && l.Open == 0 })
-	if got := empty(); got != "" {
+	r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Lapsed == 1 && s.Open == 0 })
+	if got := drain(); got != "" {
 		t.Errorf("the node got %q", got)
 	}
-	if l, _ := r.m.Snapshot(); l.Dispatches != 1 || l.Endings[balance.Ignored]+l.Endings[balance.NoConnect] != 1 {
-		t.Errorf("%d dispatches ended as %v", l.Dispatches, l.Endings)
+	if s, _ := r.m.Snapshot(); s.Dispatches != 1 || s.Endings[balance.Ignored]+s.Endings[balance.NoConnect] != 1 {
+		t.Errorf("%d dispatches ended as %v", s.Dispatches, s.Endings)
 	}
 }
 
 // A client that leaves while a node works for it: what is out is given up by closing it.
 func TestClientLeavesWhileANodeWorks(t *testing.T) {
 	closed := make(chan error, 1)
-	r := start(t, 1, func(r *rig, c net.Conn, b *bufio.Reader) {
-		if _, _, whole := r.request(b); whole {
+	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
+		if _, _, complete := r.readRequest(b); complete {
 			_, err := b.ReadByte()
 			closed <- err
 		}
-	}, func(s *settings.Settings) { s.Operation[0].LimitMs = 10000 }, rigHooks{})
+	}, func(s *settings.Settings) { s.Operation[0].LimitMs = 10000 }, testHooks{})
 	c := r.client()
 	c.send("GET /look HTTP/1.1\nHost: x\n\n")
-	r.until("the node has it", func() bool { return r.got() == 1 })
+	r.waitFor("the node has it", func() bool { return r.received() == 1 })
 	c.Close()
 	select {
 	case err := <-closed:
@@ -103,45 +103,45 @@
 	case <-time.After(2 * time.Second):
 		t.Error("the node's connection stays open")
 	}
-	r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Open == 0 && l.Endings[balance.Canceled] == 1 })
+	r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Endings[balance.Canceled] == 1 })
 }
 
 // last asks on a connection and says what became of it: "200", "closed" where the connection ended without a byte, or else.
-func last(c net.Conn, b *bufio.Reader) string {
+func finalResponse(c net.Conn, b *bufio.Reader) string {
 	c.SetReadDeadline(time.Now().Add(3 * time.Second))
-	q, err := http.ReadResponse(b, nil)
+	resp, err := http.ReadResponse(b, nil)
 	if errors.Is(err, io.EOF) || err == io.ErrUnexpectedEOF && b.Buffered() == 0 {
 		return "closed"
 	}
 	if err != nil {
 		return err.Error()
 	}
-	body, err := io.ReadAll(q.Body)
+	body, err := io.ReadAll(resp.Body)
 	if err != nil || !strings.HasPrefix(string(body), "/look") {
-		return fmt.Sprint(q.StatusCode, q.Close, string(body), err)
-	} else if !q.Close {
-		return fmt.Sprint(q.StatusCode, " kept")
+		return fmt.Sprint(resp.StatusCode, resp.Close, string(body), err)
+	} else if !resp.Close {
+		return fmt.Sprint(resp.StatusCode, " kept")
 	}
-	return fmt.Sprint(q.StatusCode)
+	return fmt.Sprint(resp.StatusCode)
 }
 
 // What is on its way when a marshal stops is answered whole: in the accept queue, accepted and not read, half read, with a node.
 // A request that crosses the close of a connection gets no byte, is not read, so that its client can tell, and reaches no node.
 func TestStopUnderRequests(t *testing.T) {
-	const ask = "GET /look%s HTTP/1.1\r\nHost: x\r\n\r\n"
+	const request = "GET /look%s HTTP/1.1\r\nHost: x\r\n\r\n"
 	for round := range 12 {
-		r := start(t, 1, func(r *rig, c net.Conn, b *bufio.Reader) {
+		r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 			for {
-				q, _, whole := r.request(b)
-				if !whole {
+				q, _, complete := r.readRequest(b)
+				if !complete {
 					return
 				}
 				if q.URL.Path == "/look-slow" {
-					<-r.gate
+					<-r.release
 				}
-				answer(c, q.URL.Path)
+				respond(c, q.URL.Path)
 			}
-		}, nil, rigHooks{})
+		}, nil, testHooks{})
 		dial := func(text string) (net.Conn, *bufio.Reader) {
 			c, err := net.Dial("tcp", r.m.Address())
 			if err != nil {
@@ -151,10 +151,10 @@
 			io.WriteString(c, text)
 			return c, bufio.NewReader(c)
 		}
-		slow, slowIn := dial(fmt.Sprintf(ask, "-slow"))
-		r.until("the node has it", func() bool { return r.got() == 1 })
+		slow, slowIn := dial(fmt.Sprintf(request, "-slow"))
+		r.waitFor("the node has it", func() bool { return r.received() == 1 })
 		half, halfIn := dial("GET /look-half HTTP/1.1\r\nHo")
-		idle, idleIn := dial(fmt.Sprintf(ask, "-idle"))
+		idle, idleIn := dial(fmt.Sprintf(request, "-idle"))
 		if q, err := http.ReadResponse(idleIn, nil); err != nil {
 			t.Fatal(err)
 		} else {
@@ -162,46 +162,46 @@
 		}
 		silent, silentIn := dial("")
 		stopped := make(chan error, 1)
-		fresh, freshIn := dial(fmt.Sprintf(ask, "-fresh"))
+		fresh, freshIn := dial(fmt.Sprintf(request, "-fresh"))
 		go func() { stopped <- r.m.Stop() }()
 		var wg sync.WaitGroup
-		check := func(what string, c net.Conn, b *bufio.Reader, want ...string) {
+		check := func(where string, c net.Conn, b *bufio.Reader, want ...string) {
 			wg.Go(func() {
-				got := last(c, b)
+				got := finalResponse(c, b)
 				for _, w := range want {
 					if got == w {
 						return
 					}
 				}
-				t.Errorf("round %d, %s: %s", round, what, got)
+				t.Errorf("round %d, %s: %s", round, where, got)
 			})
 		}
 		check("in the accept queue", fresh, freshIn, "200", "200 kept") // it may be answered before the stop begins
 		time.Sleep(time.Duration(round) * time.Millisecond)
 		wg.Go(func() {
-			if what := crossing(idle, idleIn, "/look-crossing"); what != "answered" && what != "unread" {
-				t.Errorf("round %d, on a kept connection: %s", round, what)
+			if outcome := requestDuringClose(idle, idleIn, "/look-crossing"); outcome != "answered" && outcome != "unread" {
+				t.Errorf("round %d, on a kept connection: %s", round, outcome)
 			}
 		})
 		io.WriteString(half, "st: x\r\n\r\n")
 		check("half read", half, halfIn, "200")
-		io.WriteString(silent, fmt.Sprintf(ask, "-first"))
+		io.WriteString(silent, fmt.Sprintf(request, "-first"))
 		check("the first of a connection", silent, silentIn, "200")
 		time.Sleep(20 * time.Millisecond)
-		close(r.gate)
+		close(r.release)
 		check("with a node", slow, slowIn, "200")
 		wg.Wait()
 		if err := <-stopped; err != nil {
 			t.Error(err)
 		}
-		crossed := 0
+		arrivals := 0
 		for _, p := range r.paths {
 			if p == "/look-crossing" {
-				crossed++
+				arrivals++
 			}
 		}
-		if crossed > 1 {
-			t.Errorf("round %d: what crossed the close reached nodes %d times", round, crossed)
+		if arrivals > 1 {
+			t.Errorf("round %d: what crossed the close reached nodes %d times", round, arrivals)
 		}
 		r.close()
 	}
@@ -210,30 +210,30 @@
 // A core stands still and doesn't come back while the marshal is told to stop. Stop asked that core what it owes and waited for its
 // word, End for its end: neither came, the listener and every connection stayed open, a second signal changed nothing, and KILL found
 // what was open unanswered. What clients are owed never needs the loop.
-func TestStopWhileTheLoopStandsStill(t *testing.T) {
-	r := start(t, 1, func(r *rig, c net.Conn, b *bufio.Reader) {
+func TestStopWhileLoopIsStalled(t *testing.T) {
+	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, whole := r.request(b)
-			if !whole {
+			q, _, complete := r.readRequest(b)
+			if !complete {
 				return
 			}
 			if q.URL.Path == "/once" {
-				<-r.gate
+				<-r.release
 			}
-			answer(c, q.URL.Path)
+			respond(c, q.URL.Path)
 		}
-	}, nil, rigHooks{})
-	kept, taken, queued := r.client(), r.client(), r.client()
+	}, nil, testHooks{})
+	kept, accepted, queued := r.client(), r.client(), r.client()
 	kept.send(get, "look")
 	kept.expect("200 succeeded /look")
-	taken.send(get, "once")
-	r.until("the node has it", func() bool { return r.got() == 2 })
-	r.hold(0)
+	accepted.send(get, "once")
+	r.waitFor("the node has it", func() bool { return r.received() == 2 })
+	r.stallCore(0)
 	queued.send(get, "look")
-	begun := time.Now()
+	start := time.Now()
 	stopped := make(chan error, 1)
 	go func() { stopped <- r.m.Stop() }()
-	taken.expect("504 terminated")
+	accepted.expect("504 terminated")
 	queued.expect("503 not-taken")
 	if got := kept.read(); got != "no answer: unexpected EOF" && got != "no answer: EOF" {
 		t.Errorf("the kept connection: %s", got)
@@ -243,7 +243,7 @@
 		if err == nil {
 			t.Error("nothing says that a core did not end")
 		}
-	case <-time.After(time.Duration(r.set.Times.StopMs)*time.Millisecond - time.Since(begun)):
+	case <-time.After(time.Duration(r.settings.Times.StopMs)*time.Millisecond - time.Since(start)):
 		t.Error("it does not stop in its time")
 	}
 }
@@ -251,37 +251,37 @@
 // A keyed request may have run at a node that reset it, and is sent again within the memory window, which is shorter than the
 // client's time. The connection for it hangs, comes up after the window, and carried the request to a node that had forgotten the
 // key: an effect twice. Nothing is written once the window is over, and the client hears at once.
-func TestRepeatKeepsToTheMemoryWindow(t *testing.T) {
+func TestRepeatStaysWithinMemoryWindow(t *testing.T) {
 	const window = 500.0
-	hangs, empty := full(t)
-	r := start(t, 1, func(r *rig, c net.Conn, b *bufio.Reader) {
-		r.request(b)
-		<-r.gate
+	hangingAddress, drain := fullAcceptQueue(t)
+	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
+		r.readRequest(b)
+		<-r.release
 		c.(*net.TCPConn).SetLinger(0)
 	}, func(s *settings.Settings) {
 		s.Times.DialMs = 10000
 		s.Operation[1].LimitMs, s.Operation[1].MemoryMs = 10000, window
-	}, rigHooks{})
+	}, testHooks{})
 	c := r.client()
-	begun := time.Now()
+	start := time.Now()
 	c.send("POST /book HTTP/1.1\nHost: x\nIdempotency-Key: a\nContent-Length: 2\n\nab")
-	r.until("the node has it", func() bool { return r.got() == 1 })
-	r.list(9, hangs, balance.Serving)
-	r.list(1, r.lns[0].Addr().String(), balance.Draining)
-	r.until("only the other node serves", func() bool {
-		l, _ := r.m.Snapshot()
-		return len(l.Nodes) == 2 && l.Nodes[1].Health == balance.Draining
+	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	r.setNode(9, hangingAddress, balance.Serving)
+	r.setNode(1, r.nodeListeners[0].Addr().String(), balance.Draining)
+	r.waitFor("only the other node serves", func() bool {
+		s, _ := r.m.Snapshot()
+		return len(s.Nodes) == 2 && s.Nodes[1].Health == balance.Draining
 	})
-	close(r.gate)
+	close(r.release)
 	c.expect("50")
-	if took := time.Since(begun); took > (window+200)*time.Millisecond {
+	if took := time.Since(start); took > (window+200)*time.Millisecond {
 		t.Errorf("the client heard after %v that it can't be sent again", took)
 	}
-	if got := empty(); got != "" {
+	if got := drain(); got != "" {
 		t.Errorf("after the window the node got %q", got)
 	}
-	if l, _ := r.m.Snapshot(); l.Dispatches != 2 || l.Open != 0 {
-		t.Errorf("%d dispatches, %d open", l.Dispatches, l.Open)
+	if s, _ := r.m.Snapshot(); s.Dispatches != 2 || s.Open != 0 {
+		t.Errorf("%d dispatches, %d open", s.Dispatches, s.Open)
 	}
 }
 
@@ -289,42 +289,42 @@
 // it reached the build's nodes long after the lower cap binds (150 ms after it is told): 8 requests where 1 + 0.05 x 8 and 2 more
 // may be. What was decided on before a lower cap is not written after it.
 func TestCapFallsBetweenDecisionAndWrite(t *testing.T) {
-	const requests, lower, passes = 8, 0.05, 2
-	hangs, empty := full(t)
-	r := start(t, 0, ok, func(s *settings.Settings) {
+	const requests, lowerCap, tolerance = 8, 0.05, 2
+	hangingAddress, drain := fullAcceptQueue(t)
+	r := startRig(t, 0, echoPath, func(s *settings.Settings) {
 		s.Times.DialMs = 10000
 		s.Operation[0].LimitMs = 10000
 		s.Rollout.CountedOverMs = 5000
-	}, rigHooks{})
-	r.roster.Set(control.Line{Node: balance.Node{ID: 9, Ver: 2, Size: 1}, Address: hangs}, 0)
-	r.until("it is known", func() bool { l, _ := r.m.Snapshot(); return len(l.Nodes) == 1 })
-	g := r.m.groups[0]
-	g.staged(2, 0, balance.OnTrial, 1, 0, false)
+	}, testHooks{})
+	r.registry.Set(control.Line{Node: balance.Node{ID: 9, Ver: 2, Size: 1}, Address: hangingAddress}, 0)
+	r.waitFor("it is known", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
+	p := r.m.pools[0]
+	p.stageUpdate(2, 0, balance.OnTrial, 1, 0, false)
 	for range requests {
 		r.client().send(get, "look")
 	}
-	r.until("all are on their way", func() bool { l, _ := r.m.Snapshot(); return l.Dispatches == requests })
-	g.staged(2, 0, balance.OnTrial, lower, 0, false)
-	most := int(r.set.Rollout.Allowance + lower*requests + passes)
-	if n := strings.Count(empty(), "GET /look"); n > most {
-		t.Errorf("%d requests reached the build after its cap had fallen; %d may", n, most)
+	r.waitFor("all are on their way", func() bool { s, _ := r.m.Snapshot(); return s.Dispatches == requests })
+	p.stageUpdate(2, 0, balance.OnTrial, lowerCap, 0, false)
+	limit := int(r.settings.Rollout.Allowance + lowerCap*requests + tolerance)
+	if n := strings.Count(drain(), "GET /look"); n > limit {
+		t.Errorf("%d requests reached the build after its cap had fallen; %d may", n, limit)
 	}
 }
 
 // A client that ends its sending and still reads is taken for gone, since it can't be told from one that closes: nothing more begins for
 // it. Its request was read all the same and then closed without a word; it is told now that it was given up.
-func TestHalfClosedClientIsTold(t *testing.T) {
-	r := start(t, 1, func(r *rig, c net.Conn, b *bufio.Reader) {
-		if _, _, whole := r.request(b); whole {
+func TestHalfClosedClientIsAnswered(t *testing.T) {
+	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
+		if _, _, complete := r.readRequest(b); complete {
 			b.ReadByte() // until it is given up
 		}
-	}, nil, rigHooks{})
+	}, nil, testHooks{})
 	c := r.client()
 	c.send("POST /once HTTP/1.1\nHost: x\nContent-Length: 2\n\nab")
-	r.until("the node has it", func() bool { return r.got() == 1 })
+	r.waitFor("the node has it", func() bool { return r.received() == 1 })
 	c.Conn.(*net.TCPConn).CloseWrite()
 	c.expect("502 terminated")
-	r.until("all is over", func() bool { l, _ := r.m.Snapshot(); return l.Open == 0 && l.Lapsed == 1 })
+	r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Lapsed == 1 })
 	if n := r.m.Front.Counts.Left.Load(); n != 1 {
 		t.Errorf("%d requests counted as left", n)
 	}
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -19,14 +19,14 @@
 
 // list is the roster's last list: what a restarted marshal begins with, and the clock times at which the nodes'
 // processes started, which the roster tells as ages.
-type list struct {
-	file  string
-	clock loop.Clock
-	begun map[process]float64
-	lines map[uint32]control.Line
-	told  map[uint32]float64 // clock time at which a line's age was told
+type nodeList struct {
+	file          string
+	clock         loop.Clock
+	processStarts map[process]float64
+	lines         map[uint32]control.Line
+	ageReceivedAt map[uint32]float64 // clock time at which a line's age was told
 	// serves is, by address, the node that serves there.
-	serves map[string]uint32
+	servingNode map[string]uint32
 	// write writes a file and has it on disk.
 	write func(path string, b []byte) error
 }
@@ -36,63 +36,63 @@
 	incarnation uint64
 }
 
-func newList(file string, clock loop.Clock) *list {
-	return &list{file: file, clock: clock, begun: map[process]float64{}, lines: map[uint32]control.Line{},
-		told: map[uint32]float64{}, serves: map[string]uint32{}, write: writeSynced}
+func newNodeList(file string, clock loop.Clock) *nodeList {
+	return &nodeList{file: file, clock: clock, processStarts: map[process]float64{}, lines: map[uint32]control.Line{},
+		ageReceivedAt: map[uint32]float64{}, servingNode: map[string]uint32{}, write: writeSynced}
 }
 
 // started is when a node's process started, by the marshal's clock: as it was first told for this process, so
 // that what is told again does not look like a restart.
-func (l *list) started(line control.Line) float64 {
+func (l *nodeList) processStart(line control.Line) float64 {
 	if line.Up <= 0 {
 		return 0
 	}
 	p := process{line.ID, line.Incarnation}
-	if at, ok := l.begun[p]; ok {
+	if at, ok := l.processStarts[p]; ok {
 		return at
 	}
 	at := max(1, l.clock.Now()-line.Up)
-	l.begun[p] = at
+	l.processStarts[p] = at
 	return at
 }
 
-const head = "arrowcleat list 1"
+const listHeader = "arrowcleat list 1"
 
 // take brings the list up to date. It does no more than that: in a roll of a large fleet the next word waits for it.
-func (l *list) take(whole bool, lines []control.Line) {
+func (l *nodeList) update(whole bool, lines []control.Line) {
 	now := l.clock.Now()
 	if whole {
 		clear(l.lines)
-		clear(l.serves)
+		clear(l.servingNode)
 	}
 	for _, line := range lines {
-		if before, ok := l.lines[line.ID]; ok && l.serves[before.Address] == line.ID {
-			delete(l.serves, before.Address)
+		if before, ok := l.lines[line.ID]; ok && l.servingNode[before.Address] == line.ID {
+			delete(l.servingNode, before.Address)
 		}
 		if line.Health == balance.Gone {
 			delete(l.lines, line.ID)
 			continue
 		}
 		if line.Health == balance.Serving {
-			l.serves[line.Address] = line.ID
+			l.servingNode[line.Address] = line.ID
 		}
-		l.lines[line.ID], l.told[line.ID] = line, now
+		l.lines[line.ID], l.ageReceivedAt[line.ID] = line, now
 	}
 }
 
 // copy gives the lines as they are to be written, and lets go of what is over.
-func (l *list) copy() []control.Line {
+func (l *nodeList) snapshot() []control.Line {
 	now := l.clock.Now()
-	for p := range l.begun { // processes that are no more
+	for p := range l.processStarts { // processes that are no more
 		if line, ok := l.lines[p.node]; !ok || line.Incarnation != p.incarnation {
-			delete(l.begun, p)
+			delete(l.processStarts, p)
 		}
 	}
 	lines := make([]control.Line, 0, len(l.lines))
-	for id, at := range l.told {
+	for id, at := range l.ageReceivedAt {
 		line, ok := l.lines[id]
 		if !ok {
-			delete(l.told, id)
+			delete(l.ageReceivedAt, id)
 			continue
 		}
 		if line.Up > 0 {
@@ -104,9 +104,9 @@
 }
 
 // written is lines as they are on disk.
-func written(lines []control.Line) []byte {
+func encodeList(lines []control.Line) []byte {
 	slices.SortFunc(lines, byID)
-	b := fmt.Appendf(nil, "%s %d %d\n", head, time.Now().UnixMilli(), len(lines))
+	b := fmt.Appendf(nil, "%s %d %d\n", listHeader, time.Now().UnixMilli(), len(lines))
 	for _, line := range lines {
 		b = append(control.AppendLine(b, line), '\n')
 	}
@@ -114,16 +114,16 @@
 }
 
 // other says that another node that serves has a line's address: it came to where that one had been.
-func (l *list) other(line control.Line) bool {
-	id, ok := l.serves[line.Address]
+func (l *nodeList) servedByOther(line control.Line) bool {
+	id, ok := l.servingNode[line.Address]
 	return ok && id != line.ID
 }
 
 // nodes makes nodes of lines.
-func (l *list) nodes(lines []control.Line) ([]balance.Node, []string) {
+func (l *nodeList) toNodes(lines []control.Line) ([]balance.Node, []string) {
 	nodes, addresses := make([]balance.Node, len(lines)), make([]string, len(lines))
 	for i, line := range lines {
-		line.Started = l.started(line)
+		line.Started = l.processStart(line)
 		nodes[i], addresses[i] = line.Node, line.Address
 	}
 	return nodes, addresses
@@ -132,9 +132,9 @@
 func byID(a, b control.Line) int { return cmp.Compare(a.ID, b.ID) }
 
 // save keeps a list on disk in place of the one before, which stays whole until the new one is.
-func (l *list) save(b []byte) error {
-	folder := filepath.Dir(l.file)
-	if err := os.MkdirAll(folder, 0o755); err != nil {
+func (l *nodeList) save(b []byte) error {
+	directory := filepath.Dir(l.file)
+	if err := os.MkdirAll(directory, 0o755); err != nil {
 		return err
 	}
 	next := l.file + ".next"
@@ -144,7 +144,7 @@
 	if err := os.Rename(next, l.file); err != nil {
 		return err
 	}
-	return syncFolder(folder)
+	return syncDirectory(directory)
 }
 
 // writeSynced writes a file and has it on disk.
@@ -161,7 +161,7 @@
 }
 
 // syncFolder has a folder's entries on disk.
-func syncFolder(path string) error {
+func syncDirectory(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
 		return err
@@ -170,7 +170,7 @@
 }
 
 // load reads the list of the marshal's life before; one that is torn or not a list is of no use.
-func (l *list) load() ([]control.Line, error) {
+func (l *nodeList) load() ([]control.Line, error) {
 	if l.file == "" {
 		return nil, nil
 	}
@@ -187,8 +187,8 @@
 	if !s.Scan() {
 		return nil, errors.New("it is empty")
 	}
-	if _, err := fmt.Sscanf(s.Text(), head+" %d %d", &saved, &count); err != nil {
-		return nil, fmt.Errorf("line 1 is not %q, a time and a count", head)
+	if _, err := fmt.Sscanf(s.Text(), listHeader+" %d %d", &saved, &count); err != nil {
+		return nil, fmt.Errorf("line 1 is not %q, a time and a count", listHeader)
 	}
 	// How long ago it was saved isn't known: the machine's wall clock may have been stepped in between, and a node that is taken for older
 	// than it is would be sent too much while it is cold. It counts as old as it was, until the roster tells.
--- a/internal/serve/open.go
+++ b/internal/serve/open.go
@@ -17,14 +17,14 @@
 
 // How long a start goes on trying where the machine lacks what a socket takes, and how long it waits in between.
 const (
-	scarceFor   = 5 * time.Second
-	scarceEvery = 10 * time.Millisecond
+	shortageTimeout       = 5 * time.Second
+	shortageRetryInterval = 10 * time.Millisecond
 )
 
 // whileScarce opens something, and tries again while the machine lacks what it takes for a moment.
-func whileScarce(open func() error) error {
-	for end := time.Now().Add(scarceFor); ; time.Sleep(scarceEvery) {
-		if err := open(); err == nil || !back.Scarce(err) || time.Now().After(end) {
+func retryOnShortage(open func() error) error {
+	for deadline := time.Now().Add(shortageTimeout); ; time.Sleep(shortageRetryInterval) {
+		if err := open(); err == nil || !back.Scarce(err) || time.Now().After(deadline) {
 			return err
 		}
 	}
@@ -33,7 +33,7 @@
 // open opens the sockets and files; what was opened is closed if one can't be.
 func (m *Marshal) open(listenOn func(network, address string) (net.Listener, error)) (err error) {
 	listen := func(address string) (ln net.Listener, err error) {
-		err = whileScarce(func() error {
+		err = retryOnShortage(func() error {
 			ln, err = listenOn("tcp", address)
 			return err
 		})
@@ -49,7 +49,7 @@
 		if err != nil {
 			return fmt.Errorf("listener %s: %w", l.Name, err)
 		}
-		m.lns = append(m.lns, front.Listener{Listener: ln, Name: l.Name})
+		m.listeners = append(m.listeners, front.Listener{Listener: ln, Name: l.Name})
 	}
 	if m.Settings.Listen.Peers != "" {
 		address, err := net.ResolveUDPAddr("udp", m.Settings.Listen.Peers)
@@ -57,10 +57,10 @@
 			return fmt.Errorf("listen.peers: %w", err)
 		}
 		var conn *net.UDPConn
-		if err := whileScarce(func() error { conn, err = net.ListenUDP("udp", address); return err }); err != nil {
+		if err := retryOnShortage(func() error { conn, err = net.ListenUDP("udp", address); return err }); err != nil {
 			return fmt.Errorf("listen.peers: %w", err)
 		}
-		peers := &control.Peers{Number: int(m.Settings.Instance.Number), Conn: conn, To: map[int]*net.UDPAddr{}, Told: m.told,
+		peers := &control.Peers{Number: int(m.Settings.Instance.Number), Conn: conn, To: map[int]*net.UDPAddr{}, Told: m.peerMessage,
 			Bad: func(err error) { m.Log.Warn("between marshals", "err", err) }}
 		m.peers = peers
 		for _, p := range m.Settings.Peer {
@@ -70,19 +70,19 @@
 		}
 	}
 	if m.Settings.Listen.Metrics != "" {
-		if m.meter, err = listen(m.Settings.Listen.Metrics); err != nil {
+		if m.metricsListener, err = listen(m.Settings.Listen.Metrics); err != nil {
 			return fmt.Errorf("listen.metrics: %w", err)
 		}
 	}
-	for _, l := range m.all() {
-		r := l.set.Record
-		if r.File == "" {
+	for _, w := range m.allWorkers() {
+		recording := w.settings.Record
+		if recording.File == "" {
 			continue
 		}
-		if err = os.MkdirAll(filepath.Dir(r.File), 0o755); err != nil {
+		if err = os.MkdirAll(filepath.Dir(recording.File), 0o755); err != nil {
 			return fmt.Errorf("record.file: %w", err)
 		}
-		if l.rec, err = record.Create(l.recordFile(), int64(r.MostBytes)); err != nil {
+		if w.recorder, err = record.Create(w.recordFile(), int64(recording.MostBytes)); err != nil {
 			return fmt.Errorf("record.file: %w", err)
 		}
 	}
@@ -90,36 +90,36 @@
 }
 
 // all are the lanes of all groups.
-func (m *Marshal) all() (lanes []*lane) {
-	for _, g := range m.groups {
-		lanes = append(lanes, g.lanes...)
+func (m *Marshal) allWorkers() (workers []*worker) {
+	for _, p := range m.pools {
+		workers = append(workers, p.workers...)
 	}
-	return lanes
+	return workers
 }
 
 // recordFile is where an instance is recorded: each in a file of its own.
-func (l *lane) recordFile() string {
-	file := l.set.Record.File
-	if len(l.lanes) > 1 {
+func (w *worker) recordFile() string {
+	file := w.settings.Record.File
+	if len(w.workers) > 1 {
 		ext := filepath.Ext(file)
-		file = fmt.Sprintf("%s.core%d%s", strings.TrimSuffix(file, ext), l.instance, ext)
+		file = fmt.Sprintf("%s.core%d%s", strings.TrimSuffix(file, ext), w.instance, ext)
 	}
 	return file
 }
 
 func (m *Marshal) closeSockets() {
-	for _, ln := range m.lns {
+	for _, ln := range m.listeners {
 		ln.Close()
 	}
 	if m.peers != nil {
 		m.peers.Close()
 	}
-	if m.meter != nil {
-		m.meter.Close()
+	if m.metricsListener != nil {
+		m.metricsListener.Close()
 	}
-	for _, l := range m.all() {
-		if l.rec != nil {
-			l.rec.Close()
+	for _, w := range m.allWorkers() {
+		if w.recorder != nil {
+			w.recorder.Close()
 		}
 	}
 }
--- a/internal/serve/outside.go
+++ b/internal/serve/outside.go
@@ -9,49 +9,49 @@
 )
 
 // Now and the methods below are marshal.Outside.
-func (l *lane) Now() float64 { return l.loop.Now() }
+func (w *worker) Now() float64 { return w.loop.Now() }
 
-func (l *lane) After(ms float64, f func()) { l.loop.After(ms, f) }
+func (w *worker) After(ms float64, f func()) { w.loop.After(ms, f) }
 
-func (l *lane) Probe(node uint32, address string) {
-	if !l.set.Limits.Probes {
+func (w *worker) Probe(node uint32, address string) {
+	if !w.settings.Limits.Probes {
 		return
 	}
-	m := l.m
+	m := w.m
 	m.background(func() {
 		start := time.Now()
-		how, report := m.pool.Probe(context.Background(), address, l.set.Limits.ProbePath)
-		took := float64(time.Since(start)) / float64(time.Millisecond)
-		l.loop.Post(func() { l.events().Probed(node, how, took, report) })
+		outcome, report := m.upstream.Probe(context.Background(), address, w.settings.Limits.ProbePath)
+		tookMs := float64(time.Since(start)) / float64(time.Millisecond)
+		w.loop.Post(func() { w.events().Probed(node, outcome, tookMs, report) })
 	})
 }
 
-func (l *lane) Fetch() {
-	if l.roster != nil {
-		l.roster.Fetch()
+func (w *worker) Fetch() {
+	if w.registry != nil {
+		w.registry.Fetch()
 	}
 }
 
-func (l *lane) Watch(on bool) {
-	if l.roster != nil {
-		l.roster.Watch(on)
+func (w *worker) Watch(on bool) {
+	if w.registry != nil {
+		w.registry.Watch(on)
 	}
 }
 
-func (l *lane) Vote(ver, stage int, verdict balance.Verdict) {
-	if l.conveyor != nil {
-		l.conveyor.Vote(ver, stage, verdict)
+func (w *worker) Vote(ver, stage int, verdict balance.Verdict) {
+	if w.rollout != nil {
+		w.rollout.Vote(ver, stage, verdict)
 	} else {
-		l.After(0, func() { l.voter().events().VoteFailed(balance.Ignored) })
+		w.After(0, func() { w.votingWorker().events().VoteFailed(balance.Ignored) })
 	}
 }
 
-func (l *lane) Tell(peer int, text string) {
-	if l.m.peers == nil {
+func (w *worker) Tell(peer int, text string) {
+	if w.m.peers == nil {
 		return
 	}
-	if len(l.m.groups) > 1 {
-		text = strconv.Itoa(l.number) + " " + text
+	if len(w.m.pools) > 1 {
+		text = strconv.Itoa(w.number) + " " + text
 	}
-	l.m.peers.Tell(peer, text)
+	w.m.peers.Tell(peer, text)
 }
--- a/internal/serve/rig_test.go
+++ b/internal/serve/rig_test.go
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const text = `
+const settingsText = `
 instance { marshals: 1 zone: "here" }
 listen { invocations: "127.0.0.1:0" }
 zone: "here"
@@ -43,46 +43,46 @@
 `
 
 // script plays a node's side of one connection; got counts the requests that reached any node.
-type script func(r *rig, c net.Conn, b *bufio.Reader)
+type nodeScript func(r *testRig, c net.Conn, b *bufio.Reader)
 
-type rig struct {
-	t      *testing.T
-	set    *settings.Settings
-	m      *Marshal
-	roster *standin.Roster
-	mu     sync.Mutex
-	paths  []string // of the requests that reached nodes, in order
-	wg     sync.WaitGroup
-	lns    []net.Listener
-	conns  []net.Conn
-	gate   chan struct{} // closed to let nodes that wait go on
+type testRig struct {
+	t             *testing.T
+	settings      *settings.Settings
+	m             *Marshal
+	registry      *standin.Roster
+	mu            sync.Mutex
+	paths         []string // of the requests that reached nodes, in order
+	wg            sync.WaitGroup
+	nodeListeners []net.Listener
+	nodeConns     []net.Conn
+	release       chan struct{} // closed to let nodes that wait go on
 }
 
 // rigHooks are the marshal's hooks, and its log where that is looked at.
-type rigHooks struct {
+type testHooks struct {
 	Hooks
 	Log *slog.Logger
 }
 
 // start runs a marshal before nodes that each play the script, and waits until it knows them.
-func start(t *testing.T, nodes int, play script, change func(*settings.Settings), hooks rigHooks) *rig {
+func startRig(t *testing.T, nodes int, node nodeScript, change func(*settings.Settings), hooks testHooks) *testRig {
 	t.Helper()
-	set, err := settings.Parse("rig", []byte(text))
+	set, err := settings.Parse("rig", []byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, set: set, roster: &standin.Roster{}, gate: make(chan struct{})}
-	if err := r.roster.Start("127.0.0.1:0"); err != nil {
+	r := &testRig{t: t, settings: set, registry: &standin.Roster{}, release: make(chan struct{})}
+	if err := r.registry.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	set.Roster.Address, set.Seed = r.roster.Address(), 7
+	set.Roster.Address, set.Seed = r.registry.Address(), 7
 	for i := range nodes {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.lns = append(r.lns, ln)
-		r.list(uint32(i+1), ln.Addr().String(), balance.Serving)
+		r.nodeListeners = append(r.nodeListeners, ln)
+		r.setNode(uint32(i+1), ln.Addr().String(), balance.Serving)
 		r.wg.Go(func() {
 			for {
 				c, err := ln.Accept()
@@ -90,9 +90,9 @@
 					return
 				}
 				r.mu.Lock()
-				r.conns = append(r.conns, c)
+				r.nodeConns = append(r.nodeConns, c)
 				r.mu.Unlock()
-				r.wg.Go(func() { defer c.Close(); play(r, c, bufio.NewReader(c)) })
+				r.wg.Go(func() { defer c.Close(); node(r, c, bufio.NewReader(c)) })
 			}
 		})
 	}
@@ -108,27 +108,27 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.close)
-	r.until("the marshal knows its nodes", func() bool { l, _ := r.m.Snapshot(); return len(l.Nodes) >= nodes })
+	r.waitFor("the marshal knows its nodes", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) >= nodes })
 	return r
 }
 
-func (r *rig) list(id uint32, address string, health balance.Health) {
-	r.roster.Set(control.Line{Node: balance.Node{ID: id, Ver: 1, Size: 1, Health: health}, Address: address}, 0)
+func (r *testRig) setNode(id uint32, address string, health balance.Health) {
+	r.registry.Set(control.Line{Node: balance.Node{ID: id, Ver: 1, Size: 1, Health: health}, Address: address}, 0)
 }
 
-func (r *rig) close() {
+func (r *testRig) close() {
 	r.m.End()
-	r.roster.Close()
-	for _, ln := range r.lns {
+	r.registry.Close()
+	for _, ln := range r.nodeListeners {
 		ln.Close()
 	}
 	select {
-	case <-r.gate:
+	case <-r.release:
 	default:
-		close(r.gate)
+		close(r.release)
 	}
 	r.mu.Lock()
-	for _, c := range r.conns {
+	for _, c := range r.nodeConns {
 		c.Close()
 	}
 	r.mu.Unlock()
@@ -136,19 +136,19 @@
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 }
 
-func (r *rig) until(what string, is func() bool) {
+func (r *testRig) waitFor(condition string, holds func() bool) {
 	r.t.Helper()
 	for range 400 {
-		if is() {
+		if holds() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	r.t.Fatalf("it never came that %s", what)
+	r.t.Fatalf("it never came that %s", condition)
 }
 
 // request reads a request at a node, whole, and counts it.
-func (r *rig) request(b *bufio.Reader) (*http.Request, []byte, bool) {
+func (r *testRig) readRequest(b *bufio.Reader) (*http.Request, []byte, bool) {
 	q, err := http.ReadRequest(b)
 	if err != nil {
 		return nil, nil, false
@@ -160,14 +160,14 @@
 	return q, body, err == nil
 }
 
-func (r *rig) got() int {
+func (r *testRig) received() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.paths)
 }
 
 // first says that this is the first request that reached a node for a path.
-func (r *rig) first(path string) bool {
+func (r *testRig) isFirst(path string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -180,17 +180,17 @@
 }
 
 // ok answers every request with its path.
-func ok(r *rig, c net.Conn, b *bufio.Reader) {
+func echoPath(r *testRig, c net.Conn, b *bufio.Reader) {
 	for {
-		q, _, whole := r.request(b)
-		if !whole {
+		q, _, complete := r.readRequest(b)
+		if !complete {
 			return
 		}
-		answer(c, q.URL.Path)
+		respond(c, q.URL.Path)
 	}
 }
 
-func answer(c net.Conn, body string) {
+func respond(c net.Conn, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
@@ -201,7 +201,7 @@
 	t *testing.T
 }
 
-func (r *rig) client() *client {
+func (r *testRig) client() *client {
 	c, err := net.Dial("tcp", r.m.Address())
 	if err != nil {
 		r.t.Fatal(err)
@@ -218,20 +218,20 @@
 }
 
 // read gives status, final answer and body of the next response.
-func (c *client) read() (line string) {
+func (c *client) read() (summary string) {
 	c.SetReadDeadline(time.Now().Add(3 * time.Second))
-	q, err := http.ReadResponse(c.b, nil)
+	resp, err := http.ReadResponse(c.b, nil)
 	if err != nil {
 		return "no answer: " + err.Error()
 	}
-	body, err := io.ReadAll(q.Body)
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return "broken off: " + err.Error()
 	}
 	if len(body) > 60 {
 		body = fmt.Appendf(nil, "%d bytes", len(body))
 	}
-	return fmt.Sprintf("%d %s %s", q.StatusCode, q.Header.Get("Arrowcleat-Answer"), bytes.TrimSpace(body))
+	return fmt.Sprintf("%d %s %s", resp.StatusCode, resp.Header.Get("Arrowcleat-Answer"), bytes.TrimSpace(body))
 }
 
 func (c *client) expect(want string) {
@@ -242,7 +242,7 @@
 }
 
 // silent says that nothing more comes.
-func (c *client) silent() {
+func (c *client) expectSilence() {
 	c.t.Helper()
 	c.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	if b, err := c.b.Peek(1); err == nil {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -33,24 +33,24 @@
 	Loops    []*loop.Loop // one for each core
 	Front    *front.Server
 
-	pool   *back.Pool
-	now    func() time.Time // by the loops' clock
-	groups []*group
-	peers  Peers
-	lns    []front.Listener // the main one first
-	meter  net.Listener     // of the metrics
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
-	loops  sync.WaitGroup
-	ended  chan struct{} // the loops have ended
-	errs   sync.Mutex
-	err    error // that it ends with; errs
-	once   sync.Once
-	failed sync.Once
-	reload sync.Mutex
+	upstream        *back.Pool
+	now             func() time.Time // by the loops' clock
+	pools           []*nodePool
+	peers           Peers
+	listeners       []front.Listener // the main one first
+	metricsListener net.Listener     // of the metrics
+	cancel          context.CancelFunc
+	tasks           sync.WaitGroup
+	running         sync.WaitGroup
+	ended           chan struct{} // the loops have ended
+	errMu           sync.Mutex
+	err             error // that it ends with; errs
+	endOnce         sync.Once
+	failOnce        sync.Once
+	reloadMu        sync.Mutex
 }
 
-func dur(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
+func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
 // Start opens the sockets and starts a marshal. It takes invocations from then on.
 func Start(set *settings.Settings, log *slog.Logger, hooks Hooks) (*Marshal, error) {
@@ -71,38 +71,38 @@
 	}
 	m.Loop = m.Loops[0]
 	m.now = loop.WallClock(hooks.Clock)
-	m.pool = &back.Pool{Now: m.now, Limits: h1.Limits{Line: int(set.Limits.LineBytes), Header: int(set.Limits.HeaderBytes)},
-		Dial: dur(set.Times.DialMs), Idle: dur(set.Times.NodeIdleMs), Most: int(set.Limits.IdlePerNode)}
+	m.upstream = &back.Pool{Now: m.now, Limits: h1.Limits{Line: int(set.Limits.LineBytes), Header: int(set.Limits.HeaderBytes)},
+		Dial: milliseconds(set.Times.DialMs), Idle: milliseconds(set.Times.NodeIdleMs), Most: int(set.Limits.IdlePerNode)}
 	seed := set.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
 	}
 	cores := make([][]*marshal.Core, len(m.Loops))
-	for i, of := range set.Pools() {
-		g := &group{m: m, number: i, none: -1, set: of, list: newList(of.Roster.File, hooks.Clock), changed: make(chan struct{}, 1),
-			heard: make(chan struct{})}
+	for i, poolSettings := range set.Pools() {
+		p := &nodePool{m: m, number: i, blockedVer: -1, settings: poolSettings, list: newNodeList(poolSettings.Roster.File, hooks.Clock), listChanged: make(chan struct{}, 1),
+			firstList: make(chan struct{})}
 		if hooks.WriteFile != nil {
-			g.list.write = hooks.WriteFile
+			p.list.write = hooks.WriteFile
 		}
 		prefix, log := strconv.Itoa(int(set.Instance.Number))+"-"+strconv.FormatUint(seed>>40, 36)+"-", log
 		if len(set.Pool) > 0 {
 			prefix, log = prefix+strconv.Itoa(i)+"-", log.With("pool", set.Pool[i].Name)
 		}
 		if len(m.Loops) > 1 {
-			g.account = divide.NewAccount(hooks.Clock.Now, of.Module(), len(m.Loops))
+			p.account = divide.NewAccount(hooks.Clock.Now, poolSettings.Module(), len(m.Loops))
 		}
-		for j, at := range m.Loops {
-			l, prefix, log := &lane{group: g, instance: j, loop: at}, prefix, log
+		for j, l := range m.Loops {
+			w, prefix, log := &worker{nodePool: p, instance: j, loop: l}, prefix, log
 			if len(m.Loops) > 1 {
 				prefix, log = prefix+strconv.Itoa(j)+"-", log.With("core", j)
 			}
-			l.core = marshal.New(l, log, prefix)
+			w.core = marshal.New(w, log, prefix)
 			if !hooks.SkipRepeatRules {
-				l.core.Rules = repeatRules(of.Operation)
+				w.core.Rules = repeatRules(poolSettings.Operation)
 			}
-			g.lanes, cores[j] = append(g.lanes, l), append(cores[j], l.core)
+			p.workers, cores[j] = append(p.workers, w), append(cores[j], w.core)
 		}
-		m.groups = append(m.groups, g)
+		m.pools = append(m.pools, p)
 	}
 	if hooks.Listen == nil {
 		hooks.Listen = net.Listen
@@ -110,12 +110,12 @@
 	if err := m.open(hooks.Listen); err != nil {
 		return nil, err
 	}
-	m.pool.Connect = hooks.Connect
-	if w := hooks.Transport; w != nil {
-		m.pool.Strict, m.pool.Names, m.pool.All, m.pool.Settle = w.Strict, w.ReportNames, w.MaxNodeConnections, w.ReuseDelay
-		if w.NewPeers != nil {
-			err := whileScarce(func() (err error) {
-				m.peers, err = w.NewPeers(m.told)
+	m.upstream.Connect = hooks.Connect
+	if t := hooks.Transport; t != nil {
+		m.upstream.Strict, m.upstream.Names, m.upstream.All, m.upstream.Settle = t.Strict, t.ReportNames, t.MaxNodeConnections, t.ReuseDelay
+		if t.NewPeers != nil {
+			err := retryOnShortage(func() (err error) {
+				m.peers, err = t.NewPeers(m.peerMessage)
 				return err
 			})
 			if err != nil {
@@ -127,14 +127,14 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	m.cancel = cancel
-	for _, g := range m.groups {
-		nodes, addresses := g.last(hooks.Transport)
-		for _, l := range g.lanes {
-			l.loop.News(func() { l.begin(hooks, seed+uint64(g.number), nodes, addresses) }) // before any other
+	for _, p := range m.pools {
+		nodes, addresses := p.loadList(hooks.Transport)
+		for _, w := range p.workers {
+			w.loop.News(func() { w.start(hooks, seed+uint64(p.number), nodes, addresses) }) // before any other
 		}
-		g.wire(hooks.Transport)
+		p.connectControl(hooks.Transport)
 	}
-	m.Front = &front.Server{Set: set, Clock: hooks.Clock, Loops: m.Loops, Cores: cores, Pool: m.pool, Log: log}
+	m.Front = &front.Server{Set: set, Clock: hooks.Clock, Loops: m.Loops, Cores: cores, Pool: m.upstream, Log: log}
 	if hooks.Transport != nil {
 		m.Front.Terms = hooks.Transport.ProtocolOptions
 	}
@@ -142,37 +142,37 @@
 		hooks.ConfigureFront(m.Front)
 	}
 	for i := range m.Loops {
-		m.loops.Add(1)
-		go m.run(i, hooks, seed)
+		m.running.Add(1)
+		go m.runLoop(i, hooks, seed)
 	}
-	go func() { m.loops.Wait(); close(m.ended) }()
-	for _, g := range m.groups {
-		if g.roster != nil {
-			m.background(func() { g.roster.Run(ctx) })
+	go func() { m.running.Wait(); close(m.ended) }()
+	for _, p := range m.pools {
+		if p.registry != nil {
+			m.background(func() { p.registry.Run(ctx) })
 		}
-		if g.conveyor != nil {
-			m.background(func() { g.conveyor.Run(ctx) })
+		if p.rollout != nil {
+			m.background(func() { p.rollout.Run(ctx) })
 		}
-		m.background(func() { g.save(ctx) })
+		m.background(func() { p.saveChanges(ctx) })
 	}
 	if m.peers != nil {
 		m.background(m.peers.Run)
 	}
-	m.background(func() { m.sweep(ctx) })
-	if m.meter != nil {
-		m.meterOn(ctx)
+	m.background(func() { m.sweepPeriodically(ctx) })
+	if m.metricsListener != nil {
+		m.serveMetrics(ctx)
 	}
 	if hooks.Transport != nil {
-		m.hear(hooks.Transport.FirstListTimeout)
+		m.awaitFirstLists(hooks.Transport.FirstListTimeout)
 	}
-	served := make(chan struct{})
+	serving := make(chan struct{})
 	m.background(func() {
-		close(served)
-		if err := m.Front.Serve(m.lns); err != nil {
+		close(serving)
+		if err := m.Front.Serve(m.listeners); err != nil {
 			m.Log.Error("no more connections", "err", err)
 		}
 	})
-	<-served
+	<-serving
 	if n := runtime.GOMAXPROCS(0); n < len(m.Loops) {
 		log.Warn("fewer processors than cores: they will wait for each other", "processors", n, "cores", len(m.Loops))
 	}
@@ -182,69 +182,69 @@
 
 // hear waits for the first lists, but not for long. It guards against a new process that sends by the list it held last what
 // the list there is already forbids; it may hurt where no list comes: then it serves that much later.
-func (m *Marshal) hear(within time.Duration) {
-	late := time.After(within)
-	for _, g := range m.groups {
+func (m *Marshal) awaitFirstLists(timeout time.Duration) {
+	expired := time.After(timeout)
+	for _, p := range m.pools {
 		select {
-		case <-g.heard:
-		case <-late:
+		case <-p.firstList:
+		case <-expired:
 			return
 		}
 	}
 }
 
 func (m *Marshal) background(f func()) {
-	m.wg.Add(1)
-	go func() { defer m.wg.Done(); f() }()
+	m.tasks.Add(1)
+	go func() { defer m.tasks.Done(); f() }()
 }
 
 // sweepLeast is between two looks at unused connections, where they are hardly kept at all.
-const sweepLeast = 100 * time.Millisecond
+const minSweepInterval = 100 * time.Millisecond
 
-func (m *Marshal) sweep(ctx context.Context) {
+func (m *Marshal) sweepPeriodically(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(max(m.pool.Idle/2, sweepLeast)):
-			m.pool.Sweep()
+		case <-time.After(max(m.upstream.Idle/2, minSweepInterval)):
+			m.upstream.Sweep()
 		}
 	}
 }
 
 // run runs a core's loop. Where a module panics, what is open there is terminated; one of several begins anew, unless
 // it does so time and again.
-func (m *Marshal) run(core int, hooks Hooks, seed uint64) {
-	defer m.loops.Done()
+func (m *Marshal) runLoop(core int, hooks Hooks, seed uint64) {
+	defer m.running.Done()
 	l := m.Loops[core]
-	var begins []float64
+	var failures []float64
 	for {
 		err := l.Run()
 		var p *loop.Panic
 		if errors.As(err, &p) {
-			var looks []marshal.Record
-			m.lanesOf(core, func(l *lane) { looks = append(looks, l.core.Look()) })
-			state, jerr := json.Marshal(looks)
-			m.Log.Error("the decision module panicked: what is open is terminated", "core", core, "err", err, "open", m.owed(core),
-				"stack", string(p.Stack), "state", string(state), "state_err", jerr)
+			var records []marshal.Record
+			m.forEachWorker(core, func(w *worker) { records = append(records, w.core.Look()) })
+			state, stateErr := json.Marshal(records)
+			m.Log.Error("the decision module panicked: what is open is terminated", "core", core, "err", err, "open", m.openOn(core),
+				"stack", string(p.Stack), "state", string(state), "state_err", stateErr)
 		}
-		m.lanesOf(core, func(l *lane) { l.core.EndAll() })
-		begins = append(begins, l.Clock().Now())
-		if err != nil && l.Again && divide.Again(begins) {
-			l.First(func() { m.lanesOf(core, func(a *lane) { a.again(hooks, seed) }) })
+		m.forEachWorker(core, func(w *worker) { w.core.EndAll() })
+		failures = append(failures, l.Clock().Now())
+		if err != nil && l.Again && divide.Again(failures) {
+			l.First(func() { m.forEachWorker(core, func(w *worker) { w.restart(hooks, seed) }) })
 			continue
 		}
 		if err != nil {
-			m.loops.Go(func() { m.fail(err) })
+			m.running.Go(func() { m.fail(err) })
 		}
 		return
 	}
 }
 
 // lanesOf does something with the lanes of a core, on its loop or when that has ended.
-func (m *Marshal) lanesOf(core int, f func(*lane)) {
-	for _, g := range m.groups {
-		f(g.lanes[core])
+func (m *Marshal) forEachWorker(core int, f func(*worker)) {
+	for _, p := range m.pools {
+		f(p.workers[core])
 	}
 }
 
@@ -252,7 +252,7 @@
 func (m *Marshal) Address() string { return m.AddressOf(settings.MainListener) }
 
 func (m *Marshal) AddressOf(listener string) string {
-	for _, ln := range m.lns {
+	for _, ln := range m.listeners {
 		if ln.Name == listener {
 			return ln.Addr().String()
 		}
@@ -267,34 +267,34 @@
 }
 
 // PoolSnapshot gives a copy of the record of one pool, of all cores together. It waits for each core until the context ends.
-func (m *Marshal) PoolSnapshot(ctx context.Context, pool int) (r marshal.Record, err error) {
-	for i, l := range m.groups[pool].lanes {
-		one, err := loop.Query(ctx, l.loop, l.core.Look)
+func (m *Marshal) PoolSnapshot(ctx context.Context, pool int) (total marshal.Record, err error) {
+	for i, w := range m.pools[pool].workers {
+		record, err := loop.Query(ctx, w.loop, w.core.Look)
 		if err != nil {
-			return r, fmt.Errorf("the record of core %d: %w", i, err)
+			return total, fmt.Errorf("the record of core %d: %w", i, err)
 		}
 		if i == 0 {
-			r = one
+			total = record
 		} else {
-			r.Add(one)
+			total.Add(record)
 		}
 	}
-	return r, nil
+	return total, nil
 }
 
 // told hands a peer's message to the pool that it is for: where there are several, its number stands before it.
-func (m *Marshal) told(from int, text string) {
-	g := m.groups[0]
-	if len(m.groups) > 1 {
+func (m *Marshal) peerMessage(from int, text string) {
+	p := m.pools[0]
+	if len(m.pools) > 1 {
 		number, rest, _ := strings.Cut(text, " ")
 		n, err := strconv.Atoi(number)
-		if err != nil || n < 0 || n >= len(m.groups) {
+		if err != nil || n < 0 || n >= len(m.pools) {
 			m.Log.Warn("between marshals", "err", "a message for a pool that there is not", "from", from)
 			return
 		}
-		g, text = m.groups[n], rest
+		p, text = m.pools[n], rest
 	}
-	g.each(func(l *lane) { l.events().Told(from, text) })
+	p.postAll(func(w *worker) { w.events().Told(from, text) })
 }
 
 // RejectedArrivals counts the arrivals that were refused because too many waited, at any core.
@@ -306,7 +306,7 @@
 }
 
 // Sweep lets go of what is kept for nodes and whose time is over; it happens by itself now and then.
-func (m *Marshal) Sweep() { m.pool.Sweep() }
+func (m *Marshal) Sweep() { m.upstream.Sweep() }
 
 // NodeConnections is the number of connections to nodes that are open.
-func (m *Marshal) NodeConnections() int { return m.pool.Open() }
+func (m *Marshal) NodeConnections() int { return m.upstream.Open() }
--- a/internal/serve/stop.go
+++ b/internal/serve/stop.go
@@ -10,8 +10,8 @@
 
 // fail ends the marshal: one of its cores has.
 func (m *Marshal) fail(err error) {
-	m.failed.Do(func() {
-		m.endsWith(err)
+	m.failOnce.Do(func() {
+		m.addError(err)
 		for _, l := range m.Loops {
 			l.Stop()
 		}
@@ -24,8 +24,8 @@
 
 // How long the end of a marshal waits for its loops, whose calls it can't break off.
 const (
-	askWithin     = 100 * time.Millisecond // for what a loop owes, before it is taken to stand still
-	loopEndWithin = 200 * time.Millisecond // for it to end
+	queryTimeout    = 100 * time.Millisecond // for what a loop owes, before it is taken to stand still
+	loopStopTimeout = 200 * time.Millisecond // for it to end
 )
 
 // ErrLoopBlocked says that the marshal has ended but a call of one of its loops has not.
@@ -35,13 +35,13 @@
 // request.
 func (m *Marshal) Stop() error {
 	m.Front.Stop()
-	deadline := time.Now().Add(dur(m.Front.Current().Times.StopMs))
+	deadline := time.Now().Add(milliseconds(m.Front.Current().Times.StopMs))
 	for time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
 		if m.Front.Open()+m.Front.Connections() > 0 {
 			continue
 		}
-		if open, err := m.owedByAll(); err != nil || open == 0 {
+		if open, err := m.openOnAllCores(); err != nil || open == 0 {
 			break
 		}
 	}
@@ -51,7 +51,7 @@
 // End ends at once; what is open is terminated. Clients are answered and left whatever the loops do: before the loops are waited for, and
 // once more after, for what the loops were just taking.
 func (m *Marshal) End() error {
-	m.once.Do(func() {
+	m.endOnce.Do(func() {
 		m.Front.Abort()
 		blocked := !m.stopLoops()
 		m.Front.Abort()
@@ -60,39 +60,39 @@
 		if m.peers != nil {
 			m.peers.Close()
 		}
-		m.pool.Close()
-		m.wg.Wait()
+		m.upstream.Close()
+		m.tasks.Wait()
 		if blocked {
-			m.endsWith(ErrLoopBlocked)
+			m.addError(ErrLoopBlocked)
 			return // what it records is its own until it ends
 		}
-		for _, l := range m.all() {
-			if l.rec != nil {
-				l.rec.Close()
+		for _, w := range m.allWorkers() {
+			if w.recorder != nil {
+				w.recorder.Close()
 			}
 		}
 	})
-	m.errs.Lock()
-	defer m.errs.Unlock()
+	m.errMu.Lock()
+	defer m.errMu.Unlock()
 	return m.err
 }
 
-func (m *Marshal) endsWith(err error) {
-	m.errs.Lock()
-	defer m.errs.Unlock()
+func (m *Marshal) addError(err error) {
+	m.errMu.Lock()
+	defer m.errMu.Unlock()
 	m.err = errors.Join(m.err, err)
 }
 
 // Kill ends like a killed process: sockets close, nothing is answered, nothing is written any more.
 func (m *Marshal) Kill() {
-	m.once.Do(func() {
+	m.endOnce.Do(func() {
 		m.Front.Kill()
 		m.stopLoops()
 		m.cancel()
 		m.closeSockets()
 		m.Front.Close(0)
-		m.pool.Close()
-		m.wg.Wait()
+		m.upstream.Close()
+		m.tasks.Wait()
 	})
 }
 
@@ -104,17 +104,17 @@
 	select {
 	case <-m.ended:
 		return true
-	case <-time.After(loopEndWithin):
+	case <-time.After(loopStopTimeout):
 		return false
 	}
 }
 
 // owedByAll counts the invocations that are open at all cores; the error says that one has ended or stands still.
-func (m *Marshal) owedByAll() (open int, err error) {
-	ctx, done := context.WithTimeout(context.Background(), askWithin)
-	defer done()
+func (m *Marshal) openOnAllCores() (open int, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
+	defer cancel()
 	for i, l := range m.Loops {
-		n, err := loop.Query(ctx, l, func() int { return m.owed(i) })
+		n, err := loop.Query(ctx, l, func() int { return m.openOn(i) })
 		if err != nil {
 			return 0, err
 		}
@@ -124,7 +124,7 @@
 }
 
 // owed counts the invocations that are open at a core; to be called on its loop.
-func (m *Marshal) owed(core int) (open int) {
-	m.lanesOf(core, func(l *lane) { open += l.core.Open() })
+func (m *Marshal) openOn(core int) (open int) {
+	m.forEachWorker(core, func(w *worker) { open += w.core.Open() })
 	return open
 }
