--- a/internal/serve/hooks.go
+++ b/internal/serve/hooks.go
@@ -12,54 +12,59 @@
 	"arrowcleat/internal/loop"
 )
 
-// Hooks are what tests and planted faults put in place of the ordinary parts; all may be nil.
+// Hooks replace parts of a marshal, for tests, fault injection and other protocols. The zero value changes nothing.
 type Hooks struct {
-	Clock          loop.Clock
-	NewModule      func(h balance.Host, set balance.Settings, seed uint64) divide.Module
+	// Clock is the clock of the loops; nil: the monotonic clock of the machine.
+	Clock loop.Clock
+	// NewModule creates a decision module; nil: that of package balance.
+	NewModule func(h balance.Host, set balance.Settings, seed uint64) divide.Module
+	// ConfigureFront changes the client side before it starts.
 	ConfigureFront func(*front.Server)
-	Transport      *Transport
-	// SkipRepeatRules leaves out the check that further attempts and refusals keep the rule against double effects.
+	// Transport replaces the line protocols of the project; nil: they are used.
+	Transport *Transport
+	// SkipRepeatRules disables the check that repeated dispatches and rejections respect the rule against double effects.
 	SkipRepeatRules bool
-	// Listen and Connect open sockets; nil: the machine's own.
+	// Listen and Connect open sockets; nil: those of the operating system.
 	Listen  func(network, address string) (net.Listener, error)
 	Connect func(ctx context.Context, network, address string) (net.Conn, error)
-	// WriteFile writes a file and has it on disk; nil: the machine's own.
+	// WriteFile writes a file and syncs it to disk; nil: that of the operating system.
 	WriteFile func(path string, b []byte) error
-	// WallClock is the machine's wall clock, which may be stepped; nil: the machine's own. It only tells how old a node is.
+	// WallClock is a wall clock, which may be stepped; nil: that of the machine. It is only used for the age of nodes.
 	WallClock func() time.Time
 }
 
-// Transport are those of another protocol, in place of the project's own lines to roster, conveyor and peers. A nil
-// Peers is none; Known is the list that the marshal held last.
+// Transport connects a marshal to its surroundings by another protocol, in place of the project's own line protocols for the
+// service registry, the rollout service and peers.
 type Transport struct {
 	ProtocolOptions    front.Terms
-	ModuleSettings     balance.Settings  // the module's
-	Strict             bool              // back.Pool's
-	ReportNames        map[string]string // its names
-	MaxNodeConnections int               // its bound on all
-	ReuseDelay         time.Duration     // its rest between two requests on a connection
-	KnownNodes         []control.Line
-	FirstListTimeout   time.Duration // how long the marshal waits for the roster's first list before it takes invocations
-	NewRegistry        func(listed func(whole bool, lines []control.Line), failed func()) Registry
-	NewRolloutService  func(staged func(ver, stage int, phase balance.Phase, cap, age float64, reply bool),
-		failed func(balance.Ending)) RolloutService
-	NewPeers func(told func(from int, text string)) (Peers, error)
+	ModuleSettings     balance.Settings  // of the decision module
+	Strict             bool              // a response other than 200 is a failure
+	ReportNames        map[string]string // names of the figures that nodes report, as the module knows them
+	MaxNodeConnections int               // connections to all nodes together above which idle ones are closed; 0: no bound
+	ReuseDelay         time.Duration     // how long a connection to a node stays unused after a response
+	KnownNodes         []control.Line    // the node list that the marshal held last
+	FirstListTimeout   time.Duration     // how long the marshal waits for the first node list before it accepts invocations
+	NewRegistry        func(onNodes func(complete bool, lines []control.Line), onFailure func()) Registry
+	NewRolloutService  func(onStageUpdate func(ver, stage int, phase balance.Phase, cap, age float64, reply bool),
+		onVoteFailure func(balance.Ending)) RolloutService
+	// NewPeers may be nil: the marshal then has no peers.
+	NewPeers func(receive func(from int, text string)) (Peers, error)
 }
 
-// Registry brings the list of nodes.
+// Registry is the client of the service registry, which supplies the list of nodes.
 type Registry interface {
 	Run(context.Context)
 	Fetch()
 	Watch(on bool)
 }
 
-// RolloutService brings the news of builds and takes votes.
+// RolloutService is the client of the rollout service, which publishes stage updates and accepts votes.
 type RolloutService interface {
 	Run(context.Context)
 	Vote(ver, stage int, verdict balance.Verdict)
 }
 
-// Peers are the other marshals.
+// Peers exchanges messages with the other marshals.
 type Peers interface {
 	Run()
 	Tell(to int, text string)
