--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -16,42 +16,42 @@
 	"arrowcleat/internal/settings"
 )
 
-// group is one pool of nodes: its list, its news, and the instances of the module that serve it, one for each core.
-// Groups share the loops, the clients' side and the connections to nodes, and nothing that decides.
+// nodePool is one pool of nodes: its node list, its stage updates, and the instances of the decision module that serve it, one per core.
+// Pools share the loops, the client side and the connections to nodes, but no state that decisions depend on.
 type nodePool struct {
 	m        *Marshal
-	number   int
+	number   int // index in Marshal.pools
 	settings *settings.Settings
 	registry Registry
 	rollout  RolloutService
-	account  *divide.Account // what the lanes share, nil for a lane alone
+	account  *divide.Account // shared by the workers; nil for a single worker
 	workers  []*worker
 
-	mu            sync.Mutex // what the lanes are told: by all in the same order
+	mu            sync.Mutex // guards the fields below; workers receive updates in the same order
 	list          *nodeList
-	listChanged   chan struct{} // the list has
-	firstList     chan struct{} // closed by the roster's first list
+	listChanged   chan struct{} // signals that the node list is to be saved
+	firstList     chan struct{} // closed when the first node list arrives
 	firstListOnce sync.Once
-	replayStage   func(*worker) // tells where the newest build stands
-	blockedVer    int           // the build of which nothing may be exposed, its cap being 0; or -1
-	lastCap       struct {      // the cap told last
+	replayStage   func(*worker) // repeats the last stage update to a worker
+	blockedVer    int           // the build whose cap is 0, so that nothing may be sent to it; -1: none
+	lastCap       struct {      // of the last stage update
 		ver int
 		cap float64
 	}
 }
 
-// lane is one instance of a group's module, on its core's loop.
+// worker is one instance of the decision module of a pool. It runs on the loop of its core.
 type worker struct {
 	*nodePool
 	instance int
 	loop     *loop.Loop
 	core     *marshal.Core
-	shard    *divide.Part // nil for a lane alone
+	shard    *divide.Part // nil for a single worker
 	recorder *record.Writer
-	restarts []float64 // when it began anew
+	restarts []float64 // clock times in ms of restarts after a panic
 }
 
-// repeatRules are those of operations.
+// repeatRules returns the repeat rules of operations, by their index.
 func repeatRules(operations []*settings.Operation) []marshal.RepeatRule {
 	rules := make([]marshal.RepeatRule, len(operations))
 	for i, o := range operations {
@@ -65,8 +65,8 @@
 	return rules
 }
 
-// wire connects what comes from the control sockets to the loops. News of nodes and builds goes before all that waits
-// there, and the account knows of a build before any instance does.
+// connectControl creates the clients of the service registry and the rollout service, and passes their updates to the loops. Updates of
+// nodes and builds run before all calls that are already queued there, and the account learns of a build before any worker does.
 func (p *nodePool) connectControl(transport *Transport) {
 	listFailed := func() {
 		if p.account != nil {
@@ -100,14 +100,14 @@
 	}
 }
 
-// each tells every lane something.
+// postAll queues a call on the loop of every worker.
 func (p *nodePool) postAll(f func(*worker)) {
 	for _, w := range p.workers {
 		w.loop.Post(func() { f(w) })
 	}
 }
 
-// voter is the lane whose vote is answered.
+// votingWorker records that the last vote was answered or has failed, and returns the worker that cast it.
 func (p *nodePool) votingWorker() *worker {
 	if p.account == nil {
 		return p.workers[0]
@@ -115,6 +115,7 @@
 	return p.workers[p.account.Answered()]
 }
 
+// stageUpdate passes a stage update to all workers and suppresses dispatches that it forbids. If reply is set, the update answers a vote.
 func (p *nodePool) stageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +128,7 @@
 		voting = p.votingWorker()
 	}
 	receivedAt := p.m.Loop.Clock().Now()
-	p.replayStage = func(w *worker) { // also to one that begins later
+	p.replayStage = func(w *worker) { // also for workers that restart later
 		w.core.Staged(ver, stage, phase, cap, age+max(0, w.loop.Now()-receivedAt), false)
 	}
 	for _, w := range p.workers {
@@ -136,8 +137,8 @@
 	p.lowerCap(ver, phase, cap)
 }
 
-// capped keeps from nodes of a build whose cap has fallen what was decided on before. It comes after the news has been queued: what
-// is decided later knows it.
+// lowerCap suppresses dispatches to a build whose cap has fallen that were decided on before. It runs after the stage update has been
+// queued: later decisions take the new cap into account.
 func (p *nodePool) lowerCap(ver int, phase balance.Phase, cap float64) {
 	if phase == balance.Released {
 		cap = 1
@@ -154,7 +155,8 @@
 	}
 }
 
-// closed keeps from nodes of a build whose cap has fallen to nothing what was decided on before and is not written yet.
+// blockBuild suppresses dispatches to a build whose cap has fallen to 0 that were decided on before and are not written yet. It allows
+// dispatches again to a build that was blocked before and is not any more.
 func (p *nodePool) blockBuild(ver int, blocked bool) {
 	blockedVer := -1
 	if blocked {
@@ -177,7 +179,7 @@
 	}
 }
 
-// begin starts the module with the list and the stage that the marshal had last.
+// start starts the decision module of a worker with a node list.
 func (w *worker) start(hooks Hooks, seed uint64, nodes []balance.Node, addresses []string) {
 	var moduleSettings balance.Settings
 	if hooks.Transport != nil {
@@ -195,7 +197,7 @@
 		if w.recorder == nil {
 			module = hooks.NewModule(h, moduleSettings, seed)
 		} else {
-			recording := record.NewTap(w.recorder, h, w.settings, w.instance, seed, func(err error) { w.m.Log.Warn("the record ends here", "err", err) })
+			recording := record.NewTap(w.recorder, h, w.settings, w.instance, seed, func(err error) { w.m.Log.Warn("recording stopped", "err", err) })
 			module = recording.Before(hooks.NewModule(recording, moduleSettings, seed))
 		}
 		if w.account != nil {
@@ -208,7 +210,7 @@
 	}
 }
 
-// again begins a lane's module anew after a panic, with what is known by now.
+// restart starts the module of a worker again after a panic, with the current node list and stage.
 func (w *worker) restart(hooks Hooks, seed uint64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -220,16 +222,16 @@
 	}
 }
 
-// Share is divide.Others.
+// Share passes outcomes to another worker; it implements divide.Others.
 func (w *worker) Share(to int, outcomes []divide.Outcome) {
 	other := w.workers[to]
 	other.loop.Post(func() { other.shard.Heard(outcomes) })
 }
 
-// events gives the module for what needs no care on the way.
+// events returns the module, for events that need no processing by the core.
 func (w *worker) events() marshal.Module { return w.core.Events() }
 
-// last reads the list of the marshal's life before.
+// loadList returns the nodes that the transport knows, or else those of the list that a previous process of the marshal saved.
 func (p *nodePool) loadList(transport *Transport) ([]balance.Node, []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -239,15 +241,16 @@
 	}
 	lines, err := p.list.load()
 	if err != nil {
-		p.m.Log.Warn("the last list is of no use", "file", p.settings.Roster.File, "err", err)
+		p.m.Log.Warn("the saved node list is unusable", "file", p.settings.Roster.File, "err", err)
 	}
 	return p.applyLines(lines)
 }
 
-// heldUp is how long a process may be held up between a look at its clock and a write. The grace of a node that drains covers it.
+// maxSchedulingDelay is how long a process may be delayed between reading its clock and a write. The grace period of a draining node
+// covers it.
 const maxSchedulingDelay = 150 * time.Millisecond
 
-// read makes nodes of lines, and opens and shuts what is kept for their addresses.
+// applyLines allows or blocks dispatches to the addresses of registry lines, and converts the lines to nodes.
 func (p *nodePool) applyLines(lines []control.Line) ([]balance.Node, []string) {
 	for _, line := range lines {
 		if line.Health == balance.Serving && line.Ver != p.blockedVer {
@@ -264,29 +267,30 @@
 	return p.list.toNodes(lines)
 }
 
-// listed brings the list to all lanes.
-func (p *nodePool) nodesListed(whole bool, lines []control.Line) {
+// nodesListed passes an update of the node list to all workers and has it saved.
+func (p *nodePool) nodesListed(complete bool, lines []control.Line) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	nodes, addresses := p.applyLines(lines)
 	for _, w := range p.workers {
-		w.loop.News(func() { w.core.Listed(whole, nodes, addresses) })
+		w.loop.News(func() { w.core.Listed(complete, nodes, addresses) })
 	}
-	p.list.update(whole, lines)
+	p.list.update(complete, lines)
 	p.firstListOnce.Do(func() { close(p.firstList) })
 	select {
 	case p.listChanged <- struct{}{}:
-	default: // it will be written anyway
+	default: // a save is already pending
 	}
 }
 
-// saveEvery is the least time between two writings of a list: a roll changes it hundreds of times a second.
+// minSaveInterval is the shortest time between two saves of a list: a rolling restart changes it hundreds of times a second.
 const minSaveInterval = 50 * time.Millisecond
 
-// saveAgain is between two tries where a list can't be saved.
+// saveRetryInterval is the time between two attempts to save a list after a failure.
 const saveRetryInterval = 500 * time.Millisecond
 
-// save writes the list away from the loops and from who reads the roster.
+// saveChanges saves the node list when it has changed, in a goroutine of its own: neither the loops nor the client of the service
+// registry wait for the disk.
 func (p *nodePool) saveChanges(ctx context.Context) {
 	for {
 		select {
@@ -300,11 +304,11 @@
 		wait := minSaveInterval
 		if p.list.file != "" {
 			if err := p.list.save(encodeList(lines)); err != nil {
-				p.m.Log.Warn("the list can't be saved", "file", p.list.file, "err", err, "again_in", saveRetryInterval)
+				p.m.Log.Warn("saving the node list failed", "file", p.list.file, "err", err, "again_in", saveRetryInterval)
 				wait = saveRetryInterval
 				select {
 				case p.listChanged <- struct{}{}:
-				default: // it has changed since
+				default: // another change is already pending
 				}
 			}
 		}
