--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -17,20 +17,21 @@
 	"arrowcleat/internal/loop"
 )
 
-// list is the roster's last list: what a restarted marshal begins with, and the clock times at which the nodes'
-// processes started, which the roster tells as ages.
+// nodeList is the last list of the service registry, with which a restarted marshal begins. It also holds the clock times at which the
+// processes of nodes started, which the registry reports as ages.
 type nodeList struct {
 	file          string
 	clock         loop.Clock
 	processStarts map[process]float64
 	lines         map[uint32]control.Line
-	ageReceivedAt map[uint32]float64 // clock time at which a line's age was told
-	// serves is, by address, the node that serves there.
+	ageReceivedAt map[uint32]float64 // clock time in ms at which the age in a line was received
+	// servingNode is the node that serves at an address.
 	servingNode map[string]uint32
-	// write writes a file and has it on disk.
+	// write writes a file and syncs it to disk.
 	write func(path string, b []byte) error
 }
 
+// process identifies one process of a node.
 type process struct {
 	node        uint32
 	incarnation uint64
@@ -41,8 +42,8 @@
 		ageReceivedAt: map[uint32]float64{}, servingNode: map[string]uint32{}, write: writeSynced}
 }
 
-// started is when a node's process started, by the marshal's clock: as it was first told for this process, so
-// that what is told again does not look like a restart.
+// processStart returns the clock time at which the process of a node started, or 0 if unknown. The first report for a process counts, so
+// that a later report does not look like a restart.
 func (l *nodeList) processStart(line control.Line) float64 {
 	if line.Up <= 0 {
 		return 0
@@ -56,12 +57,13 @@
 	return at
 }
 
+// listHeader begins the first line of a saved list: the format and its version.
 const listHeader = "arrowcleat list 1"
 
-// take brings the list up to date. It does no more than that: in a roll of a large fleet the next word waits for it.
-func (l *nodeList) update(whole bool, lines []control.Line) {
+// update applies a complete list or changes to the current one. It does nothing else: during a rolling restart of a large fleet the next update waits for it.
+func (l *nodeList) update(complete bool, lines []control.Line) {
 	now := l.clock.Now()
-	if whole {
+	if complete {
 		clear(l.lines)
 		clear(l.servingNode)
 	}
@@ -80,10 +82,10 @@
 	}
 }
 
-// copy gives the lines as they are to be written, and lets go of what is over.
+// snapshot returns the lines to be saved, with current ages. It also discards state of processes and nodes that are gone.
 func (l *nodeList) snapshot() []control.Line {
 	now := l.clock.Now()
-	for p := range l.processStarts { // processes that are no more
+	for p := range l.processStarts { // processes that are gone
 		if line, ok := l.lines[p.node]; !ok || line.Incarnation != p.incarnation {
 			delete(l.processStarts, p)
 		}
@@ -103,7 +105,7 @@
 	return lines
 }
 
-// written is lines as they are on disk.
+// encodeList returns lines in the format of the saved list.
 func encodeList(lines []control.Line) []byte {
 	slices.SortFunc(lines, byID)
 	b := fmt.Appendf(nil, "%s %d %d\n", listHeader, time.Now().UnixMilli(), len(lines))
@@ -113,13 +115,13 @@
 	return b
 }
 
-// other says that another node that serves has a line's address: it came to where that one had been.
+// servedByOther reports whether another node now serves at the address of a line: the address was reused.
 func (l *nodeList) servedByOther(line control.Line) bool {
 	id, ok := l.servingNode[line.Address]
 	return ok && id != line.ID
 }
 
-// nodes makes nodes of lines.
+// toNodes converts lines to nodes and their addresses.
 func (l *nodeList) toNodes(lines []control.Line) ([]balance.Node, []string) {
 	nodes, addresses := make([]balance.Node, len(lines)), make([]string, len(lines))
 	for i, line := range lines {
@@ -131,7 +133,7 @@
 
 func byID(a, b control.Line) int { return cmp.Compare(a.ID, b.ID) }
 
-// save keeps a list on disk in place of the one before, which stays whole until the new one is.
+// save replaces the saved list. The previous one stays intact until the new one is complete.
 func (l *nodeList) save(b []byte) error {
 	directory := filepath.Dir(l.file)
 	if err := os.MkdirAll(directory, 0o755); err != nil {
@@ -147,7 +149,7 @@
 	return syncDirectory(directory)
 }
 
-// writeSynced writes a file and has it on disk.
+// writeSynced writes a file and syncs it to disk.
 func writeSynced(path string, b []byte) error {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o644)
 	if err != nil {
@@ -160,7 +162,7 @@
 	return errors.Join(err, f.Close())
 }
 
-// syncFolder has a folder's entries on disk.
+// syncDirectory syncs the entries of a directory to disk.
 func syncDirectory(path string) error {
 	f, err := os.Open(path)
 	if err != nil {
@@ -169,7 +171,7 @@
 	return errors.Join(f.Sync(), f.Close())
 }
 
-// load reads the list of the marshal's life before; one that is torn or not a list is of no use.
+// load reads the list that a previous process of the marshal saved. A list that is truncated or malformed is an error.
 func (l *nodeList) load() ([]control.Line, error) {
 	if l.file == "" {
 		return nil, nil
@@ -185,13 +187,13 @@
 	var saved int64
 	var count int
 	if !s.Scan() {
-		return nil, errors.New("it is empty")
+		return nil, errors.New("the file is empty")
 	}
 	if _, err := fmt.Sscanf(s.Text(), listHeader+" %d %d", &saved, &count); err != nil {
-		return nil, fmt.Errorf("line 1 is not %q, a time and a count", listHeader)
+		return nil, fmt.Errorf("line 1 is not %q followed by a time and a count", listHeader)
 	}
-	// How long ago it was saved isn't known: the machine's wall clock may have been stepped in between, and a node that is taken for older
-	// than it is would be sent too much while it is cold. It counts as old as it was, until the roster tells.
+	// How long ago the list was saved is unknown, since the wall clock of the machine may have been stepped in between. A node that is taken
+	// for older than it is would get too much load while it is warming up. Nodes keep their saved age until the registry reports another.
 	var lines []control.Line
 	for s.Scan() {
 		line, err := control.ParseLine(s.Text())
@@ -201,7 +203,7 @@
 		lines = append(lines, line)
 	}
 	if len(lines) != count {
-		return nil, fmt.Errorf("%d lines where %d were saved: it is torn", len(lines), count)
+		return nil, fmt.Errorf("the file is truncated or damaged: got %d lines, want %d", len(lines), count)
 	}
 	return lines, nil
 }
