--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -1,4 +1,4 @@
-// Package serve assembles a running marshal: its loop, its module, its sockets and what it keeps on disk.
+// Package serve assembles a running marshal from its event loops, decision modules, sockets and files.
 package serve
 
 import (
@@ -25,34 +25,35 @@
 	"arrowcleat/internal/settings"
 )
 
-// Marshal is one that runs.
+// Marshal is a running marshal.
 type Marshal struct {
 	Settings *settings.Settings
 	Log      *slog.Logger
-	Loop     *loop.Loop   // the first of
-	Loops    []*loop.Loop // one for each core
+	Loop     *loop.Loop   // Loops[0]
+	Loops    []*loop.Loop // one per core
 	Front    *front.Server
 
 	upstream        *back.Pool
-	now             func() time.Time // by the loops' clock
+	now             func() time.Time // wall time derived from the clock of the loops
 	pools           []*nodePool
 	peers           Peers
-	listeners       []front.Listener // the main one first
-	metricsListener net.Listener     // of the metrics
+	listeners       []front.Listener // the main listener first
+	metricsListener net.Listener     // serves metrics; nil: none
 	cancel          context.CancelFunc
-	tasks           sync.WaitGroup
-	running         sync.WaitGroup
-	ended           chan struct{} // the loops have ended
+	tasks           sync.WaitGroup // background goroutines
+	running         sync.WaitGroup // loops
+	ended           chan struct{}  // closed once all loops have ended
 	errMu           sync.Mutex
-	err             error // that it ends with; errs
+	err             error // returned by End; guarded by errMu
 	endOnce         sync.Once
 	failOnce        sync.Once
 	reloadMu        sync.Mutex
 }
 
+// milliseconds converts a time in ms to a duration.
 func milliseconds(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Start opens the sockets and starts a marshal. It takes invocations from then on.
+// Start opens the sockets and starts a marshal. On return the marshal accepts invocations.
 func Start(set *settings.Settings, log *slog.Logger, hooks Hooks) (*Marshal, error) {
 	log = log.With("marshal", set.Instance.Number)
 	if hooks.Clock == nil {
@@ -79,8 +80,8 @@
 	}
 	cores := make([][]*marshal.Core, len(m.Loops))
 	for i, poolSettings := range set.Pools() {
-		p := &nodePool{m: m, number: i, blockedVer: -1, settings: poolSettings, list: newNodeList(poolSettings.Roster.File, hooks.Clock), listChanged: make(chan struct{}, 1),
-			firstList: make(chan struct{})}
+		p := &nodePool{m: m, number: i, blockedVer: -1, settings: poolSettings,
+			list: newNodeList(poolSettings.Roster.File, hooks.Clock), listChanged: make(chan struct{}, 1), firstList: make(chan struct{})}
 		if hooks.WriteFile != nil {
 			p.list.write = hooks.WriteFile
 		}
@@ -119,7 +120,7 @@
 				return err
 			})
 			if err != nil {
-				m.peers = nil // not a nil of another type
+				m.peers = nil // an interface that holds a nil pointer is not nil
 				m.closeSockets()
 				return nil, err
 			}
@@ -130,7 +131,7 @@
 	for _, p := range m.pools {
 		nodes, addresses := p.loadList(hooks.Transport)
 		for _, w := range p.workers {
-			w.loop.News(func() { w.start(hooks, seed+uint64(p.number), nodes, addresses) }) // before any other
+			w.loop.News(func() { w.start(hooks, seed+uint64(p.number), nodes, addresses) }) // runs before any other call of the loop
 		}
 		p.connectControl(hooks.Transport)
 	}
@@ -169,19 +170,19 @@
 	m.background(func() {
 		close(serving)
 		if err := m.Front.Serve(m.listeners); err != nil {
-			m.Log.Error("no more connections", "err", err)
+			m.Log.Error("the marshal no longer accepts connections", "err", err)
 		}
 	})
 	<-serving
 	if n := runtime.GOMAXPROCS(0); n < len(m.Loops) {
-		log.Warn("fewer processors than cores: they will wait for each other", "processors", n, "cores", len(m.Loops))
+		log.Warn("fewer processors than cores: loops compete for processor time", "processors", n, "cores", len(m.Loops))
 	}
-	log.Info("marshal runs", "invocations", m.Address(), "cores", len(m.Loops), "seed", seed)
+	log.Info("marshal started", "invocations", m.Address(), "cores", len(m.Loops), "seed", seed)
 	return m, nil
 }
 
-// hear waits for the first lists, but not for long. It guards against a new process that sends by the list it held last what
-// the list there is already forbids; it may hurt where no list comes: then it serves that much later.
+// awaitFirstLists waits for the first node list of every pool, up to the timeout. A new process would otherwise dispatch by the list
+// it saved last, to nodes that the current list already excludes. The cost: where no list arrives, the marshal serves that much later.
 func (m *Marshal) awaitFirstLists(timeout time.Duration) {
 	expired := time.After(timeout)
 	for _, p := range m.pools {
@@ -193,14 +194,16 @@
 	}
 }
 
+// background runs f in a goroutine that the end of the marshal waits for.
 func (m *Marshal) background(f func()) {
 	m.tasks.Add(1)
 	go func() { defer m.tasks.Done(); f() }()
 }
 
-// sweepLeast is between two looks at unused connections, where they are hardly kept at all.
+// minSweepInterval is the shortest interval between two checks for expired connections, for very short idle times.
 const minSweepInterval = 100 * time.Millisecond
 
+// sweepPeriodically discards expired connections to nodes until the context ends.
 func (m *Marshal) sweepPeriodically(ctx context.Context) {
 	for {
 		select {
@@ -212,8 +215,8 @@
 	}
 }
 
-// run runs a core's loop. Where a module panics, what is open there is terminated; one of several begins anew, unless
-// it does so time and again.
+// runLoop runs the loop of a core. If a module panics, the open invocations of that core are terminated. With several cores the core
+// then restarts, unless it panics repeatedly.
 func (m *Marshal) runLoop(core int, hooks Hooks, seed uint64) {
 	defer m.running.Done()
 	l := m.Loops[core]
@@ -225,7 +228,7 @@
 			var records []marshal.Record
 			m.forEachWorker(core, func(w *worker) { records = append(records, w.core.Look()) })
 			state, stateErr := json.Marshal(records)
-			m.Log.Error("the decision module panicked: what is open is terminated", "core", core, "err", err, "open", m.openOn(core),
+			m.Log.Error("the decision module panicked: open invocations are terminated", "core", core, "err", err, "open", m.openOn(core),
 				"stack", string(p.Stack), "state", string(state), "state_err", stateErr)
 		}
 		m.forEachWorker(core, func(w *worker) { w.core.EndAll() })
@@ -241,16 +244,17 @@
 	}
 }
 
-// lanesOf does something with the lanes of a core, on its loop or when that has ended.
+// forEachWorker calls f with each worker of a core. It must run on the loop of that core, or after that loop has ended.
 func (m *Marshal) forEachWorker(core int, f func(*worker)) {
 	for _, p := range m.pools {
 		f(p.workers[core])
 	}
 }
 
-// Address is where invocations are taken; AddressOf is that of a listener by its name.
+// Address returns the address of the main listener.
 func (m *Marshal) Address() string { return m.AddressOf(settings.MainListener) }
 
+// AddressOf returns the address of the listener with a name, or "" if there is none.
 func (m *Marshal) AddressOf(listener string) string {
 	for _, ln := range m.listeners {
 		if ln.Name == listener {
@@ -260,18 +264,19 @@
 	return ""
 }
 
-// Snapshot gives a copy of the marshal's own record, of the first pool where there are several; false once it has ended.
+// Snapshot returns a copy of the counters of the marshal, or of its first pool if there are several. It returns false once the marshal has
+// ended.
 func (m *Marshal) Snapshot() (marshal.Record, bool) {
 	r, err := m.PoolSnapshot(context.Background(), 0)
 	return r, err == nil
 }
 
-// PoolSnapshot gives a copy of the record of one pool, of all cores together. It waits for each core until the context ends.
+// PoolSnapshot returns the counters of one pool, summed over all cores. It waits for each core until the context ends.
 func (m *Marshal) PoolSnapshot(ctx context.Context, pool int) (total marshal.Record, err error) {
 	for i, w := range m.pools[pool].workers {
 		record, err := loop.Query(ctx, w.loop, w.core.Look)
 		if err != nil {
-			return total, fmt.Errorf("the record of core %d: %w", i, err)
+			return total, fmt.Errorf("reading the record of core %d: %w", i, err)
 		}
 		if i == 0 {
 			total = record
@@ -282,14 +287,14 @@
 	return total, nil
 }
 
-// told hands a peer's message to the pool that it is for: where there are several, its number stands before it.
+// peerMessage passes a message of a peer to the pool that it is for. With several pools the message begins with the pool number.
 func (m *Marshal) peerMessage(from int, text string) {
 	p := m.pools[0]
 	if len(m.pools) > 1 {
 		number, rest, _ := strings.Cut(text, " ")
 		n, err := strconv.Atoi(number)
 		if err != nil || n < 0 || n >= len(m.pools) {
-			m.Log.Warn("between marshals", "err", "a message for a pool that there is not", "from", from)
+			m.Log.Warn("message from peer rejected", "err", "the message is for an unknown pool", "from", from)
 			return
 		}
 		p, text = m.pools[n], rest
@@ -297,7 +302,7 @@
 	p.postAll(func(w *worker) { w.events().Told(from, text) })
 }
 
-// RejectedArrivals counts the arrivals that were refused because too many waited, at any core.
+// RejectedArrivals returns how many arrivals were rejected because the queue of a core was full.
 func (m *Marshal) RejectedArrivals() (count int64) {
 	for _, l := range m.Loops {
 		count += l.Behind()
@@ -305,8 +310,8 @@
 	return count
 }
 
-// Sweep lets go of what is kept for nodes and whose time is over; it happens by itself now and then.
+// Sweep discards expired state of nodes, such as idle connections. The marshal also does so periodically.
 func (m *Marshal) Sweep() { m.upstream.Sweep() }
 
-// NodeConnections is the number of connections to nodes that are open.
+// NodeConnections returns the number of open connections to nodes.
 func (m *Marshal) NodeConnections() int { return m.upstream.Open() }
