--- a/internal/serve/meter.go
+++ b/internal/serve/meter.go
@@ -11,36 +11,38 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// meter collects what each core does, when it is asked: from counters that the loops keep anyway, so that asking
-// neither waits for a core that stands still nor takes time from one that is busy.
+// metricsCollector collects the metrics of a marshal when they are requested. It reads counters that the loops keep anyway, so that a
+// request neither waits for a stalled core nor takes time from a busy one.
 type metricsCollector struct{ m *Marshal }
 
 var (
 	perCore           = []string{"core"}
 	perScope          = []string{"pool", "ver", "op"}
 	desc              = prometheus.NewDesc
-	descCalls         = desc("arrowcleat_core_calls_total", "Calls that the core's loop has run.", perCore, nil)
-	descBusy          = desc("arrowcleat_core_busy_seconds_total", "Time spent in them.", perCore, nil)
-	descStalled       = desc("arrowcleat_core_standing_seconds", "How long the call that runs now has run; 0 for none.", perCore, nil)
-	descWaiting       = desc("arrowcleat_core_waiting", "Arrivals that wait for the core.", perCore, nil)
-	descRejected      = desc("arrowcleat_core_refused_total", "Arrivals refused because too many waited.", perCore, nil)
-	descConnections   = desc("arrowcleat_core_connections", "Clients' connections that belong to the core.", perCore, nil)
-	descMoved         = desc("arrowcleat_moved_total", "Invocations taken by another core than their connection's.", nil, nil)
-	descOpen          = desc("arrowcleat_open", "Invocations between their head and their answer.", nil, nil)
+	descCalls         = desc("arrowcleat_core_calls_total", "Calls run by the loop of the core.", perCore, nil)
+	descBusy          = desc("arrowcleat_core_busy_seconds_total", "Time spent in calls of the loop, in seconds.", perCore, nil)
+	descStalled       = desc("arrowcleat_core_standing_seconds", "How long the current call has been running, in seconds; 0 if none.", perCore, nil)
+	descWaiting       = desc("arrowcleat_core_waiting", "Arrivals queued for the core.", perCore, nil)
+	descRejected      = desc("arrowcleat_core_refused_total", "Arrivals rejected because the queue of the core was full.", perCore, nil)
+	descConnections   = desc("arrowcleat_core_connections", "Client connections assigned to the core.", perCore, nil)
+	descMoved         = desc("arrowcleat_moved_total", "Invocations accepted by another core than the one of their connection.", nil, nil)
+	descOpen          = desc("arrowcleat_open", "Invocations whose request header was read and that are not answered yet.", nil, nil)
 	descRead          = desc("arrowcleat_requests_read_total", "Requests read from clients.", nil, nil)
-	descDone          = desc("arrowcleat_requests_done_total", "Requests read and over, by their outcome; unanswered must stay 0.", []string{"outcome"}, nil)
-	descSecondAnswers = desc("arrowcleat_second_answers_total", "Answers held back since none was owed; must stay 0.", nil, nil)
-	descClosed        = desc("arrowcleat_connections_closed_total", "Clients' connections closed, by the reason.", []string{"reason"}, nil)
-	descSuppressed    = desc("arrowcleat_dispatches_held_back_total", "Dispatches decided on that the last look before writing held back.", nil, nil)
-	descCoordinator   = desc("arrowcleat_chair", "The core whose instance votes for the marshal.", []string{"pool"}, nil)
-	descAccepted      = desc("arrowcleat_window_taken", "Invocations in the window that the exposure rule counts.", perScope, nil)
-	descExposed       = desc("arrowcleat_window_exposed", "Exposures in the window, leases that are out among them.", perScope, nil)
-	descLeased        = desc("arrowcleat_leased", "Exposures by leases that are out.", perScope, nil)
-	descLeasesRefused = desc("arrowcleat_leases_refused_total", "Leases that the rule left no room for.", []string{"pool"}, nil)
+	descDone          = desc("arrowcleat_requests_done_total", "Requests read and completed, by outcome; unanswered must stay 0.", []string{"outcome"}, nil)
+	descSecondAnswers = desc("arrowcleat_second_answers_total", "Answers suppressed because no answer was pending; must stay 0.", nil, nil)
+	descClosed        = desc("arrowcleat_connections_closed_total", "Client connections closed, by reason.", []string{"reason"}, nil)
+	descSuppressed    = desc("arrowcleat_dispatches_held_back_total", "Dispatches suppressed by the final check before writing.", nil, nil)
+	descCoordinator   = desc("arrowcleat_chair", "The coordinator: the core whose instance votes for the marshal.", []string{"pool"}, nil)
+	descAccepted      = desc("arrowcleat_window_taken", "Invocations accepted in the window of the exposure rule.", perScope, nil)
+	descExposed       = desc("arrowcleat_window_exposed", "Exposures in the window, including leases in flight.", perScope, nil)
+	descLeased        = desc("arrowcleat_leased", "Exposures by leases in flight.", perScope, nil)
+	descLeasesRefused = desc("arrowcleat_leases_refused_total", "Leases refused because the exposure rule left no room for them.", []string{"pool"}, nil)
 )
 
+// Describe implements prometheus.Collector.
 func (c metricsCollector) Describe(ch chan<- *prometheus.Desc) { prometheus.DescribeByCollect(c, ch) }
 
+// Collect implements prometheus.Collector.
 func (c metricsCollector) Collect(ch chan<- prometheus.Metric) {
 	emit := func(d *prometheus.Desc, kind prometheus.ValueType, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, kind, v, labels...)
@@ -91,7 +93,7 @@
 	}
 }
 
-// meterOn serves the metrics until the context ends.
+// serveMetrics serves the metrics until the context ends.
 func (m *Marshal) serveMetrics(ctx context.Context) {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(metricsCollector{m}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
@@ -102,7 +104,7 @@
 	m.background(func() { <-ctx.Done(); server.Close() })
 }
 
-// MetricsAddress is where the metrics are, empty for nowhere.
+// MetricsAddress returns the address of the metrics, or "" if they are not served.
 func (m *Marshal) MetricsAddress() string {
 	if m.metricsListener == nil {
 		return ""
