--- a/internal/serve/open.go
+++ b/internal/serve/open.go
@@ -15,13 +15,13 @@
 	"arrowcleat/internal/settings"
 )
 
-// How long a start goes on trying where the machine lacks what a socket takes, and how long it waits in between.
+// While the machine lacks resources for a socket, a start retries for shortageTimeout, at intervals of shortageRetryInterval.
 const (
 	shortageTimeout       = 5 * time.Second
 	shortageRetryInterval = 10 * time.Millisecond
 )
 
-// whileScarce opens something, and tries again while the machine lacks what it takes for a moment.
+// retryOnShortage calls open, and repeats it while it fails for a temporary shortage of resources.
 func retryOnShortage(open func() error) error {
 	for deadline := time.Now().Add(shortageTimeout); ; time.Sleep(shortageRetryInterval) {
 		if err := open(); err == nil || !back.Scarce(err) || time.Now().After(deadline) {
@@ -30,7 +30,7 @@
 	}
 }
 
-// open opens the sockets and files; what was opened is closed if one can't be.
+// open opens the sockets and files of the marshal. If one fails, those already opened are closed.
 func (m *Marshal) open(listenOn func(network, address string) (net.Listener, error)) (err error) {
 	listen := func(address string) (ln net.Listener, err error) {
 		err = retryOnShortage(func() error {
@@ -61,7 +61,7 @@
 			return fmt.Errorf("listen.peers: %w", err)
 		}
 		peers := &control.Peers{Number: int(m.Settings.Instance.Number), Conn: conn, To: map[int]*net.UDPAddr{}, Told: m.peerMessage,
-			Bad: func(err error) { m.Log.Warn("between marshals", "err", err) }}
+			Bad: func(err error) { m.Log.Warn("message from peer rejected", "err", err) }}
 		m.peers = peers
 		for _, p := range m.Settings.Peer {
 			if peers.To[int(p.Number)], err = net.ResolveUDPAddr("udp", p.Address); err != nil {
@@ -89,7 +89,7 @@
 	return nil
 }
 
-// all are the lanes of all groups.
+// allWorkers returns the workers of all pools.
 func (m *Marshal) allWorkers() (workers []*worker) {
 	for _, p := range m.pools {
 		workers = append(workers, p.workers...)
@@ -97,7 +97,7 @@
 	return workers
 }
 
-// recordFile is where an instance is recorded: each in a file of its own.
+// recordFile returns the file in which a worker is recorded. Each worker has a file of its own.
 func (w *worker) recordFile() string {
 	file := w.settings.Record.File
 	if len(w.workers) > 1 {
@@ -107,6 +107,7 @@
 	return file
 }
 
+// closeSockets closes the sockets and recordings of the marshal.
 func (m *Marshal) closeSockets() {
 	for _, ln := range m.listeners {
 		ln.Close()
