--- a/internal/serve/outside.go
+++ b/internal/serve/outside.go
@@ -8,11 +8,13 @@
 	"arrowcleat/balance"
 )
 
-// Now and the methods below are marshal.Outside.
+// Now returns the time in ms of the call that the loop runs. Now and the methods below implement marshal.Outside.
 func (w *worker) Now() float64 { return w.loop.Now() }
 
+// After runs f on the loop after a time in ms.
 func (w *worker) After(ms float64, f func()) { w.loop.After(ms, f) }
 
+// Probe probes a node if the settings enable probes, and posts the outcome to the loop.
 func (w *worker) Probe(node uint32, address string) {
 	if !w.settings.Limits.Probes {
 		return
@@ -26,18 +28,21 @@
 	})
 }
 
+// Fetch requests the node list of the service registry.
 func (w *worker) Fetch() {
 	if w.registry != nil {
 		w.registry.Fetch()
 	}
 }
 
+// Watch starts or stops updates of the node list.
 func (w *worker) Watch(on bool) {
 	if w.registry != nil {
 		w.registry.Watch(on)
 	}
 }
 
+// Vote sends a vote to the rollout service. Without one the vote fails.
 func (w *worker) Vote(ver, stage int, verdict balance.Verdict) {
 	if w.rollout != nil {
 		w.rollout.Vote(ver, stage, verdict)
@@ -46,6 +51,7 @@
 	}
 }
 
+// Tell sends a message to a peer, with the number of the pool if there are several.
 func (w *worker) Tell(peer int, text string) {
 	if w.m.peers == nil {
 		return
