--- a/internal/serve/stop.go
+++ b/internal/serve/stop.go
@@ -8,7 +8,7 @@
 	"arrowcleat/internal/loop"
 )
 
-// fail ends the marshal: one of its cores has.
+// fail ends the marshal because the loop of a core has failed.
 func (m *Marshal) fail(err error) {
 	m.failOnce.Do(func() {
 		m.addError(err)
@@ -19,20 +19,20 @@
 	})
 }
 
-// Ended is closed once the marshal has nothing left to run on: after Stop, Kill, or a panic of its module.
+// Ended returns a channel that is closed once all loops have ended: after Stop, End, Kill, or a panic of the module.
 func (m *Marshal) Ended() <-chan struct{} { return m.ended }
 
-// How long the end of a marshal waits for its loops, whose calls it can't break off.
+// How long the end of a marshal waits for its loops, whose calls cannot be interrupted.
 const (
-	queryTimeout    = 100 * time.Millisecond // for what a loop owes, before it is taken to stand still
-	loopStopTimeout = 200 * time.Millisecond // for it to end
+	queryTimeout    = 100 * time.Millisecond // for the number of open invocations, before a loop counts as stalled
+	loopStopTimeout = 200 * time.Millisecond // for the loops to end
 )
 
-// ErrLoopBlocked says that the marshal has ended but a call of one of its loops has not.
-var ErrLoopBlocked = errors.New("a call of the loop still blocks: the marshal has ended without it")
+// ErrLoopBlocked is returned when the marshal has ended but a call of one of its loops has not.
+var ErrLoopBlocked = errors.New("a call of an event loop still blocks: the marshal has ended without waiting for it")
 
-// Stop takes nothing new, lets what was taken end within its time, and ends once no connection is left that may still carry a
-// request.
+// Stop accepts no new invocations and lets open ones complete within the stop time. It ends the marshal once no connection is left that
+// may still carry a request.
 func (m *Marshal) Stop() error {
 	m.Front.Stop()
 	deadline := time.Now().Add(milliseconds(m.Front.Current().Times.StopMs))
@@ -48,8 +48,8 @@
 	return m.End()
 }
 
-// End ends at once; what is open is terminated. Clients are answered and left whatever the loops do: before the loops are waited for, and
-// once more after, for what the loops were just taking.
+// End ends the marshal at once and terminates open invocations. Clients are answered and disconnected whatever the loops do: before
+// waiting for the loops, and once more after, for invocations that a loop was just accepting.
 func (m *Marshal) End() error {
 	m.endOnce.Do(func() {
 		m.Front.Abort()
@@ -64,7 +64,7 @@
 		m.tasks.Wait()
 		if blocked {
 			m.addError(ErrLoopBlocked)
-			return // what it records is its own until it ends
+			return // the recordings belong to the blocked loop until it ends
 		}
 		for _, w := range m.allWorkers() {
 			if w.recorder != nil {
@@ -77,13 +77,14 @@
 	return m.err
 }
 
+// addError adds to the error that End returns.
 func (m *Marshal) addError(err error) {
 	m.errMu.Lock()
 	defer m.errMu.Unlock()
 	m.err = errors.Join(m.err, err)
 }
 
-// Kill ends like a killed process: sockets close, nothing is answered, nothing is written any more.
+// Kill ends the marshal like a killed process: sockets close, no request is answered, and nothing more is written.
 func (m *Marshal) Kill() {
 	m.endOnce.Do(func() {
 		m.Front.Kill()
@@ -96,7 +97,7 @@
 	})
 }
 
-// stopLoops ends the loops; false says that one has not ended.
+// stopLoops stops the loops. It returns false if one has not ended in time.
 func (m *Marshal) stopLoops() bool {
 	for _, l := range m.Loops {
 		l.Stop()
@@ -109,7 +110,7 @@
 	}
 }
 
-// owedByAll counts the invocations that are open at all cores; the error says that one has ended or stands still.
+// openOnAllCores counts the open invocations of all cores. It returns an error if a loop has ended or is stalled.
 func (m *Marshal) openOnAllCores() (open int, err error) {
 	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
 	defer cancel()
@@ -123,7 +124,7 @@
 	return open, nil
 }
 
-// owed counts the invocations that are open at a core; to be called on its loop.
+// openOn counts the open invocations of a core. It must run on the loop of that core, or after that loop has ended.
 func (m *Marshal) openOn(core int) (open int) {
 	m.forEachWorker(core, func(w *worker) { open += w.core.Open() })
 	return open
