--- a/internal/serve/rig_test.go
+++ b/internal/serve/rig_test.go
@@ -42,29 +42,30 @@
   votes_per_s: 10 stage { part: 1 cap: 1 } }
 `
 
-// script plays a node's side of one connection; got counts the requests that reached any node.
+// nodeScript serves one connection as a node.
 type nodeScript func(r *testRig, c net.Conn, b *bufio.Reader)
 
+// testRig is a running marshal with its service registry and nodes.
 type testRig struct {
 	t             *testing.T
 	settings      *settings.Settings
 	m             *Marshal
 	registry      *standin.Roster
 	mu            sync.Mutex
-	paths         []string // of the requests that reached nodes, in order
+	paths         []string // paths of the requests that reached nodes, in order
 	wg            sync.WaitGroup
 	nodeListeners []net.Listener
 	nodeConns     []net.Conn
-	release       chan struct{} // closed to let nodes that wait go on
+	release       chan struct{} // closed to release nodes that wait
 }
 
-// rigHooks are the marshal's hooks, and its log where that is looked at.
+// testHooks are the hooks of the marshal, and its log if a test reads it.
 type testHooks struct {
 	Hooks
-	Log *slog.Logger
+	Log *slog.Logger // nil: discarded
 }
 
-// start runs a marshal before nodes that each play the script, and waits until it knows them.
+// startRig starts a service registry, nodes that each run the script, and a marshal, and waits until the marshal knows the nodes.
 func startRig(t *testing.T, nodes int, node nodeScript, change func(*settings.Settings), hooks testHooks) *testRig {
 	t.Helper()
 	set, err := settings.Parse("rig", []byte(settingsText))
@@ -112,10 +113,12 @@
 	return r
 }
 
+// setNode sets a node of build 1 in the service registry.
 func (r *testRig) setNode(id uint32, address string, health balance.Health) {
 	r.registry.Set(control.Line{Node: balance.Node{ID: id, Ver: 1, Size: 1, Health: health}, Address: address}, 0)
 }
 
+// close ends the marshal, the service registry and the nodes.
 func (r *testRig) close() {
 	r.m.End()
 	r.registry.Close()
@@ -136,6 +139,7 @@
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 }
 
+// waitFor waits up to 2 s until a condition holds.
 func (r *testRig) waitFor(condition string, holds func() bool) {
 	r.t.Helper()
 	for range 400 {
@@ -144,29 +148,30 @@
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	r.t.Fatalf("it never came that %s", condition)
+	r.t.Fatalf("timed out waiting until %s", condition)
 }
 
-// request reads a request at a node, whole, and counts it.
+// readRequest reads a complete request at a node and records its path.
 func (r *testRig) readRequest(b *bufio.Reader) (*http.Request, []byte, bool) {
-	q, err := http.ReadRequest(b)
+	req, err := http.ReadRequest(b)
 	if err != nil {
 		return nil, nil, false
 	}
-	body, err := io.ReadAll(q.Body)
+	body, err := io.ReadAll(req.Body)
 	r.mu.Lock()
-	r.paths = append(r.paths, q.URL.Path)
+	r.paths = append(r.paths, req.URL.Path)
 	r.mu.Unlock()
-	return q, body, err == nil
+	return req, body, err == nil
 }
 
+// received returns how many requests have reached nodes.
 func (r *testRig) received() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.paths)
 }
 
-// first says that this is the first request that reached a node for a path.
+// isFirst reports whether exactly one request for a path has reached a node.
 func (r *testRig) isFirst(path string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -179,28 +184,30 @@
 	return n == 1
 }
 
-// ok answers every request with its path.
+// echoPath is a node that answers every request with its path.
 func echoPath(r *testRig, c net.Conn, b *bufio.Reader) {
 	for {
-		q, _, complete := r.readRequest(b)
+		req, _, complete := r.readRequest(b)
 		if !complete {
 			return
 		}
-		respond(c, q.URL.Path)
+		respond(c, req.URL.Path)
 	}
 }
 
+// respond writes a response with status 200.
 func respond(c net.Conn, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// client is a connection of a client's.
+// client is a client connection to the marshal.
 type client struct {
 	net.Conn
 	b *bufio.Reader
 	t *testing.T
 }
 
+// client connects a client to the marshal.
 func (r *testRig) client() *client {
 	c, err := net.Dial("tcp", r.m.Address())
 	if err != nil {
@@ -210,6 +217,7 @@
 	return &client{c, bufio.NewReader(c), r.t}
 }
 
+// send formats and sends a request, with CRLF for each newline.
 func (c *client) send(format string, a ...any) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, strings.ReplaceAll(fmt.Sprintf(format, a...), "\n", "\r\n")); err != nil {
@@ -217,7 +225,7 @@
 	}
 }
 
-// read gives status, final answer and body of the next response.
+// read returns the status, the Arrowcleat-Answer header field and the body of the next response, or what went wrong.
 func (c *client) read() (summary string) {
 	c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	resp, err := http.ReadResponse(c.b, nil)
@@ -234,20 +242,21 @@
 	return fmt.Sprintf("%d %s %s", resp.StatusCode, resp.Header.Get("Arrowcleat-Answer"), bytes.TrimSpace(body))
 }
 
+// expect checks that the summary of the next response begins with want.
 func (c *client) expect(want string) {
 	c.t.Helper()
 	if got := c.read(); !strings.HasPrefix(got, want) {
-		c.t.Errorf("the client got %q, not %q", got, want)
+		c.t.Errorf("the client got %q, want prefix %q", got, want)
 	}
 }
 
-// silent says that nothing more comes.
+// expectSilence checks that the client receives nothing more for 150 ms.
 func (c *client) expectSilence() {
 	c.t.Helper()
 	c.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	if b, err := c.b.Peek(1); err == nil {
 		rest, _ := c.b.Peek(min(c.b.Buffered(), 80))
-		c.t.Errorf("after its answer the client got %q%q", b, rest)
+		c.t.Errorf("after the response the client got %q, buffered %q", b, rest)
 	}
 }
 
