--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -18,8 +18,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// BenchmarkCores is what the decisions alone can do: whole invocations through loops, parts and modules of a running
-// marshal, with neither clients nor nodes on sockets. GOMAXPROCS is the number of cores.
+// BenchmarkCores measures decisions alone: complete invocations through the loops and modules of a running marshal, without sockets of
+// clients or nodes. GOMAXPROCS is the number of cores.
 func BenchmarkCores(b *testing.B) {
 	for _, nodes := range []int{300, 3000} {
 		for _, cores := range []int{1, 2, 4, 8} {
@@ -31,12 +31,12 @@
 				load := &closedLoopLoad{ended: make(chan struct{})}
 				load.target.Store(1 << 62)
 				for _, w := range p.workers {
-					for range 2 { // that each core has open at once
+					for range 2 { // invocations open at once per core
 						c := &closedLoopClient{w: w, closedLoopLoad: load}
 						w.loop.Post(c.send)
 					}
 				}
-				time.Sleep(1500 * time.Millisecond) // until the modules know the pace of things
+				time.Sleep(1500 * time.Millisecond) // until the modules have measured the rates
 				before, _ := m.Snapshot()
 				b.ReportAllocs()
 				b.ResetTimer()
@@ -44,14 +44,14 @@
 				<-load.ended
 				b.StopTimer()
 				if r, ok := m.Snapshot(); !ok || r.Succeeded-before.Succeeded < int64(b.N)*9/10 {
-					b.Fatalf("%d of %d succeeded", r.Succeeded-before.Succeeded, b.N)
+					b.Fatalf("%d of %d invocations succeeded", r.Succeeded-before.Succeeded, b.N)
 				}
 			})
 		}
 	}
 }
 
-// benched is a marshal that knows as many nodes, at one address.
+// startForBenchmark starts a marshal that knows a number of nodes, all at one address.
 func startForBenchmark(b *testing.B, cores, nodes int, address string) *Marshal {
 	set, err := settings.Parse("bench", []byte(settingsText))
 	if err != nil {
@@ -71,8 +71,8 @@
 	return m
 }
 
-// BenchmarkSockets is whole invocations from client to node and back, on loopback: clients, nodes and marshal share the
-// processors. Its profile tells what the marshal's socket side costs.
+// BenchmarkSockets measures complete invocations from client to node and back over loopback. Clients, nodes and marshal share the
+// processors. Its profile shows the cost of the marshal's socket handling.
 func BenchmarkSockets(b *testing.B) {
 	for _, cores := range []int{1, 4} {
 		b.Run(fmt.Sprintf("cores=%d", cores), func(b *testing.B) {
@@ -121,7 +121,7 @@
 					for remaining.Add(-1) >= 0 {
 						c.Write(request)
 						if n, err := c.Read(buf); err != nil || !bytes.HasPrefix(buf[:n], []byte("HTTP/1.1 ")) {
-							b.Errorf("%q %v", buf[:n], err)
+							b.Errorf("response %q, error %v", buf[:n], err)
 							return
 						}
 					}
@@ -132,13 +132,14 @@
 	}
 }
 
-// calmClient asks anew as soon as it is answered; its nodes answer at once.
+// closedLoopClient sends the next invocation as soon as one completes. Its nodes answer at once.
 type closedLoopClient struct {
 	*closedLoopLoad
 	w  *worker
 	id string
 }
 
+// closedLoopLoad counts completed invocations until a target is reached.
 type closedLoopLoad struct {
 	done, target atomic.Int64
 	ended        chan struct{}
