--- a/internal/serve/close_test.go
+++ b/internal/serve/close_test.go
@@ -20,10 +20,10 @@
 	"arrowcleat/internal/tcpstate"
 )
 
-// slowClock is a clock at which a look may take a while, as on a machine that holds the process up.
+// slowClock is a clock whose Now may take a while, as on a machine that delays the process.
 type slowClock struct {
 	loop.Clock
-	delayNs atomic.Int64 // ns
+	delayNs atomic.Int64 // added to each call of Now
 }
 
 func (c *slowClock) Now() float64 {
@@ -33,8 +33,8 @@
 	return c.Clock.Now()
 }
 
-// crossing asks on a connection that the marshal may be closing, and says what became of the request: "answered", "unread" where the
-// marshal closed without reading it, so that the client sends it again, or "lost".
+// requestDuringClose sends a request on a connection that the marshal may be closing. It returns "answered", "unread" if the marshal
+// closed without reading the request, so that the client can send it again, or a text that begins with "lost".
 func requestDuringClose(nc net.Conn, b *bufio.Reader, target string) string {
 	const resetTimeout = 700 * time.Millisecond
 	if _, err := fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", target); err != nil {
@@ -45,7 +45,7 @@
 	if err == nil {
 		body, err := io.ReadAll(resp.Body)
 		if err != nil || resp.StatusCode == http.StatusOK && string(body) != target {
-			return fmt.Sprintf("lost: answered with %q, %v", body, err)
+			return fmt.Sprintf("lost: answered with %q, error %v", body, err)
 		}
 		return "answered"
 	}
@@ -53,27 +53,27 @@
 		return "lost: " + err.Error()
 	}
 	if reset, stateErr := tcpstate.ResetWithin(nc, resetTimeout); stateErr != nil || !reset {
-		return fmt.Sprintf("lost: read and closed without an answer (%v, %v)", err, stateErr)
+		return fmt.Sprintf("lost: read and closed without an answer (reset %v, error %v)", err, stateErr)
 	}
 	return "unread"
 }
 
-// Requests cross the end of connections that rest, whatever ends them: each is answered, or not read. One that was read and thrown
-// away is lost: its client can't tell it from one that ran.
+// Requests arrive while the marshal closes idle connections, for several causes. Each must be answered or left unread. One that was read and
+// discarded is lost: its client can't tell it from one that ran.
 func TestRequestsDuringCloseAreNotLost(t *testing.T) {
 	const connections = 60
 	for name, cause := range map[string]struct {
 		change func(*settings.Settings)
 		front  func(*front.Server)
 		end    func(t *testing.T, r *testRig)
-		spread time.Duration // over which clients ask once the ending has begun
+		spread time.Duration // over which clients send requests once the close has begun
 	}{
 		"stop": {end: func(t *testing.T, r *testRig) { go r.m.Stop() }, spread: 60 * time.Millisecond},
 		"idle": {change: func(s *settings.Settings) { s.Times.IdleMs = 100 }, end: func(*testing.T, *testRig) { time.Sleep(70 * time.Millisecond) },
 			spread: 60 * time.Millisecond},
 		"eviction": {change: func(s *settings.Settings) { s.Limits.Connections = connections }, front: func(s *front.Server) { s.Terms.FirstMs = 2500 },
 			end: func(t *testing.T, r *testRig) {
-				time.Sleep(2050 * time.Millisecond) // connections that have served are left alone for 2 s
+				time.Sleep(2050 * time.Millisecond) // connections that have served a request are not evicted for 2 s
 				go func() {
 					for range 20 {
 						if c, err := net.Dial("tcp", r.m.Address()); err == nil {
@@ -98,7 +98,7 @@
 			outcomes := map[string]int{}
 			for i, c := range clients {
 				wg.Go(func() {
-					time.Sleep(cause.spread * time.Duration(connections-i) / connections) // what rests longest asks last
+					time.Sleep(cause.spread * time.Duration(connections-i) / connections) // the connection idle longest sends last
 					outcome := requestDuringClose(c.Conn, c.b, fmt.Sprintf("/look-%d", i))
 					mu.Lock()
 					defer mu.Unlock()
@@ -109,15 +109,15 @@
 			t.Log(outcomes)
 			for outcome, n := range outcomes {
 				if outcome != "answered" && outcome != "unread" {
-					t.Errorf("%d of %d: %s", n, connections, outcome)
+					t.Errorf("%d of %d requests: %s", n, connections, outcome)
 				}
 			}
 		})
 	}
 }
 
-// A stop comes between an answer that keeps its connection and the moment at which the connection rests again. The connection is
-// closed in time, and what its client sends next isn't thrown away.
+// A stop arrives between a response that keeps its connection open and the moment the connection becomes idle. The connection must be
+// closed in time, and the next request of its client must not be discarded.
 func TestStopBetweenAnswerAndIdle(t *testing.T) {
 	const connections, stopTimeout = 40, time.Second
 	clock := &slowClock{Clock: loop.Monotonic()}
@@ -132,7 +132,7 @@
 		c.send(get, fmt.Sprintf("look-%d", i))
 	}
 	clock.delayNs.Store(int64(3 * time.Millisecond))
-	answered := func(c *client) { // a slow clock may have some refused
+	answered := func(c *client) { // some may be rejected because of the slow clock
 		if got := c.read(); strings.HasPrefix(got, "no answer") {
 			t.Error(got)
 		}
@@ -156,6 +156,6 @@
 		}
 	}
 	if took := <-stopped; took > stopTimeout {
-		t.Errorf("nobody has a request out, and the stop took %v", took)
+		t.Errorf("no request was open, but the stop took %v", took)
 	}
 }
