--- a/internal/serve/list_test.go
+++ b/internal/serve/list_test.go
@@ -15,8 +15,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// Writing the list to disk fails for a while, leaves it half done, and is then possible again. Requests are served throughout, what stood
-// before is kept, and the list is saved though it has not changed since.
+// Saving the list fails for a while, leaving half-written files, and then works again. Requests must be served throughout, the previous
+// list must stay intact, and the list must be saved although it has not changed since.
 func TestListSaveIsRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -33,20 +33,20 @@
 			savedNodes := func() int {
 				lines, err := r.m.pools[0].list.load()
 				if err != nil {
-					t.Errorf("what stands on disk: %v", err)
+					t.Errorf("the saved list: %v", err)
 				}
 				return len(lines)
 			}
 			r.waitFor("the list is on disk", func() bool { return savedNodes() == 1 })
 			fails.Store(true)
 			r.setNode(9, "127.0.0.1:1", balance.Draining)
-			r.waitFor("it is known", func() bool { snapshot, _ := r.m.Snapshot(); return len(snapshot.Nodes) == 2 })
+			r.waitFor("the marshal knows the new node", func() bool { snapshot, _ := r.m.Snapshot(); return len(snapshot.Nodes) == 2 })
 			for range 5 {
 				c := r.client()
 				c.send(get, "look")
 				c.expect("200")
 				if n := savedNodes(); n != 1 {
-					t.Errorf("%d lines on disk", n)
+					t.Errorf("%d lines on disk, want 1", n)
 				}
 				time.Sleep(20 * time.Millisecond)
 			}
@@ -56,8 +56,8 @@
 	}
 }
 
-// A list that was saved an hour ago by the wall clock, or will be in an hour, has nodes as old as they were: the clock may have been
-// stepped, and a cold node that is taken for warm would be sent too much.
+// A list was saved an hour ago by the wall clock, or an hour in the future. Its nodes keep the age they had: the clock may have been stepped,
+// and a node that is warming up but taken for warm would get too much load.
 func TestSavedAgesIgnoreWallClock(t *testing.T) {
 	const upMs = 400.0
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
@@ -69,7 +69,7 @@
 		}
 		lines, err := l.load()
 		if err != nil || len(lines) != 1 || lines[0].Up != upMs {
-			t.Errorf("a step of %v: %v, %v", step, lines, errors.Join(err))
+			t.Errorf("wall clock stepped by %v: lines %v, error %v", step, lines, errors.Join(err))
 		}
 	}
 }
