--- a/internal/serve/scarce_test.go
+++ b/internal/serve/scarce_test.go
@@ -13,10 +13,10 @@
 	"arrowcleat/internal/settings"
 )
 
-// scarceNetwork is the machine's, whose calls fail while it lacks something.
+// faultyNetwork is the network of the machine. Its calls fail while an error is injected.
 type faultyNetwork struct {
-	errno  atomic.Int64 // the errno, 0 for none
-	failed atomic.Int64 // calls that failed
+	errno  atomic.Int64 // 0: none
+	failed atomic.Int64 // number of calls that failed
 }
 
 func (n *faultyNetwork) injectedError(call string) error {
@@ -57,18 +57,18 @@
 	return l.TCPListener.Accept()
 }
 
-// Accepting fails at the moment of the stop, for longer than the last look at the queue used to take: the listener was closed over a
-// queue with a request in it, which was reset.
+// Accept fails during a stop, for longer than the final check of the accept queue once took: the listener was closed while the queue held
+// a request, which was reset.
 func TestAcceptFailsDuringStop(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ECONNABORTED} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			n := &faultyNetwork{}
 			r := startRig(t, 1, echoPath, nil, testHooks{Hooks: Hooks{Listen: n.listen}})
-			first := r.client() // accepting waits for another by then
+			first := r.client() // by then an accept call waits for the next connection
 			first.send(get, "look")
 			first.expect("200")
 			n.set(errno)
-			next := r.client() // it is accepted: the accept that waits had begun before
+			next := r.client() // accepted, since the waiting accept call began before the fault
 			next.send(get, "look")
 			next.expect("200")
 			queued := r.client()
@@ -85,8 +85,8 @@
 	}
 }
 
-// Connecting to nodes fails for a moment for a reason of the machine's own. The node was blamed for each try, and the request used up its
-// tries within a millisecond and was terminated.
+// Connecting to nodes fails briefly for a reason of the marshal's own machine. Each attempt was counted against the node, and the request
+// used up its attempts within a millisecond and was terminated.
 func TestTransientConnectFailure(t *testing.T) {
 	const outage = 60 * time.Millisecond
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EMFILE} {
@@ -100,13 +100,13 @@
 			n.set(0)
 			c.expect("200 succeeded /once")
 			if s, _ := r.m.Snapshot(); s.Dispatches != 1 || r.received() != 1 {
-				t.Errorf("%d dispatches, %d requests reached nodes; endings %v", s.Dispatches, r.received(), s.Endings)
+				t.Errorf("%d dispatches, %d requests reached nodes; outcomes %v", s.Dispatches, r.received(), s.Endings)
 			}
 		})
 	}
 }
 
-// A start during which the machine lacks what a socket takes waits for it; one that can't have its address says so at once.
+// A start while the machine lacks resources for sockets waits for them. A start whose address is in use fails at once.
 func TestStartDuringSocketShortage(t *testing.T) {
 	n := &faultyNetwork{}
 	n.set(syscall.ENOBUFS)
@@ -127,17 +127,17 @@
 	set.Listen.Invocations = r.m.Address()
 	start := time.Now()
 	if _, err := Start(set, r.m.Log, Hooks{}); err == nil || time.Since(start) > time.Second {
-		t.Errorf("an address that is taken: %v after %v", err, time.Since(start))
+		t.Errorf("address in use: error %v after %v", err, time.Since(start))
 	}
 }
 
-// The marshal ends at once, as after a second word to stop or a panic of its module, while a request waits to be accepted: it is still
-// accepted and told that it was not taken.
+// The marshal ends at once, as after a second stop signal or a panic of its module, while a request waits in the accept queue. The request
+// must still be accepted and answered as not taken.
 func TestImmediateEndAnswersAcceptQueue(t *testing.T) {
 	n := &faultyNetwork{}
 	r := startRig(t, 1, echoPath, nil, testHooks{Hooks: Hooks{Listen: n.listen}})
 	n.set(syscall.EMFILE)
-	next := r.client() // the accept that waits had begun before
+	next := r.client() // the waiting accept call began before the fault
 	next.send(get, "look")
 	next.expect("200")
 	queued := r.client()
@@ -149,7 +149,7 @@
 	queued.expect("503 not-taken")
 }
 
-// heldUpConn is a connection whose writer is held up between its last look at the clock and the write.
+// delayedConn is a connection whose writer is delayed between the final check of the clock and the write.
 type delayedConn struct {
 	*net.TCPConn
 	delay time.Duration
@@ -160,8 +160,8 @@
 	return c.TCPConn.Write(b)
 }
 
-// A dispatch decided on before the word that its node drains is about to be written just before the grace is over, and the marshal is held
-// up for 0.15 s between its look and the write. It reached the node 0.1 s after the grace.
+// A dispatch was decided on before its node was reported as draining. It is about to be written just before the grace period ends, and the
+// marshal is not scheduled for 0.15 s between the final check and the write. The request reached the node 0.1 s after the grace period.
 func TestSchedulingDelayBeforeWriteToDrainingNode(t *testing.T) {
 	const schedulingDelay, grace = 150 * time.Millisecond, 300 * time.Millisecond
 	connected := make(chan struct{})
@@ -191,10 +191,10 @@
 		}
 	}()
 	r.setNode(9, node.Addr().String(), balance.Serving)
-	r.waitFor("it is known", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
+	r.waitFor("the marshal knows the node", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
 	c := r.client()
 	c.send(get, "look")
-	r.waitFor("it is on its way", func() bool { s, _ := r.m.Snapshot(); return s.Dispatches == 1 })
+	r.waitFor("the invocation is dispatched", func() bool { s, _ := r.m.Snapshot(); return s.Dispatches == 1 })
 	notifiedAt := time.Now()
 	r.setNode(9, node.Addr().String(), balance.Draining)
 	time.Sleep(grace - 50*time.Millisecond)
@@ -202,7 +202,7 @@
 	select {
 	case at := <-got:
 		if late := at.Sub(notifiedAt); late > grace {
-			t.Errorf("the node got a request %v after the word that it drains; the grace is %v", late, grace)
+			t.Errorf("the node got a request %v after it was reported as draining; the grace period is %v", late, grace)
 		}
 	case <-time.After(2 * schedulingDelay):
 	}
