--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -21,6 +21,7 @@
 	"arrowcleat/internal/settings"
 )
 
+// onCores sets the number of cores and applies further changes.
 func onCores(n uint32, more ...func(*settings.Settings)) func(*settings.Settings) {
 	return func(s *settings.Settings) {
 		s.Instance.Cores = n
@@ -30,7 +31,7 @@
 	}
 }
 
-// hold lets a core stand still until the test ends or the answer is called.
+// stallCore stalls a core until the test ends or resume is called.
 func (r *testRig) stallCore(core int) (resume func()) {
 	release, stalled := make(chan struct{}), make(chan struct{})
 	r.m.Loops[core].Post(func() { close(stalled); <-release })
@@ -41,24 +42,24 @@
 	return resume
 }
 
-// Connections are spread over cores; while one core stands still the others go on, and what had waited there goes to
-// one of them, all but what a mark binds to it: that is turned away in its time, and what it took is answered.
+// Connections are spread over cores. While one core is stalled, the others go on and accept the invocations that were queued there, except
+// those that an idempotency key binds to the stalled core: these are rejected in time. What the stalled core had accepted is answered.
 func TestCoreStalls(t *testing.T) {
 	r := startRig(t, 2, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, complete := r.readRequest(b)
+			req, _, complete := r.readRequest(b)
 			if !complete {
 				return
 			}
-			if q.URL.Path == "/once" {
+			if req.URL.Path == "/once" {
 				<-r.release
 			}
-			respond(c, q.URL.Path)
+			respond(c, req.URL.Path)
 		}
 	}, onCores(3), testHooks{})
 	accepted := r.client()
 	accepted.send(get, "once")
-	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	home := -1
 	for i, w := range r.m.pools[0].workers {
 		if w.loop.Ask(func() {
@@ -82,14 +83,14 @@
 		c.expect("200 succeeded /look")
 	}
 	if took := time.Since(start); took > 400*time.Millisecond {
-		t.Errorf("with one core of three standing still, six answers took %v", took)
+		t.Errorf("with one of three cores stalled, six answers took %v", took)
 	}
 	if r.m.Front.Moved() == 0 {
-		t.Error("nothing was moved from the core that stands still")
+		t.Error("no invocation was moved from the stalled core")
 	}
 	for core := range 3 {
 		if n := r.m.Front.Homes(core); n < 2 {
-			t.Errorf("core %d has %d of 7 connections", core, n)
+			t.Errorf("core %d has %d of 7 connections, want at least 2", core, n)
 		}
 	}
 	key := 0
@@ -99,14 +100,14 @@
 	c := r.client()
 	c.send("POST /book HTTP/1.1\nHost: x\nIdempotency-Key: %d\nContent-Length: 0\nX-Time-Ms: 200\n\n", key)
 	c.expect("503 not-taken")
-	close(r.release) // the node answers what the core that stands still has taken: the client gets it
+	close(r.release) // the node answers what the stalled core has accepted, and the client gets the answer
 	accepted.expect("200 succeeded /once")
 	if stalledMs := r.m.Loops[home].Standing(); stalledMs < 100 {
-		t.Errorf("the core that stands still says it has for %v ms", stalledMs)
+		t.Errorf("the stalled core reports a stall of only %v ms", stalledMs)
 	}
 }
 
-// What a core that stands still had taken and that fails meanwhile is terminated in the client's time, once.
+// An invocation that a stalled core had accepted fails meanwhile. It is terminated within the client's time limit, once.
 func TestCoreStallsDuringFailure(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		r.readRequest(b)
@@ -114,7 +115,7 @@
 	}, onCores(2), testHooks{})
 	c := r.client()
 	c.send(get, "once")
-	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	resume := []func(){r.stallCore(0), r.stallCore(1)}
 	close(r.release)
 	c.expect("502 terminated")
@@ -122,32 +123,31 @@
 		f()
 	}
 	c.expectSilence()
-	r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Terminated == 1 })
+	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Terminated == 1 })
 }
 
-// A core whose module panics terminates what it had and begins anew; the others notice nothing. Time and again, the
-// marshal ends.
+// A core whose module panics terminates its invocations and restarts; other cores are not affected. After repeated panics the marshal ends.
 func TestCorePanics(t *testing.T) {
 	var modules atomic.Int32
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, complete := r.readRequest(b)
+			req, _, complete := r.readRequest(b)
 			if !complete {
 				return
 			}
-			if strings.HasPrefix(q.URL.Path, "/once") {
+			if strings.HasPrefix(req.URL.Path, "/once") {
 				<-r.release
 			}
-			respond(c, q.URL.Path)
+			respond(c, req.URL.Path)
 		}
 	}, onCores(2), testHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
 		modules.Add(1)
 		return panickingModule{balance.New(h, s, seed)}
 	}}, Log: slog.New(slog.NewTextHandler(io.Discard, nil))})
-	a, b := r.client(), r.client() // one at each core
+	a, b := r.client(), r.client() // one per core
 	a.send(get, "once/1")
 	b.send(get, "once/2")
-	r.waitFor("the node has both", func() bool { return r.received() == 2 })
+	r.waitFor("the node has both requests", func() bool { return r.received() == 2 })
 	key := 0
 	for divide.Home(fmt.Sprint(key), 2) != 0 {
 		key++
@@ -167,7 +167,7 @@
 		c.expect("200 succeeded")
 	}
 	if n := modules.Load(); n != 3 {
-		t.Errorf("%d modules were made", n)
+		t.Errorf("%d modules were created, want 3", n)
 	}
 	for range 3 {
 		triggerPanic()
@@ -175,18 +175,18 @@
 	select {
 	case <-r.m.Ended():
 	case <-time.After(2 * time.Second):
-		t.Error("it goes on panicking")
+		t.Error("the marshal did not end after repeated panics")
 	}
 	if err := r.m.End(); err == nil {
-		t.Error("it ended without an error")
+		t.Error("the marshal ended without an error")
 	}
 }
 
-// A key that only goes forward and a repeat of a mark go to one core, whatever connection they come on; and once a
-// build has answered a key, no core sends it to an earlier one.
+// Invocations of a forward-only key and repeats of an idempotency key go to one core, whatever connection they arrive on. Once a build has
+// answered a key, no core sends the key to an earlier build.
 func TestKeysOnCores(t *testing.T) {
 	var mu sync.Mutex
-	instancesOf := map[string]map[string]bool{} // by key, the instances that were told of it
+	instancesOf := map[string]map[string]bool{} // instances that received a key
 	r := startRig(t, 4, echoPath, onCores(4, func(s *settings.Settings) {
 		s.Rollout.ForwardOnly, s.Rollout.Allowance = true, 1000
 		s.Rollout.Stage = []*settings.Stage{{Part: 0.5, Cap: 0.5}, {Part: 1, Cap: 1}}
@@ -222,17 +222,18 @@
 	cores := map[string]bool{}
 	for key, instances := range instancesOf {
 		if len(instances) != 1 {
-			t.Errorf("key %s was at cores %v", key, instances)
+			t.Errorf("key %s was at cores %v, want one", key, instances)
 		}
 		for i := range instances {
 			cores[i] = true
 		}
 	}
 	if len(instancesOf) != 12 || len(cores) < 3 {
-		t.Errorf("%d keys at %d cores", len(instancesOf), len(cores))
+		t.Errorf("%d keys at %d cores, want 12 keys at 3 cores or more", len(instancesOf), len(cores))
 	}
 }
 
+// observedModule reports the key of each invocation that arrives.
 type observedModule struct {
 	*balance.Balancer
 	onArrival func(key string)
@@ -243,7 +244,7 @@
 	o.Balancer.Arrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
-// Eight cores at a small cap expose no more than the marshal may, together; and when the cap falls to nothing, nothing.
+// Eight cores with a small cap together stay within the exposure limit of the marshal. When the cap falls to 0, nothing is exposed.
 func TestCapAcrossCores(t *testing.T) {
 	const window = 500 * time.Millisecond
 	schedulingDelay := schedlag.Watch()
@@ -251,7 +252,7 @@
 	var sentAt, exposedAt []time.Time
 	r := startRig(t, 4, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, complete := r.readRequest(b)
+			req, _, complete := r.readRequest(b)
 			if !complete {
 				return
 			}
@@ -260,14 +261,14 @@
 				exposedAt = append(exposedAt, time.Now())
 				mu.Unlock()
 			}
-			respond(c, q.URL.Path)
+			respond(c, req.URL.Path)
 		}
 	}, onCores(8, func(s *settings.Settings) {
 		s.Rollout.Allowance, s.Rollout.CountedOverMs = 2, float64(window.Milliseconds())
 		s.Rollout.Stage = []*settings.Stage{{Part: 0.25, Cap: 0.1}, {Part: 1, Cap: 1}}
 	}), testHooks{})
 	r.registry.Set(control.Line{Node: balance.Node{ID: 4, Ver: 2, Size: 1}, Address: r.nodeListeners[3].Addr().String()}, 0)
-	r.waitFor("it is known", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[4].Ver == 2 })
+	r.waitFor("the marshal knows the build of node 4", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[4].Ver == 2 })
 	p := r.m.pools[0]
 	p.stageUpdate(2, 0, balance.OnTrial, 0.1, 0, false)
 	load := func(clients, each int) {
@@ -292,11 +293,11 @@
 		load(16, 40)
 	}
 	if len(exposedAt) < 20 {
-		t.Errorf("only %d of %d were exposed", len(exposedAt), len(sentAt))
+		t.Errorf("only %d of %d invocations were exposed", len(exposedAt), len(sentAt))
 	}
 	delay := schedulingDelay()
-	// A node stamps what reaches it later than the marshal counted it, by the way there and by as long as the process was held up: a
-	// window of 500 ms at the marshal is at least that much shorter here, and what was taken in it began that much earlier.
+	// A node records a request later than the marshal counted it, by the transit time and the scheduling delay of the process. A window
+	// of 500 ms at the marshal is shorter here by at least that much, and what was accepted in it began that much earlier.
 	const transit = 20 * time.Millisecond
 	for _, at := range exposedAt {
 		countBefore := func(all []time.Time, window time.Duration) (n float64) {
@@ -308,44 +309,44 @@
 			return n
 		}
 		if used, limit := countBefore(exposedAt, window-transit-delay), 2+0.1*countBefore(sentAt, window-transit+delay)+1; used > limit {
-			t.Fatalf("%v exposed where %v may be; held up for %v; without that %v where %v", used, limit, delay, countBefore(exposedAt, window-transit),
+			t.Fatalf("%v exposed, limit %v; with the scheduling delay of %v left out: %v, limit %v", used, limit, delay, countBefore(exposedAt, window-transit),
 				2+0.1*countBefore(sentAt, window-transit)+1)
 		}
 	}
 	p.stageUpdate(2, 0, balance.GoingBack, 0, 0, false)
 	if addr := r.nodeListeners[3].Addr().String(); !r.m.upstream.Late(addr) {
-		t.Error("what was decided on before the cap fell is still written")
+		t.Error("a dispatch decided on before the cap fell is still written")
 	} else {
 		p.stageUpdate(2, 0, balance.OnTrial, 0.1, 0, false)
 		if r.m.upstream.Late(addr) {
-			t.Error("a node whose build may be exposed again is still shut")
+			t.Error("a node whose build may be exposed again is still blocked")
 		}
 		p.stageUpdate(2, 0, balance.GoingBack, 0, 0, false)
 	}
 	before := len(exposedAt)
 	load(16, 20)
 	if len(exposedAt) > before {
-		t.Errorf("%d exposed after the cap fell to nothing", len(exposedAt)-before)
+		t.Errorf("%d exposed after the cap fell to 0", len(exposedAt)-before)
 	}
 	if account := p.account.Look(); account.Ver != 2 || account.Cap != 0 || account.Refused == 0 {
-		t.Errorf("the account says %+v", account)
+		t.Errorf("the account is %+v", account)
 	}
 }
 
-// Word that a node drains holds for a core that has not read it: the grace counts from when the marshal had it.
+// A report that a node is draining also holds for a core that has not processed it: the grace period counts from when the marshal got it.
 func TestDrainAcrossCores(t *testing.T) {
 	r := startRig(t, 1, echoPath, onCores(2), testHooks{})
 	addr := r.nodeListeners[0].Addr().String()
 	r.setNode(1, addr, balance.Draining)
-	r.waitFor("the word is here", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[1].Health == balance.Draining })
+	r.waitFor("the node is known to be draining", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[1].Health == balance.Draining })
 	if r.m.upstream.Late(addr) {
-		t.Error("the grace is over at once")
+		t.Error("the grace period ended at once")
 	}
 	time.Sleep(220 * time.Millisecond)
 	if !r.m.upstream.Late(addr) {
-		t.Error("the grace does not end")
+		t.Error("the grace period did not end")
 	}
-	// A dispatch decided on before is never written, and never ran.
+	// A dispatch decided on before the report is never written, so it never ran.
 	for _, w := range r.m.pools[0].workers {
 		w.loop.Ask(func() { w.core.Listed(false, []balance.Node{{ID: 1, Ver: 1, Size: 1}}, []string{addr}) })
 	}
@@ -353,49 +354,49 @@
 	c.send(get, "once")
 	c.expect("503 throttled")
 	if r.received() != 0 {
-		t.Errorf("%d requests reached a node that drains", r.received())
+		t.Errorf("%d requests reached a draining node", r.received())
 	}
 	r.setNode(1, addr, balance.Serving)
-	r.waitFor("it serves again", func() bool { return !r.m.upstream.Late(addr) })
+	r.waitFor("the node serves again", func() bool { return !r.m.upstream.Late(addr) })
 	c.send(get, "once")
 	c.expect("200 succeeded")
 }
 
-// The metrics tell of each core, also of one that stands still.
+// The metrics cover every core, including a stalled one.
 func TestMetrics(t *testing.T) {
 	r := startRig(t, 1, echoPath, onCores(2, func(s *settings.Settings) { s.Listen.Metrics = "127.0.0.1:0" }), testHooks{})
 	r.stallCore(1)
 	time.Sleep(30 * time.Millisecond)
-	q, err := http.Get("http://" + r.m.MetricsAddress() + "/metrics")
+	resp, err := http.Get("http://" + r.m.MetricsAddress() + "/metrics")
 	if err != nil {
 		t.Fatal(err)
 	}
-	text, _ := io.ReadAll(q.Body)
-	q.Body.Close()
+	text, _ := io.ReadAll(resp.Body)
+	resp.Body.Close()
 	for _, want := range []string{`arrowcleat_core_standing_seconds{core="0"} 0`, `arrowcleat_core_standing_seconds{core="1"} 0.0`,
 		`arrowcleat_core_waiting{core="1"} 0`, `arrowcleat_chair{pool="0"} 0`, `arrowcleat_core_connections{core="0"} 0`,
 		`arrowcleat_core_refused_total{core="0"} 0`, "go_goroutines"} {
 		if !strings.Contains(string(text), want) {
-			t.Errorf("the metrics do not have %s", want)
+			t.Errorf("the metrics do not contain %s", want)
 		}
 	}
 	if strings.Contains(string(text), "arrowcleat_core_standing_seconds{core=\"1\"} 0\n") {
-		t.Error("the core that stands still does not say so")
+		t.Error("the stalled core is not reported as stalled")
 	}
 }
 
-// Cores can't be added while a marshal runs: that says so and changes nothing.
+// Cores can't be added while a marshal runs: Reload returns an error that says so and changes nothing.
 func TestCoresNeedARestart(t *testing.T) {
 	r := startRig(t, 1, echoPath, onCores(2), testHooks{})
 	set := r.m.Settings.Copy()
 	set.Instance.Cores = 4
 	if _, err := r.m.Reload(set, nil); err == nil || !strings.Contains(err.Error(), "restart") || !strings.Contains(err.Error(), "cores") {
-		t.Errorf("%v", err)
+		t.Errorf("reload: %v", err)
 	}
 }
 
-// While cores stand still one after the other and what waits is moved to and fro, no side-effecting invocation reaches
-// nodes twice, each client gets one answer, and what was told not-taken never ran.
+// Cores stall one after the other, and queued invocations are moved between them. No side-effecting invocation may reach nodes twice, each
+// client gets one answer, and what was answered not-taken never ran.
 func TestMovedInvocationsRunOnce(t *testing.T) {
 	r := startRig(t, 3, echoPath, onCores(3, func(s *settings.Settings) { s.Limits.Queue = 4 }), testHooks{})
 	var wg sync.WaitGroup
@@ -446,38 +447,38 @@
 			t.Errorf("%s reached nodes %d times", path, reached[path])
 		}
 		if strings.Contains(got, "not-taken") && reached[path] > 0 {
-			t.Errorf("%s was not taken, and ran", path)
+			t.Errorf("%s was answered not-taken but ran", path)
 		}
 		if strings.HasPrefix(got, "200") {
 			succeeded++
 		}
 	}
 	if r.m.Front.Moved() < 5 || succeeded < 100 {
-		t.Errorf("%d moved, %d of 300 succeeded", r.m.Front.Moved(), succeeded)
+		t.Errorf("%d moved, %d of 300 succeeded; want at least 5 and 100", r.m.Front.Moved(), succeeded)
 	}
 }
 
-// A client that does not read its long answer holds its own connection and nothing of its core.
+// A client that does not read its long response blocks its own connection, but not its core.
 func TestSlowReaderOnCores(t *testing.T) {
 	large := strings.Repeat("x", 8<<20)
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, complete := r.readRequest(b)
+			req, _, complete := r.readRequest(b)
 			if !complete {
 				return
 			}
-			if strings.HasSuffix(q.URL.Path, "large") {
+			if strings.HasSuffix(req.URL.Path, "large") {
 				respond(c, large)
 			} else {
-				respond(c, q.URL.Path)
+				respond(c, req.URL.Path)
 			}
 		}
 	}, onCores(2), testHooks{})
-	for n := 1; n <= 8; n++ { // four at each core
-		for ok := false; !ok; { // a request of 0.6 s is turned away by a process that is held up for as long
+	for n := 1; n <= 8; n++ { // four per core
+		for ok := false; !ok; { // a request with a limit of 0.6 s is rejected if the process is not scheduled for as long
 			c := r.client()
 			c.send(get, "look/large")
-			r.waitFor("it is being answered, or turned away", func() bool { ok = r.received() == n; return ok || back.Unread(c.Conn) })
+			r.waitFor("the request is being answered or was rejected", func() bool { ok = r.received() == n; return ok || back.Unread(c.Conn) })
 			if ok = ok || r.received() == n; !ok {
 				c.Close()
 			}
@@ -490,7 +491,7 @@
 		c.expect("200 succeeded /look")
 		took := time.Since(start)
 		if delay := schedulingDelay(); took > 150*time.Millisecond+delay {
-			t.Errorf("beside clients that do not read an answer took %v, held up for %v", took, delay)
+			t.Errorf("beside clients that do not read, an answer took %v; scheduling delay %v", took, delay)
 		}
 	}
 }
