--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -18,7 +18,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// full is an address whose accept queue is full, so that connections to it hang, and a way to empty it for good.
+// fullAcceptQueue returns an address whose accept queue is full, so that connections to it hang. drain empties the queue for good and returns
+// what was sent.
 func fullAcceptQueue(t *testing.T) (address string, drain func() (got string)) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -34,13 +35,13 @@
 		t.Fatal(err)
 	}
 	address = fmt.Sprintf("127.0.0.1:%d", sa.(*syscall.SockaddrInet4).Port)
-	for range 3 { // fills it
+	for range 3 { // fills the queue
 		if c, err := net.DialTimeout("tcp", address, 50*time.Millisecond); err == nil {
 			t.Cleanup(func() { c.Close() })
 		}
 	}
-	return address, func() (got string) { // for as long as the kernel tries again to connect
-		syscall.Listen(fd, 64) // all that wait may come up at once
+	return address, func() (got string) { // for as long as the kernel retries connecting
+		syscall.Listen(fd, 64) // room for all waiting connections at once
 		syscall.SetNonblock(fd, true)
 		var accepted []int
 		for end := time.Now().Add(1200 * time.Millisecond); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
@@ -59,8 +60,8 @@
 	}
 }
 
-// A client that leaves while the connection to its node hangs: the attempt is given up, and nothing is written once the
-// connection comes up.
+// A client disconnects while the connection to its node hangs. The attempt is abandoned, and nothing is written once the connection is
+// established.
 func TestClientLeavesBeforeDispatchIsWritten(t *testing.T) {
 	address, drain := fullAcceptQueue(t)
 	r := startRig(t, 0, echoPath, func(s *settings.Settings) {
@@ -68,21 +69,21 @@
 		s.Operation[0].LimitMs = 10000
 	}, testHooks{})
 	r.setNode(9, address, balance.Serving)
-	r.waitFor("it is known", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
+	r.waitFor("the marshal knows the node", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
 	c := r.client()
 	c.send("GET /look HTTP/1.1\nHost: x\n\n")
-	r.waitFor("it is on its way", func() bool { s, _ := r.m.Snapshot(); return s.Dispatches == 1 })
+	r.waitFor("the invocation is dispatched", func() bool { s, _ := r.m.Snapshot(); return s.Dispatches == 1 })
 	c.Close()
-	r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Lapsed == 1 && s.Open == 0 })
+	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Lapsed == 1 && s.Open == 0 })
 	if got := drain(); got != "" {
-		t.Errorf("the node got %q", got)
+		t.Errorf("the node received %q", got)
 	}
 	if s, _ := r.m.Snapshot(); s.Dispatches != 1 || s.Endings[balance.Ignored]+s.Endings[balance.NoConnect] != 1 {
-		t.Errorf("%d dispatches ended as %v", s.Dispatches, s.Endings)
+		t.Errorf("%d dispatches, outcomes %v", s.Dispatches, s.Endings)
 	}
 }
 
-// A client that leaves while a node works for it: what is out is given up by closing it.
+// A client disconnects while a node works on its request. The dispatch is abandoned by closing the connection to the node.
 func TestClientLeavesWhileANodeWorks(t *testing.T) {
 	closed := make(chan error, 1)
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
@@ -93,20 +94,21 @@
 	}, func(s *settings.Settings) { s.Operation[0].LimitMs = 10000 }, testHooks{})
 	c := r.client()
 	c.send("GET /look HTTP/1.1\nHost: x\n\n")
-	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	c.Close()
 	select {
 	case err := <-closed:
 		if err == nil {
-			t.Error("the node got more")
+			t.Error("the node received more data")
 		}
 	case <-time.After(2 * time.Second):
-		t.Error("the node's connection stays open")
+		t.Error("the connection to the node stays open")
 	}
-	r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Endings[balance.Canceled] == 1 })
+	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Endings[balance.Canceled] == 1 })
 }
 
-// last asks on a connection and says what became of it: "200", "closed" where the connection ended without a byte, or else.
+// finalResponse reads the last response of a connection. It returns "200", "200 kept" if the connection stays open, "closed" if the
+// connection ended without a byte, or what went wrong.
 func finalResponse(c net.Conn, b *bufio.Reader) string {
 	c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	resp, err := http.ReadResponse(b, nil)
@@ -125,21 +127,21 @@
 	return fmt.Sprint(resp.StatusCode)
 }
 
-// What is on its way when a marshal stops is answered whole: in the accept queue, accepted and not read, half read, with a node.
-// A request that crosses the close of a connection gets no byte, is not read, so that its client can tell, and reaches no node.
+// Requests that are under way when a marshal stops are answered completely: in the accept queue, accepted and unread, half read, or at a
+// node. A request that arrives while its connection is closed gets no byte, is not read, so that its client can tell, and reaches no node.
 func TestStopUnderRequests(t *testing.T) {
 	const request = "GET /look%s HTTP/1.1\r\nHost: x\r\n\r\n"
 	for round := range 12 {
 		r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 			for {
-				q, _, complete := r.readRequest(b)
+				req, _, complete := r.readRequest(b)
 				if !complete {
 					return
 				}
-				if q.URL.Path == "/look-slow" {
+				if req.URL.Path == "/look-slow" {
 					<-r.release
 				}
-				respond(c, q.URL.Path)
+				respond(c, req.URL.Path)
 			}
 		}, nil, testHooks{})
 		dial := func(text string) (net.Conn, *bufio.Reader) {
@@ -152,13 +154,13 @@
 			return c, bufio.NewReader(c)
 		}
 		slow, slowIn := dial(fmt.Sprintf(request, "-slow"))
-		r.waitFor("the node has it", func() bool { return r.received() == 1 })
+		r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 		half, halfIn := dial("GET /look-half HTTP/1.1\r\nHo")
 		idle, idleIn := dial(fmt.Sprintf(request, "-idle"))
-		if q, err := http.ReadResponse(idleIn, nil); err != nil {
+		if resp, err := http.ReadResponse(idleIn, nil); err != nil {
 			t.Fatal(err)
 		} else {
-			io.ReadAll(q.Body)
+			io.ReadAll(resp.Body)
 		}
 		silent, silentIn := dial("")
 		stopped := make(chan error, 1)
@@ -176,7 +178,7 @@
 				t.Errorf("round %d, %s: %s", round, where, got)
 			})
 		}
-		check("in the accept queue", fresh, freshIn, "200", "200 kept") // it may be answered before the stop begins
+		check("in the accept queue", fresh, freshIn, "200", "200 kept") // may be answered before the stop begins
 		time.Sleep(time.Duration(round) * time.Millisecond)
 		wg.Go(func() {
 			if outcome := requestDuringClose(idle, idleIn, "/look-crossing"); outcome != "answered" && outcome != "unread" {
@@ -201,33 +203,33 @@
 			}
 		}
 		if arrivals > 1 {
-			t.Errorf("round %d: what crossed the close reached nodes %d times", round, arrivals)
+			t.Errorf("round %d: the request sent during the close reached nodes %d times", round, arrivals)
 		}
 		r.close()
 	}
 }
 
-// A core stands still and doesn't come back while the marshal is told to stop. Stop asked that core what it owes and waited for its
-// word, End for its end: neither came, the listener and every connection stayed open, a second signal changed nothing, and KILL found
-// what was open unanswered. What clients are owed never needs the loop.
+// A core stalls for good and the marshal is stopped. Stop waited for the core to report its open invocations, and End for its loop to end.
+// Neither happened: the listener and all connections stayed open, a second signal changed nothing, and open requests were unanswered when
+// KILL came. Answering clients must not depend on the loop.
 func TestStopWhileLoopIsStalled(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, complete := r.readRequest(b)
+			req, _, complete := r.readRequest(b)
 			if !complete {
 				return
 			}
-			if q.URL.Path == "/once" {
+			if req.URL.Path == "/once" {
 				<-r.release
 			}
-			respond(c, q.URL.Path)
+			respond(c, req.URL.Path)
 		}
 	}, nil, testHooks{})
 	kept, accepted, queued := r.client(), r.client(), r.client()
 	kept.send(get, "look")
 	kept.expect("200 succeeded /look")
 	accepted.send(get, "once")
-	r.waitFor("the node has it", func() bool { return r.received() == 2 })
+	r.waitFor("the node has the request", func() bool { return r.received() == 2 })
 	r.stallCore(0)
 	queued.send(get, "look")
 	start := time.Now()
@@ -236,21 +238,21 @@
 	accepted.expect("504 terminated")
 	queued.expect("503 not-taken")
 	if got := kept.read(); got != "no answer: unexpected EOF" && got != "no answer: EOF" {
-		t.Errorf("the kept connection: %s", got)
+		t.Errorf("the kept connection got %s", got)
 	}
 	select {
 	case err := <-stopped:
 		if err == nil {
-			t.Error("nothing says that a core did not end")
+			t.Error("Stop returned no error although a core did not end")
 		}
 	case <-time.After(time.Duration(r.settings.Times.StopMs)*time.Millisecond - time.Since(start)):
-		t.Error("it does not stop in its time")
+		t.Error("the marshal did not stop within its stop time")
 	}
 }
 
-// A keyed request may have run at a node that reset it, and is sent again within the memory window, which is shorter than the
-// client's time. The connection for it hangs, comes up after the window, and carried the request to a node that had forgotten the
-// key: an effect twice. Nothing is written once the window is over, and the client hears at once.
+// A request with an idempotency key may have run at a node that reset the connection. It is sent again within the memory window, which is
+// shorter than the client's time limit. The new connection hangs until after the window, and carried the request to a node that had forgotten
+// the key: a double effect. Nothing may be written once the window is over, and the client must be answered at once.
 func TestRepeatStaysWithinMemoryWindow(t *testing.T) {
 	const window = 500.0
 	hangingAddress, drain := fullAcceptQueue(t)
@@ -265,7 +267,7 @@
 	c := r.client()
 	start := time.Now()
 	c.send("POST /book HTTP/1.1\nHost: x\nIdempotency-Key: a\nContent-Length: 2\n\nab")
-	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	r.setNode(9, hangingAddress, balance.Serving)
 	r.setNode(1, r.nodeListeners[0].Addr().String(), balance.Draining)
 	r.waitFor("only the other node serves", func() bool {
@@ -275,19 +277,19 @@
 	close(r.release)
 	c.expect("50")
 	if took := time.Since(start); took > (window+200)*time.Millisecond {
-		t.Errorf("the client heard after %v that it can't be sent again", took)
+		t.Errorf("the client was answered after %v, not when the window ended", took)
 	}
 	if got := drain(); got != "" {
-		t.Errorf("after the window the node got %q", got)
+		t.Errorf("after the window the node received %q", got)
 	}
 	if s, _ := r.m.Snapshot(); s.Dispatches != 2 || s.Open != 0 {
 		t.Errorf("%d dispatches, %d open", s.Dispatches, s.Open)
 	}
 }
 
-// A build's cap falls while what was decided on under the higher cap waits for connections. They come up a second later, and all of
-// it reached the build's nodes long after the lower cap binds (150 ms after it is told): 8 requests where 1 + 0.05 x 8 and 2 more
-// may be. What was decided on before a lower cap is not written after it.
+// The cap of a build falls while dispatches decided on under the higher cap wait for connections. The connections were established a second
+// later, and all requests reached the build long after the lower cap takes effect (150 ms after it is received): 8 requests where the limit is
+// 1 + 0.05 x 8 and 2 more. A dispatch decided on before the cap falls must not be written afterwards.
 func TestCapFallsBetweenDecisionAndWrite(t *testing.T) {
 	const requests, lowerCap, tolerance = 8, 0.05, 2
 	hangingAddress, drain := fullAcceptQueue(t)
@@ -297,35 +299,35 @@
 		s.Rollout.CountedOverMs = 5000
 	}, testHooks{})
 	r.registry.Set(control.Line{Node: balance.Node{ID: 9, Ver: 2, Size: 1}, Address: hangingAddress}, 0)
-	r.waitFor("it is known", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
+	r.waitFor("the marshal knows the node", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
 	p := r.m.pools[0]
 	p.stageUpdate(2, 0, balance.OnTrial, 1, 0, false)
 	for range requests {
 		r.client().send(get, "look")
 	}
-	r.waitFor("all are on their way", func() bool { s, _ := r.m.Snapshot(); return s.Dispatches == requests })
+	r.waitFor("all invocations are dispatched", func() bool { s, _ := r.m.Snapshot(); return s.Dispatches == requests })
 	p.stageUpdate(2, 0, balance.OnTrial, lowerCap, 0, false)
 	limit := int(r.settings.Rollout.Allowance + lowerCap*requests + tolerance)
 	if n := strings.Count(drain(), "GET /look"); n > limit {
-		t.Errorf("%d requests reached the build after its cap had fallen; %d may", n, limit)
+		t.Errorf("%d requests reached the build after its cap had fallen; the limit is %d", n, limit)
 	}
 }
 
-// A client that ends its sending and still reads is taken for gone, since it can't be told from one that closes: nothing more begins for
-// it. Its request was read all the same and then closed without a word; it is told now that it was given up.
+// A client closes its sending side and still reads. It counts as disconnected, since it can't be told from a client that closes, and no
+// dispatch begins for it any more. Its request had been read but its connection was closed without an answer; it must be answered as terminated.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		if _, _, complete := r.readRequest(b); complete {
-			b.ReadByte() // until it is given up
+			b.ReadByte() // until the dispatch is abandoned
 		}
 	}, nil, testHooks{})
 	c := r.client()
 	c.send("POST /once HTTP/1.1\nHost: x\nContent-Length: 2\n\nab")
-	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	c.Conn.(*net.TCPConn).CloseWrite()
 	c.expect("502 terminated")
-	r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Lapsed == 1 })
+	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Lapsed == 1 })
 	if n := r.m.Front.Counts.Left.Load(); n != 1 {
-		t.Errorf("%d requests counted as left", n)
+		t.Errorf("%d requests counted as left, want 1", n)
 	}
 }
