--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -23,31 +23,31 @@
 
 const get = "GET /%s HTTP/1.1\nHost: x\n\n"
 
-// What a node does to its first request of a path, and what the client then gets, for each kind of operation: the
-// numbers are the requests that reached nodes.
+// Nodes fail on their first request of a path in different ways. For each kind of operation, the table holds what the client gets and how
+// many requests reach nodes.
 func TestNodeFailures(t *testing.T) {
-	writeThenClose := func(output string) nodeScript { // it dies after a part of an answer
+	writeThenClose := func(output string) nodeScript { // a node that closes after a part of a response
 		return func(r *testRig, c net.Conn, b *bufio.Reader) {
 			for {
-				q, _, complete := r.readRequest(b)
+				req, _, complete := r.readRequest(b)
 				if !complete {
 					return
 				}
-				if r.isFirst(q.URL.Path) {
+				if r.isFirst(req.URL.Path) {
 					io.WriteString(c, output)
 					return
 				}
-				respond(c, q.URL.Path)
+				respond(c, req.URL.Path)
 			}
 		}
 	}
 	large := "HTTP/1.1 200 OK\r\nContent-Length: 5000\r\n\r\n" + strings.Repeat("x", 3000)
 	rejected := "HTTP/1.1 503 No\r\nX-Not-Started: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, c := range []struct {
-		name              string
-		node              nodeScript
-		look, book, once  string
-		looks, books, one int
+		name                                     string
+		node                                     nodeScript
+		look, book, once                         string
+		lookRequests, bookRequests, onceRequests int
 	}{
 		{"dies after the request", writeThenClose(""), "200 succeeded", "200 succeeded", "502 terminated", 2, 2, 1},
 		{"dies after the head", writeThenClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n"), "200 succeeded", "200 succeeded",
@@ -59,11 +59,11 @@
 		{"dies in an answer that has begun", writeThenClose(large), "broken off", "broken off", "broken off", 1, 1, 1},
 		{"speaks no HTTP", writeThenClose("220 mail ready\r\n"), "200 succeeded", "200 succeeded", "502 terminated", 2, 2, 1},
 		{"fails", writeThenClose("HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n"), "200 succeeded", "200 succeeded", "502 terminated", 2, 2, 1},
-		{"turns away", writeThenClose(rejected), "200 succeeded", "200 succeeded", "200 succeeded", 2, 2, 2},
-		{"is overloaded but does not say it never began", writeThenClose("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), "200 succeeded",
+		{"rejects", writeThenClose(rejected), "200 succeeded", "200 succeeded", "200 succeeded", 2, 2, 2},
+		{"answers 503 without saying that it never began", writeThenClose("HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n"), "200 succeeded",
 			"200 succeeded", "502 terminated", 2, 2, 1},
 		{"never answers", func(r *testRig, c net.Conn, b *bufio.Reader) {
-			if q, _, complete := r.readRequest(b); complete && !r.isFirst(q.URL.Path) {
+			if req, _, complete := r.readRequest(b); complete && !r.isFirst(req.URL.Path) {
 				respond(c, "late")
 				return
 			}
@@ -74,28 +74,29 @@
 			r := startRig(t, 3, c.node, nil, testHooks{})
 			for _, o := range []struct {
 				path, want string
-				times      int
-			}{{"look", c.look, c.looks}, {"book", c.book, c.books}, {"once", c.once, c.one}} {
+				requests   int
+			}{{"look", c.look, c.lookRequests}, {"book", c.book, c.bookRequests}, {"once", c.once, c.onceRequests}} {
 				before := r.received()
 				cl := r.client()
 				cl.send("POST /%s HTTP/1.1\nHost: x\nIdempotency-Key: 1\nContent-Length: 2\n\nhi", o.path)
 				cl.expect(o.want)
 				cl.expectSilence()
-				if n := r.received() - before; n != o.times {
-					t.Errorf("%s reached nodes %d times, not %d", o.path, n, o.times)
+				if n := r.received() - before; n != o.requests {
+					t.Errorf("%s reached nodes %d times, want %d", o.path, n, o.requests)
 				}
 			}
 		})
 	}
 }
 
-// A kept connection that the node closes as a request goes out proves nothing; one found closed before is replaced.
+// A kept connection that the node closes while a request is written does not prove that the request never ran. A connection that is already
+// closed is replaced.
 func TestKeptConnectionCloses(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
-		if q, _, complete := r.readRequest(b); complete {
-			respond(c, q.URL.Path)
+		if req, _, complete := r.readRequest(b); complete {
+			respond(c, req.URL.Path)
 		}
-		if _, err := b.Peek(1); err == nil && r.received() < 2 { // it takes the second request and breaks
+		if _, err := b.Peek(1); err == nil && r.received() < 2 { // reads the second request and resets the connection
 			r.readRequest(b)
 			c.(*net.TCPConn).SetLinger(0)
 		}
@@ -112,22 +113,22 @@
 	c.send(get, "once3")
 	c.expect("200 succeeded")
 	if r.received() != 3 || conns != 1 {
-		t.Errorf("%d requests over %d first connections", r.received(), conns)
+		t.Errorf("%d requests at the node, %d connections before the first was closed; want 3 and 1", r.received(), conns)
 	}
 }
 
-// An answer after the time limit, or after a cancel, never reaches the next invocation.
+// A response after the time limit or after a cancel never reaches the next invocation.
 func TestLateAnswer(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, complete := r.readRequest(b)
+			req, _, complete := r.readRequest(b)
 			if !complete {
 				return
 			}
-			if strings.HasPrefix(q.URL.Path, "/once-late") {
+			if strings.HasPrefix(req.URL.Path, "/once-late") {
 				time.Sleep(250 * time.Millisecond)
 			}
-			respond(c, q.URL.Path)
+			respond(c, req.URL.Path)
 		}
 	}, nil, testHooks{})
 	c := r.client()
@@ -136,7 +137,7 @@
 		c.send("GET /once-late%d HTTP/1.1\nHost: x\nX-Time-Ms: 120\n\n", i)
 		c.expect("504 terminated")
 		if took := time.Since(start); took > 160*time.Millisecond {
-			t.Errorf("the answer came after %v, past the client's 120 ms", took)
+			t.Errorf("the answer came after %v, past the client's limit of 120 ms", took)
 		}
 		c.send(get, fmt.Sprint("look-next", i))
 		c.expect(fmt.Sprintf("200 succeeded /look-next%d", i))
@@ -144,27 +145,27 @@
 	c.expectSilence()
 }
 
-// The client goes while a dispatch is out, and at the moment its answer comes.
+// Clients disconnect while a dispatch is in flight, and at the moment its response arrives.
 func TestClientDisconnects(t *testing.T) {
 	r := startRig(t, 2, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, complete := r.readRequest(b)
+			req, _, complete := r.readRequest(b)
 			if !complete {
 				return
 			}
-			if strings.HasSuffix(q.URL.Path, "wait") {
+			if strings.HasSuffix(req.URL.Path, "wait") {
 				<-r.release
-			} else if strings.Contains(q.URL.Path, "race") {
+			} else if strings.Contains(req.URL.Path, "race") {
 				time.Sleep(2 * time.Millisecond)
 			}
-			respond(c, q.URL.Path)
+			respond(c, req.URL.Path)
 		}
 	}, nil, testHooks{})
 	c := r.client()
 	c.send(get, "once-wait")
-	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	c.Close()
-	r.waitFor("the module knows", func() bool { s, _ := r.m.Snapshot(); return s.Lapsed == 1 })
+	r.waitFor("the module knows that the client left", func() bool { s, _ := r.m.Snapshot(); return s.Lapsed == 1 })
 	close(r.release)
 	for i := range 60 {
 		c := r.client()
@@ -172,43 +173,44 @@
 		time.Sleep(time.Duration(1500+20*i) * time.Microsecond)
 		c.Close()
 	}
-	r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Taken >= 30 })
+	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Taken >= 30 })
 	s, _ := r.m.Snapshot()
 	if s.Taken != s.Succeeded+s.Throttled+s.Terminated+s.Lapsed {
-		t.Errorf("%d taken, but %d+%d+%d answered and %d lapsed", s.Taken, s.Succeeded, s.Throttled, s.Terminated, s.Lapsed)
+		t.Errorf("%d accepted, but %d+%d+%d answered and %d lapsed", s.Taken, s.Succeeded, s.Throttled, s.Terminated, s.Lapsed)
 	}
-	final := r.client() // after so many that left it may be throttled at first
-	r.waitFor("it serves on", func() bool {
+	final := r.client() // after so many disconnects it may be throttled at first
+	r.waitFor("the marshal serves requests", func() bool {
 		final.send(get, "look-last")
 		return final.read() == "200 succeeded /look-last"
 	})
 }
 
+// Requests and responses of all framings pass through the marshal, also twice on one connection.
 func TestFraming(t *testing.T) {
 	echo := func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, body, complete := r.readRequest(b)
+			req, body, complete := r.readRequest(b)
 			if !complete {
 				return
 			}
 			switch {
-			case q.Method == "HEAD":
+			case req.Method == "HEAD":
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 77\r\n\r\n")
-			case strings.HasSuffix(q.URL.Path, "204"):
+			case strings.HasSuffix(req.URL.Path, "204"):
 				io.WriteString(c, "HTTP/1.1 204 None\r\n\r\n")
-			case strings.HasSuffix(q.URL.Path, "hint"):
+			case strings.HasSuffix(req.URL.Path, "hint"):
 				io.WriteString(c, "HTTP/1.1 103 Early Hints\r\nLink: </s>\r\n\r\n")
 				respond(c, "after the hint")
-			case strings.HasSuffix(q.URL.Path, "trailer"):
+			case strings.HasSuffix(req.URL.Path, "trailer"):
 				io.WriteString(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nTrailer: X-Sum\r\n\r\n2\r\nhi\r\n0\r\nX-Sum: 2\r\n\r\n")
-			case strings.HasSuffix(q.URL.Path, "toend"):
+			case strings.HasSuffix(req.URL.Path, "toend"):
 				io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
 				return
-			case strings.HasSuffix(q.URL.Path, "long"):
+			case strings.HasSuffix(req.URL.Path, "long"):
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", 70000, strings.Repeat("l", 70000))
 			default:
-				via, hop := q.Header.Get("Via"), q.Header.Get("X-Hop")+q.Header.Get("Keep-Alive")+q.Header.Get("Expect")
-				respond(c, fmt.Sprintf("%s %d %s%s", q.Method, len(body), via, hop))
+				via, hop := req.Header.Get("Via"), req.Header.Get("X-Hop")+req.Header.Get("Keep-Alive")+req.Header.Get("Expect")
+				respond(c, fmt.Sprintf("%s %d %s%s", req.Method, len(body), via, hop))
 			}
 		}
 	}
@@ -228,14 +230,14 @@
 		{"long answer", "GET /look-long HTTP/1.1\nHost: x\n\n", "200 succeeded 70000 bytes"},
 		{"trailer", "GET /look-trailer HTTP/1.1\nHost: x\nTE: trailers\n\n", "200 succeeded hi"},
 		{"no operation", "GET /other HTTP/1.1\nHost: x\n\n", "404 not-taken"},
-		{"no mark", "GET /book HTTP/1.1\nHost: x\n\n", "400 not-taken"},
+		{"no idempotency key", "GET /book HTTP/1.1\nHost: x\n\n", "400 not-taken"},
 		{"no time", "GET /look HTTP/1.1\nHost: x\nX-Time-Ms: 5\n\n", "503 not-taken"},
 		{"odd time", "GET /look HTTP/1.1\nHost: x\nX-Time-Ms: soon\n\n", "400 not-taken"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			cl := r.client()
 			cl.t = t
-			for range 2 { // and again on the same connection
+			for range 2 { // the second time on the same connection
 				cl.send("%s", c.send)
 				cl.expect(c.want)
 			}
@@ -246,7 +248,7 @@
 		cl := r.client()
 		cl.send("POST /look HTTP/1.1\nHost: x\nContent-Length: 3\nExpect: 100-continue\n\n")
 		if line, _ := cl.b.ReadString('\n'); !strings.HasPrefix(line, "HTTP/1.1 100") {
-			t.Errorf("before the body: %q", line)
+			t.Errorf("before the body the client got %q", line)
 		}
 		cl.b.ReadString('\n')
 		cl.send("abc")
@@ -261,9 +263,9 @@
 	t.Run("pipelined", func(t *testing.T) {
 		cl := r.client()
 		cl.send("HEAD /look HTTP/1.1\nHost: x\n\nPOST /look HTTP/1.1\nHost: x\nContent-Length: 4\n\nbodyGET /look-204 HTTP/1.1\nHost: x\n\nGET /other HTTP/1.1\nHost: x\n\n")
-		q, err := http.ReadResponse(cl.b, &http.Request{Method: "HEAD"})
-		if err != nil || q.ContentLength != 77 {
-			t.Fatalf("HEAD: %v %v", q, err)
+		resp, err := http.ReadResponse(cl.b, &http.Request{Method: "HEAD"})
+		if err != nil || resp.ContentLength != 77 {
+			t.Fatalf("HEAD: response %v, error %v", resp, err)
 		}
 		cl.expect("200 succeeded POST 4")
 		cl.expect("204 succeeded")
@@ -276,7 +278,7 @@
 			time.Sleep(time.Millisecond)
 		}
 		cl.expect("200 succeeded GET 0")
-		cl.send("GET /look HTTP/1.1\nHo") // and one that never ends
+		cl.send("GET /look HTTP/1.1\nHo") // a request that never ends
 		cl.expect("408 not-taken")
 	})
 	t.Run("HTTP/1.0", func(t *testing.T) {
@@ -284,12 +286,12 @@
 		cl.send("GET /look-long HTTP/1.0\n\n")
 		cl.expect("200 succeeded 70000 bytes")
 		if _, err := cl.b.ReadByte(); err != io.EOF {
-			t.Errorf("the connection of HTTP/1.0 goes on: %v", err)
+			t.Errorf("the HTTP/1.0 connection stays open: %v", err)
 		}
 	})
 }
 
-// What could be read in two ways is answered 400 and closed; nothing of it reaches a node.
+// An ambiguous request is answered 400 and its connection is closed. No part of it reaches a node.
 func TestSmuggling(t *testing.T) {
 	r := startRig(t, 1, echoPath, nil, testHooks{})
 	const smuggled = "POST /look HTTP/1.1\nHost: x\n%s\n\n0\n\nGET /look-smuggled HTTP/1.1\nHost: x\n\n"
@@ -315,7 +317,7 @@
 		cl.expect("400 not-taken")
 		cl.SetReadDeadline(time.Now().Add(2 * time.Second))
 		if _, err := cl.b.ReadByte(); err == nil {
-			t.Errorf("the connection goes on after %q", c)
+			t.Errorf("the connection stays open after %q", c)
 		}
 	}
 	for _, c := range []struct{ send, want string }{
@@ -334,18 +336,18 @@
 	}
 }
 
-// A body longer than what is kept is streamed once, and its invocation is not repeated.
+// A body longer than the limit for repeats is streamed once, and its invocation is not dispatched again.
 func TestBodyBeyondRepeat(t *testing.T) {
 	r := startRig(t, 3, func(r *testRig, c net.Conn, b *bufio.Reader) { r.readRequest(b) }, nil, testHooks{})
 	c := r.client()
 	c.send("POST /look HTTP/1.1\nHost: x\nContent-Length: 30000\n\n%s", strings.Repeat("b", 30000))
 	c.expect("503 throttled")
 	if r.received() != 1 {
-		t.Errorf("it reached nodes %d times", r.received())
+		t.Errorf("the request reached nodes %d times, want 1", r.received())
 	}
 }
 
-// What the queue has no room for is refused before it is taken; endings still pass.
+// Invocations that do not fit into the queue are rejected before they are accepted. Outcomes of dispatches still pass.
 func TestQueueFull(t *testing.T) {
 	r := startRig(t, 1, echoPath, func(s *settings.Settings) { s.Limits.Queue = 2 }, testHooks{})
 	block := make(chan struct{})
@@ -364,25 +366,25 @@
 		outcomes[c.read()[:13]]++
 	}
 	if outcomes["200 succeeded"] != 2 || outcomes["503 not-taken"] != 4 {
-		t.Errorf("the clients got %v", outcomes)
+		t.Errorf("the clients got %v, want 2 succeeded and 4 not-taken", outcomes)
 	}
 }
 
-// Told to stop, a marshal takes nothing new and lets what it took end.
+// A marshal that stops accepts nothing new and lets open invocations complete.
 func TestStop(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
-		q, _, complete := r.readRequest(b)
+		req, _, complete := r.readRequest(b)
 		if complete {
 			<-r.release
-			respond(c, q.URL.Path)
+			respond(c, req.URL.Path)
 		}
 	}, nil, testHooks{})
 	c := r.client()
 	c.send(get, "once")
-	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	stopped := make(chan error)
 	go func() { stopped <- r.m.Stop() }()
-	r.waitFor("it takes no connection", func() bool {
+	r.waitFor("the marshal accepts no connection", func() bool {
 		n, err := net.Dial("tcp", r.m.Address())
 		if err == nil {
 			n.Close()
@@ -396,22 +398,22 @@
 	}
 }
 
-// panicky panics at an operation; before that it is the module.
+// panickingModule panics on an invocation of operation 1, and otherwise behaves as its module.
 type panickingModule struct{ divide.Module }
 
 func (p panickingModule) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	if op == 1 {
-		panic("planted")
+		panic("injected panic")
 	}
 	p.Module.Arrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
-// A module that panics ends its marshal with an answer for all that was taken.
+// A module that panics ends its marshal. All accepted invocations are answered.
 func TestPanic(t *testing.T) {
 	var log bytes.Buffer
 	defer func() {
-		if !strings.Contains(log.String(), `Taken\":2`) || !strings.Contains(log.String(), "planted") {
-			t.Errorf("the log does not hold the state: %.300s", log.String())
+		if !strings.Contains(log.String(), `Taken\":2`) || !strings.Contains(log.String(), "injected panic") {
+			t.Errorf("the log does not contain the state: %.300s", log.String())
 		}
 	}()
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
@@ -422,25 +424,26 @@
 	}}, Log: slog.New(slog.NewJSONHandler(&log, nil))})
 	waiting, fatal := r.client(), r.client()
 	waiting.send(get, "once")
-	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	fatal.send("GET /book HTTP/1.1\nHost: x\nIdempotency-Key: 1\n\n")
 	waiting.expect("502 terminated")
 	fatal.expect("502 terminated")
 	<-r.m.Ended()
 	var p *loop.Panic
-	if err := r.m.End(); !errors.As(err, &p) || p.Value != "planted" || len(p.Stack) == 0 {
-		t.Errorf("it ended with %v", err)
+	if err := r.m.End(); !errors.As(err, &p) || p.Value != "injected panic" || len(p.Stack) == 0 {
+		t.Errorf("the marshal ended with %v", err)
 	}
 }
 
-// Killed and started again, a marshal begins with its last list, though the roster is gone; torn, it is of no use.
+// A marshal that was killed and started again begins with its saved list, although the service registry is gone. A truncated or malformed
+// list is an error.
 func TestRestartFromDisk(t *testing.T) {
 	file := tempFile(t, "list")
 	r := startRig(t, 2, echoPath, func(s *settings.Settings) { s.Roster.File = file }, testHooks{})
 	r.waitFor("the list is on disk", func() bool { lines, _ := r.m.pools[0].workers[0].list.load(); return len(lines) == 2 })
 	r.m.Kill()
 	if c, err := net.Dial("tcp", r.m.Address()); err == nil {
-		t.Error("a killed marshal takes connections")
+		t.Error("a killed marshal accepts connections")
 		c.Close()
 	}
 	r.registry.Drop()
@@ -462,19 +465,19 @@
 			t.Fatal(err)
 		}
 		if _, err := l.load(); err == nil || !strings.Contains(err.Error(), cause) {
-			t.Errorf("of %q load says %v, not %s", saved, err, cause)
+			t.Errorf("load of %q returned %v, want an error with %q", saved, err, cause)
 		}
 	}
 }
 
-// Peers that nobody here wrote: net/http on both sides, and curl where there is one.
+// The marshal works with independent implementations: net/http on both sides, and curl if it is installed.
 func TestInteroperability(t *testing.T) {
 	r := startRig(t, 0, echoPath, nil, testHooks{})
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		body, _ := io.ReadAll(q.Body)
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+		body, _ := io.ReadAll(req.Body)
 		w.Header().Set("Trailer", "X-Sum")
-		fmt.Fprintf(w, "%s %d", q.Method, len(body))
-		if strings.HasSuffix(q.URL.Path, "long") {
+		fmt.Fprintf(w, "%s %d", req.Method, len(body))
+		if strings.HasSuffix(req.URL.Path, "long") {
 			io.WriteString(w, strings.Repeat("l", 1<<20))
 		}
 		w.Header().Set("X-Sum", fmt.Sprint(len(body)))
@@ -486,7 +489,7 @@
 	r.wg.Go(func() { server.Serve(ln) })
 	defer server.Close()
 	r.setNode(9, ln.Addr().String(), balance.Serving)
-	r.waitFor("it is known", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
+	r.waitFor("the marshal knows the node", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
 	url := "http://" + r.m.Address()
 	for _, c := range []struct {
 		method, path string
@@ -494,8 +497,8 @@
 		want         int
 	}{{"GET", "/look", nil, 5}, {"POST", "/look", strings.NewReader("abc"), 6}, {"GET", "/look-long", nil, 5 + 1<<20},
 		{"POST", "/look", io.MultiReader(strings.NewReader(strings.Repeat("c", 200000))), 11}, {"HEAD", "/look", nil, 0}} {
-		q, _ := http.NewRequest(c.method, url+c.path, c.body)
-		resp, err := http.DefaultClient.Do(q)
+		req, _ := http.NewRequest(c.method, url+c.path, c.body)
+		resp, err := http.DefaultClient.Do(req)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -505,12 +508,12 @@
 			t.Errorf("%s %s: %d bytes, %v, %v", c.method, c.path, len(body), err, resp.Header)
 		}
 		if c.method == "POST" && resp.Trailer.Get("X-Sum") == "" {
-			t.Errorf("%s %s: the trailer is lost: %v", c.method, c.path, resp.Trailer)
+			t.Errorf("%s %s: the trailer is missing: %v", c.method, c.path, resp.Trailer)
 		}
 	}
 	curl, err := exec.LookPath("curl")
 	if err != nil {
-		t.Skip("no curl here; net/http has been through")
+		t.Skip("curl is not installed; the net/http part has passed")
 	}
 	for _, args := range [][]string{{url + "/look"}, {"-d", "abc", url + "/look"}, {"-I", url + "/look"},
 		{"-H", "Transfer-Encoding: chunked", "-d", "abc", url + "/look"}, {"-H", "Expect: 100-continue", "-d", "abc", url + "/look"},
@@ -522,12 +525,12 @@
 	}
 }
 
-// While the loop stands still, what it has taken is terminated and what it has not is turned away, both in the
-// client's time; once it goes on, nothing of either is sent.
+// While the loop is stalled, invocations that it has accepted are terminated and others are rejected, both within the client's time limit. Once
+// the loop continues, nothing more is sent for either.
 func TestLoopStalls(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
-		if q, _, complete := r.readRequest(b); complete && q.URL.Path == "/once" {
-			c.(*net.TCPConn).SetLinger(0) // the dispatch ends, but the loop does not hear of it
+		if req, _, complete := r.readRequest(b); complete && req.URL.Path == "/once" {
+			c.(*net.TCPConn).SetLinger(0) // the dispatch ends, but the stalled loop does not process its outcome
 			return
 		}
 		respond(c, "x")
@@ -536,7 +539,7 @@
 	start := time.Now()
 	r.m.Loop.Post(func() { time.Sleep(20 * time.Millisecond) })
 	first.send("GET /once HTTP/1.1\nHost: x\nX-Time-Ms: 200\n\n")
-	r.waitFor("the node has it", func() bool { return r.received() == 1 })
+	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	release := make(chan struct{})
 	r.m.Loop.Post(func() { <-release })
 	second.send("GET /look HTTP/1.1\nHost: x\nX-Time-Ms: 200\n\n")
@@ -550,13 +553,13 @@
 	first.expectSilence()
 	s, _ := r.m.Snapshot()
 	if s.Taken != 1 || s.Open != 0 || s.Terminated != 1 || r.received() != 1 {
-		t.Errorf("taken %d, open %d, terminated %d, %d requests at nodes", s.Taken, s.Open, s.Terminated, r.received())
+		t.Errorf("accepted %d, open %d, terminated %d, %d requests at nodes", s.Taken, s.Open, s.Terminated, r.received())
 	}
 }
 
-// The loop is held up inside the call that decides on a dispatch, past the client's time, and the connection answers. The
-// command to dispatch came after that, and nobody carried it out or said so: the record kept "open 1" for ever, the module one
-// dispatch out at that node, and a stop waited its whole time. What is decided on after the answer ends as never sent.
+// The loop is blocked inside the call that decides on a dispatch, past the client's time limit, and the connection answers by itself. The
+// dispatch command came after that and was neither executed nor reported: the record stayed at one open invocation, the module at one dispatch
+// in flight, and a stop waited its whole time. A dispatch decided on after the answer must end as never sent.
 func TestDispatchAfterClientWasAnswered(t *testing.T) {
 	var blockNext atomic.Bool
 	release := make(chan struct{})
@@ -573,18 +576,18 @@
 		c.send("GET /look HTTP/1.1\nHost: x\nX-Time-Ms: 200\n\n")
 		c.expect("502 terminated")
 		release <- struct{}{}
-		r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 })
+		r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 })
 	}
 	if s, _ := r.m.Snapshot(); s.Terminated != 3 || s.Dispatches != 3 || s.Endings[balance.Ignored] != 3 || r.received() != 0 {
-		t.Errorf("%d dispatches ended as %v, %d requests at nodes", s.Dispatches, s.Endings, r.received())
+		t.Errorf("%d dispatches, outcomes %v, %d requests at nodes", s.Dispatches, s.Endings, r.received())
 	}
 	c.send(get, "look")
 	c.expect("200 succeeded")
 }
 
-// The loop is held up for 0.3 s inside the call that decides on a dispatch to a node which then hangs. How long the dispatch may
-// take was decided before and counted from when it began, so that it ended that much after the client's time, and the answer
-// came then. The client's time bounds it wherever it begins.
+// The loop is blocked for 0.3 s inside the call that decides on a dispatch to a node that then hangs. The timeout of the dispatch was decided
+// before the delay but counted from the start of the dispatch, so that the answer came that much after the client's time limit. The client's
+// time limit must bound a dispatch whenever it starts.
 func TestLateDispatchStaysWithinClientTimeLimit(t *testing.T) {
 	const limit, delay = 500 * time.Millisecond, 300 * time.Millisecond
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
@@ -600,10 +603,10 @@
 	if took := time.Since(start); took > limit+time.Duration(r.settings.Rules.AnswerSlackMs)*time.Millisecond || r.received() != 1 {
 		t.Errorf("the answer came after %v, with %d requests at the node", took, r.received())
 	}
-	r.waitFor("all is over", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 })
+	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 })
 }
 
-// slowHost does something before each dispatch.
+// delayingHost calls a function before each dispatch.
 type delayingHost struct {
 	balance.Host
 	before func()
@@ -614,15 +617,15 @@
 	s.Host.Dispatch(inv, node, within)
 }
 
-// A client that does not read its long answer is left after the write time; the marshal goes on.
+// A client that does not read its long response is disconnected after the write timeout. The marshal goes on serving.
 func TestSlowReader(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
-			q, _, complete := r.readRequest(b)
+			req, _, complete := r.readRequest(b)
 			if !complete {
 				return
 			}
-			if q.URL.Path == "/look-long" {
+			if req.URL.Path == "/look-long" {
 				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n", 64<<20)
 				for range 64 {
 					if _, err := c.Write(make([]byte, 1<<20)); err != nil {
@@ -636,20 +639,20 @@
 	c := r.client()
 	c.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	c.send(get, "look-long")
-	r.waitFor("it is given up", func() bool { s, _ := r.m.Snapshot(); return s.Taken == 1 && s.Open == 0 && r.m.Front.Open() == 0 })
+	r.waitFor("the invocation is abandoned", func() bool { s, _ := r.m.Snapshot(); return s.Taken == 1 && s.Open == 0 && r.m.Front.Open() == 0 })
 	other := r.client()
 	other.send(get, "look")
 	other.expect("200 succeeded x")
 }
 
-// Word that a node drains, in the middle of a burst: nothing new goes there from then on, grace or not.
+// A node is reported as draining in the middle of a burst. Nothing new is dispatched to it from then on, even within the grace period.
 func TestDrainInBurst(t *testing.T) {
 	r := startRig(t, 2, echoPath, nil, testHooks{})
 	before := 0
 	for i := range 300 {
 		if i == 100 {
 			r.setNode(1, r.nodeListeners[0].Addr().String(), balance.Draining)
-			r.waitFor("it is known", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[1].Health == balance.Draining })
+			r.waitFor("the node is known to be draining", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[1].Health == balance.Draining })
 			s, _ := r.m.Snapshot()
 			before = int(s.Nodes[1].Sent)
 		}
@@ -660,16 +663,16 @@
 	}
 	s, _ := r.m.Snapshot()
 	if after := int(s.Nodes[1].Sent) - before; after > 0 || before == 0 {
-		t.Errorf("%d dispatches before the word, %d after it", before, after)
+		t.Errorf("%d dispatches before the drain, %d after it", before, after)
 	}
 }
 
-// Connections and invocations over their limits are turned away before they count as taken.
+// Connections and invocations over their limits are rejected before they count as accepted.
 func TestLimits(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
-		if q, _, complete := r.readRequest(b); complete {
+		if req, _, complete := r.readRequest(b); complete {
 			<-r.release
-			respond(c, q.URL.Path)
+			respond(c, req.URL.Path)
 		}
 	}, func(s *settings.Settings) { s.Limits.Open, s.Limits.Connections = 2, 4 }, testHooks{})
 	var all []*client
@@ -691,16 +694,16 @@
 		c.expect("200 succeeded")
 	}
 	if s, _ := r.m.Snapshot(); s.Taken != 3 {
-		t.Errorf("%d taken", s.Taken)
+		t.Errorf("%d accepted, want 3", s.Taken)
 	}
 }
 
-// A node whose accept queue is full takes no connection: what was meant for it provably never ran, and goes elsewhere.
+// A node whose accept queue is full accepts no connection. A request for it provably never ran, and is sent to another node.
 func TestAcceptQueueFull(t *testing.T) {
 	address, _ := fullAcceptQueue(t)
 	r := startRig(t, 1, echoPath, func(s *settings.Settings) { s.Times.DialMs = 60 }, testHooks{})
 	r.setNode(9, address, balance.Serving)
-	r.waitFor("it is known", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 2 })
+	r.waitFor("the marshal knows the node", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 2 })
 	c := r.client()
 	for range 20 {
 		c.send(get, "once")
@@ -708,11 +711,11 @@
 	}
 	s, _ := r.m.Snapshot()
 	if s.Nodes[9].Endings[balance.NoConnect] == 0 || s.Nodes[9].Endings[balance.NoConnect] != s.Nodes[9].Sent {
-		t.Errorf("at the full node %d were sent and ended so: %v", s.Nodes[9].Sent, s.Nodes[9].Endings)
+		t.Errorf("%d dispatches to the node with the full queue, outcomes %v", s.Nodes[9].Sent, s.Nodes[9].Endings)
 	}
 }
 
-// probed hands on what a probe found.
+// probeObserver reports the outcomes of probes.
 type probeObserver struct {
 	divide.Module
 	found chan string
@@ -722,10 +725,11 @@
 	p.found <- fmt.Sprint(node, outcome, report)
 }
 
+// A probe reports the load figures of a node, or that the node is gone.
 func TestProbe(t *testing.T) {
 	found := make(chan string, 2)
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
-		if q, _, complete := r.readRequest(b); complete && q.URL.Path == "/health" {
+		if req, _, complete := r.readRequest(b); complete && req.URL.Path == "/health" {
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nendpoint-load-metrics: TEXT cpu_utilization=0.5, rps_fractional=8, x=1, eps=bad\r\n\r\n")
 		}
 	}, func(s *settings.Settings) { s.Limits.Probes, s.Limits.ProbePath = true, "/health" },
@@ -734,16 +738,16 @@
 		}}})
 	r.m.Loop.Post(func() { r.m.pools[0].workers[0].core.Probe(1) })
 	if got := <-found; got != "1 0 map[busy:0.5 rate:8]" {
-		t.Errorf("found %s", got)
+		t.Errorf("the probe found %s", got)
 	}
 	r.nodeListeners[0].Close()
 	r.m.Loop.Post(func() { r.m.pools[0].workers[0].core.Probe(1) })
 	if got := <-found; got != fmt.Sprint(1, balance.NoConnect, map[string]float64{}) {
-		t.Errorf("of a node that is gone it found %s", got)
+		t.Errorf("the probe of a node that is gone found %s", got)
 	}
 }
 
-// New settings are taken whole or not at all, and what can't change while it runs is named.
+// New settings are applied completely or not at all, and the error names those that can't change while the marshal runs.
 func TestReload(t *testing.T) {
 	r := startRig(t, 1, echoPath, nil, testHooks{})
 	set := r.settings.Copy()
@@ -751,21 +755,21 @@
 	var level slog.LevelVar
 	if _, err := r.m.Reload(set, &level); err == nil || !strings.Contains(err.Error(), "limits: most-tries 3 -> 9") ||
 		level.Level() != slog.LevelInfo || r.m.Front.Current().Limits.Connections != 100 {
-		t.Errorf("%v, level %v", err, level.Level())
+		t.Errorf("reload of a fixed setting: error %v, level %v", err, level.Level())
 	}
 	set.Limits.MostTries = 3
 	changes, err := r.m.Reload(set, &level)
 	if err != nil || len(changes) != 2 || level.Level() != slog.LevelDebug {
-		t.Errorf("%v %v, level %v", changes, err, level.Level())
+		t.Errorf("reload: changes %v, error %v, level %v", changes, err, level.Level())
 	}
-	done := make(chan error) // reloads while reloads run: each is whole
+	done := make(chan error) // concurrent reloads: each must be complete
 	for i := range 8 {
 		go func() {
 			one := set.Copy()
 			one.Times.IdleMs, one.Times.StopMs = 1000+float64(i), 2000+float64(i)
 			_, err := r.m.Reload(one, nil)
 			if now := r.m.Front.Current().Times; now.StopMs-now.IdleMs != 1000 {
-				err = fmt.Errorf("half of a reload: %v", now)
+				err = fmt.Errorf("a reload was applied in part: %v", now)
 			}
 			done <- err
 		}()
@@ -781,21 +785,21 @@
 	second.expect("503 not-taken too many connections")
 }
 
-// Two pools in one marshal: each invocation goes to its own pool's nodes; a build, a dead pool and news of one pool leave
-// the other alone.
+// Two pools in one marshal: each invocation goes to the nodes of its pool. Builds, stage updates and the loss of all nodes of one pool do not
+// affect the other.
 func TestPools(t *testing.T) {
 	respondAs := func(name string) nodeScript {
 		return func(r *testRig, c net.Conn, b *bufio.Reader) {
 			for {
-				q, _, complete := r.readRequest(b)
+				req, _, complete := r.readRequest(b)
 				if !complete {
 					return
 				}
-				respond(c, name+q.URL.Path)
+				respond(c, name+req.URL.Path)
 			}
 		}
 	}
-	other := startRig(t, 2, respondAs("second"), nil, testHooks{}) // its roster is the second pool's
+	other := startRig(t, 2, respondAs("second"), nil, testHooks{}) // its registry serves the second pool
 	r := startRig(t, 2, respondAs("first"), func(s *settings.Settings) {
 		s.Pool = []*settings.Pool{{Name: "a"}, {Name: "b", Roster: &settings.Roster{Address: other.registry.Address(),
 			ReconnectMs: 10, ReconnectMostMs: 50}}}
@@ -803,42 +807,42 @@
 	}, testHooks{})
 	r.waitFor("both pools are known", func() bool { s, _ := r.m.PoolSnapshot(t.Context(), 1); return len(s.Nodes) == 2 })
 	c := r.client()
-	ask := func(path, want string) {
+	request := func(path, want string) {
 		t.Helper()
 		c.send("GET /%s HTTP/1.1\nHost: x\nIdempotency-Key: 1\n\n", path)
 		c.expect(want)
 	}
 	for range 10 {
-		ask("look", "200 succeeded first/look")
-		ask("book", "200 succeeded second/book")
-		ask("once", "200 succeeded first/once")
+		request("look", "200 succeeded first/look")
+		request("book", "200 succeeded second/book")
+		request("once", "200 succeeded first/once")
 	}
 	r.m.Loop.Post(func() { r.m.pools[1].workers[0].core.Staged(7, 0, balance.OnTrial, 0, 0, false) })
-	for i, ln := range other.nodeListeners { // the second pool is gone
+	for i, ln := range other.nodeListeners { // all nodes of the second pool go away
 		other.setNode(uint32(i+1), ln.Addr().String(), balance.Gone)
 	}
-	r.waitFor("it is known", func() bool {
+	r.waitFor("both nodes are known to be gone", func() bool {
 		s, _ := r.m.PoolSnapshot(t.Context(), 1)
 		return s.Nodes[1].Health == balance.Gone && s.Nodes[2].Health == balance.Gone
 	})
-	ask("book", "503 throttled")
-	ask("look", "200 succeeded first/look")
+	request("book", "503 throttled")
+	request("look", "200 succeeded first/look")
 	a, _ := r.m.PoolSnapshot(t.Context(), 0)
 	b, _ := r.m.PoolSnapshot(t.Context(), 1)
 	if a.Taken != 21 || a.Succeeded != 21 || b.Taken != 11 || b.Succeeded != 10 || a.Ver == 7 || b.Ver != 7 {
-		t.Errorf("the first took %d, succeeded %d, ver %d; the second %d, %d, %d", a.Taken, a.Succeeded, a.Ver, b.Taken, b.Succeeded, b.Ver)
+		t.Errorf("the first pool accepted %d, succeeded %d, ver %d; the second %d, %d, %d", a.Taken, a.Succeeded, a.Ver, b.Taken, b.Succeeded, b.Ver)
 	}
-	// A reload that drops a pool with an invocation out needs a restart: nothing is changed.
+	// A reload that removes a pool needs a restart and changes nothing.
 	set := r.settings.Copy()
 	set.Pool = set.Pool[:1]
 	set.Operation[1].Pool = "a"
 	if _, err := r.m.Reload(set, nil); err == nil || !strings.Contains(err.Error(), "pool b removed") {
 		t.Errorf("reload: %v", err)
 	}
-	ask("look", "200 succeeded first/look")
+	request("look", "200 succeeded first/look")
 }
 
-// An operation kept to a listener is not found at another address.
+// An operation that is bound to a listener is not found at the others.
 func TestListeners(t *testing.T) {
 	r := startRig(t, 1, echoPath, func(s *settings.Settings) {
 		s.Listener = []*settings.Listener{{Name: "inside", Address: "127.0.0.1:0"}}
