--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -72,11 +72,11 @@
 		if p.account != nil {
 			p.account.ListFailed()
 		}
-		p.postAll(func(w *worker) { w.events().ListFailed() })
+		p.postAll(func(w *worker) { w.module().ListFailed() })
 	}
 	voteFailed := func(outcome balance.Ending) {
-		w := p.votingWorker()
-		w.loop.Post(func() { w.events().VoteFailed(outcome) })
+		w := p.finishVote()
+		w.loop.Post(func() { w.module().VoteFailed(outcome) })
 	}
 	if transport != nil {
 		p.registry, p.rollout = transport.NewRegistry(p.nodesListed, listFailed), transport.NewRolloutService(p.stageUpdate, voteFailed)
@@ -92,10 +92,10 @@
 			Staged: p.stageUpdate,
 			Failed: voteFailed,
 			Tallied: func(ver, op, samples, errors int, mean, age float64) {
-				p.postAll(func(w *worker) { w.events().Tallied(ver, op, samples, errors, mean, age) })
+				p.postAll(func(w *worker) { w.module().Tallied(ver, op, samples, errors, mean, age) })
 			},
 			Flagged: func(node uint32, op int, age float64) {
-				p.postAll(func(w *worker) { w.events().Flagged(node, op, age) })
+				p.postAll(func(w *worker) { w.module().Flagged(node, op, age) })
 			}}
 	}
 }
@@ -107,8 +107,8 @@
 	}
 }
 
-// votingWorker records that the last vote was answered or has failed, and returns the worker that cast it.
-func (p *nodePool) votingWorker() *worker {
+// finishVote records that the last vote was answered or has failed, and returns the worker that cast it.
+func (p *nodePool) finishVote() *worker {
 	if p.account == nil {
 		return p.workers[0]
 	}
@@ -125,7 +125,7 @@
 	}
 	p.blockBuild(ver, cap <= 0 && phase != balance.Released)
 	if reply {
-		voting = p.votingWorker()
+		voting = p.finishVote()
 	}
 	receivedAt := p.m.Loop.Clock().Now()
 	p.replayStage = func(w *worker) { // also for workers that restart later
@@ -222,14 +222,14 @@
 	}
 }
 
-// Share passes outcomes to another worker; it implements divide.Others.
+// Share passes outcomes of dispatches to another worker, on its loop.
 func (w *worker) Share(to int, outcomes []divide.Outcome) {
 	other := w.workers[to]
 	other.loop.Post(func() { other.shard.Heard(outcomes) })
 }
 
-// events returns the module, for events that need no processing by the core.
-func (w *worker) events() marshal.Module { return w.core.Events() }
+// module returns the decision module, for events that need no processing by the core.
+func (w *worker) module() marshal.Module { return w.core.Events() }
 
 // loadList returns the nodes that the transport knows, or else those of the list that a previous process of the marshal saved.
 func (p *nodePool) loadList(transport *Transport) ([]balance.Node, []string) {
--- a/internal/serve/outside.go
+++ b/internal/serve/outside.go
@@ -8,7 +8,8 @@
 	"arrowcleat/balance"
 )
 
-// Now returns the time in ms of the call that the loop runs. Now and the methods below implement marshal.Outside.
+// Now returns the clock time in ms at which the current call of the loop began. Now and the methods below are what marshal.Core needs of
+// its surroundings.
 func (w *worker) Now() float64 { return w.loop.Now() }
 
 // After runs f on the loop after a time in ms.
@@ -24,7 +25,7 @@
 		start := time.Now()
 		outcome, report := m.upstream.Probe(context.Background(), address, w.settings.Limits.ProbePath)
 		tookMs := float64(time.Since(start)) / float64(time.Millisecond)
-		w.loop.Post(func() { w.events().Probed(node, outcome, tookMs, report) })
+		w.loop.Post(func() { w.module().Probed(node, outcome, tookMs, report) })
 	})
 }
 
@@ -47,7 +48,7 @@
 	if w.rollout != nil {
 		w.rollout.Vote(ver, stage, verdict)
 	} else {
-		w.After(0, func() { w.votingWorker().events().VoteFailed(balance.Ignored) })
+		w.After(0, func() { w.finishVote().module().VoteFailed(balance.Ignored) })
 	}
 }
 
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -299,7 +299,7 @@
 		}
 		p, text = m.pools[n], rest
 	}
-	p.postAll(func(w *worker) { w.events().Told(from, text) })
+	p.postAll(func(w *worker) { w.module().Told(from, text) })
 }
 
 // RejectedArrivals returns how many arrivals were rejected because the queue of a core was full.
