--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -18,8 +18,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// BenchmarkCores measures decisions alone: complete invocations through the loops and modules of a running marshal, without sockets of
-// clients or nodes. GOMAXPROCS is the number of cores.
+// BenchmarkCores measures decisions alone: complete invocations through the loops and modules of a running marshal,
+// without sockets of clients or nodes. GOMAXPROCS is the number of cores.
 func BenchmarkCores(b *testing.B) {
 	for _, nodes := range []int{300, 3000} {
 		for _, cores := range []int{1, 2, 4, 8} {
@@ -71,8 +71,8 @@
 	return m
 }
 
-// BenchmarkSockets measures complete invocations from client to node and back over loopback. Clients, nodes and marshal share the
-// processors. Its profile shows the cost of the marshal's socket handling.
+// BenchmarkSockets measures complete invocations from client to node and back over loopback. Clients, nodes and marshal
+// share the processors. Its profile shows the cost of the marshal's socket handling.
 func BenchmarkSockets(b *testing.B) {
 	for _, cores := range []int{1, 4} {
 		b.Run(fmt.Sprintf("cores=%d", cores), func(b *testing.B) {
--- a/internal/serve/close_test.go
+++ b/internal/serve/close_test.go
@@ -33,8 +33,9 @@
 	return c.Clock.Now()
 }
 
-// requestDuringClose sends a request on a connection that the marshal may be closing. It returns "answered", "unread" if the marshal
-// closed without reading the request, so that the client can send it again, or a text that begins with "lost".
+// requestDuringClose sends a request on a connection that the marshal may be closing. It returns "answered", "unread"
+// if the marshal closed without reading the request, so that the client can send it again, or a text that begins with
+// "lost".
 func requestDuringClose(nc net.Conn, b *bufio.Reader, target string) string {
 	const resetTimeout = 700 * time.Millisecond
 	if _, err := fmt.Fprintf(nc, "GET %s HTTP/1.1\r\nHost: x\r\n\r\n", target); err != nil {
@@ -58,8 +59,8 @@
 	return "unread"
 }
 
-// Requests arrive while the marshal closes idle connections, for several causes. Each must be answered or left unread. One that was read and
-// discarded is lost: its client can't tell it from one that ran.
+// Requests arrive while the marshal closes idle connections, for several causes. Each must be answered or left unread.
+// One that was read and discarded is lost: its client can't tell it from one that ran.
 func TestRequestsDuringCloseAreNotLost(t *testing.T) {
 	const connections = 60
 	for name, cause := range map[string]struct {
@@ -116,8 +117,8 @@
 	}
 }
 
-// A stop arrives between a response that keeps its connection open and the moment the connection becomes idle. The connection must be
-// closed in time, and the next request of its client must not be discarded.
+// A stop arrives between a response that keeps its connection open and the moment the connection becomes idle. The
+// connection must be closed in time, and the next request of its client must not be discarded.
 func TestStopBetweenAnswerAndIdle(t *testing.T) {
 	const connections, stopTimeout = 40, time.Second
 	clock := &slowClock{Clock: loop.Monotonic()}
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -42,8 +42,9 @@
 	return resume
 }
 
-// Connections are spread over cores. While one core is stalled, the others go on and accept the invocations that were queued there, except
-// those that an idempotency key binds to the stalled core: these are rejected in time. What the stalled core had accepted is answered.
+// Connections are spread over cores. While one core is stalled, the others go on and accept the invocations that were
+// queued there, except those that an idempotency key binds to the stalled core: these are rejected in time. What the
+// stalled core had accepted is answered.
 func TestCoreStalls(t *testing.T) {
 	r := startRig(t, 2, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
@@ -126,7 +127,8 @@
 	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Terminated == 1 })
 }
 
-// A core whose module panics terminates its invocations and restarts; other cores are not affected. After repeated panics the marshal ends.
+// A core whose module panics terminates its invocations and restarts; other cores are not affected. After repeated
+// panics the marshal ends.
 func TestCorePanics(t *testing.T) {
 	var modules atomic.Int32
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
@@ -182,8 +184,8 @@
 	}
 }
 
-// Invocations of a forward-only key and repeats of an idempotency key go to one core, whatever connection they arrive on. Once a build has
-// answered a key, no core sends the key to an earlier build.
+// Invocations of a forward-only key and repeats of an idempotency key go to one core, whatever connection they arrive
+// on. Once a build has answered a key, no core sends the key to an earlier build.
 func TestKeysOnCores(t *testing.T) {
 	var mu sync.Mutex
 	instancesOf := map[string]map[string]bool{} // instances that received a key
@@ -244,7 +246,8 @@
 	o.Balancer.Arrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
-// Eight cores with a small cap together stay within the exposure limit of the marshal. When the cap falls to 0, nothing is exposed.
+// Eight cores with a small cap together stay within the exposure limit of the marshal. When the cap falls to 0, nothing
+// is exposed.
 func TestCapAcrossCores(t *testing.T) {
 	const window = 500 * time.Millisecond
 	schedulingDelay := schedlag.Watch()
@@ -296,8 +299,9 @@
 		t.Errorf("only %d of %d invocations were exposed", len(exposedAt), len(sentAt))
 	}
 	delay := schedulingDelay()
-	// A node records a request later than the marshal counted it, by the transit time and the scheduling delay of the process. A window
-	// of 500 ms at the marshal is shorter here by at least that much, and what was accepted in it began that much earlier.
+	// A node records a request later than the marshal counted it, by the transit time and the scheduling delay of the
+	// process. A window of 500 ms at the marshal is shorter here by at least that much, and what was accepted in it
+	// began that much earlier.
 	const transit = 20 * time.Millisecond
 	for _, at := range exposedAt {
 		countBefore := func(all []time.Time, window time.Duration) (n float64) {
@@ -333,7 +337,8 @@
 	}
 }
 
-// A report that a node is draining also holds for a core that has not processed it: the grace period counts from when the marshal got it.
+// A report that a node is draining also holds for a core that has not processed it: the grace period counts from when
+// the marshal got it.
 func TestDrainAcrossCores(t *testing.T) {
 	r := startRig(t, 1, echoPath, onCores(2), testHooks{})
 	addr := r.nodeListeners[0].Addr().String()
@@ -395,8 +400,8 @@
 	}
 }
 
-// Cores stall one after the other, and queued invocations are moved between them. No side-effecting invocation may reach nodes twice, each
-// client gets one answer, and what was answered not-taken never ran.
+// Cores stall one after the other, and queued invocations are moved between them. No side-effecting invocation may
+// reach nodes twice, each client gets one answer, and what was answered not-taken never ran.
 func TestMovedInvocationsRunOnce(t *testing.T) {
 	r := startRig(t, 3, echoPath, onCores(3, func(s *settings.Settings) { s.Limits.Queue = 4 }), testHooks{})
 	var wg sync.WaitGroup
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -16,8 +16,9 @@
 	"arrowcleat/internal/settings"
 )
 
-// nodePool is one pool of nodes: its node list, its stage updates, and the instances of the decision module that serve it, one per core.
-// Pools share the loops, the client side and the connections to nodes, but no state that decisions depend on.
+// nodePool is one pool of nodes: its node list, its stage updates, and the instances of the decision module that serve
+// it, one per core. Pools share the loops, the client side and the connections to nodes, but no state that decisions
+// depend on.
 type nodePool struct {
 	m        *Marshal
 	number   int // index in Marshal.pools
@@ -65,8 +66,9 @@
 	return rules
 }
 
-// connectControl creates the clients of the service registry and the rollout service, and passes their updates to the loops. Updates of
-// nodes and builds run before all calls that are already queued there, and the account learns of a build before any worker does.
+// connectControl creates the clients of the service registry and the rollout service, and passes their updates to the
+// loops. Updates of nodes and builds run before all calls that are already queued there, and the account learns of a
+// build before any worker does.
 func (p *nodePool) connectControl(transport *Transport) {
 	listFailed := func() {
 		if p.account != nil {
@@ -115,7 +117,8 @@
 	return p.workers[p.account.Answered()]
 }
 
-// stageUpdate passes a stage update to all workers and suppresses dispatches that it forbids. If reply is set, the update answers a vote.
+// stageUpdate passes a stage update to all workers and suppresses dispatches that it forbids. If reply is set, the
+// update answers a vote.
 func (p *nodePool) stageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,8 +140,8 @@
 	p.lowerCap(ver, phase, cap)
 }
 
-// lowerCap suppresses dispatches to a build whose cap has fallen that were decided on before. It runs after the stage update has been
-// queued: later decisions take the new cap into account.
+// lowerCap suppresses dispatches to a build whose cap has fallen that were decided on before. It runs after the stage
+// update has been queued: later decisions take the new cap into account.
 func (p *nodePool) lowerCap(ver int, phase balance.Phase, cap float64) {
 	if phase == balance.Released {
 		cap = 1
@@ -155,8 +158,8 @@
 	}
 }
 
-// blockBuild suppresses dispatches to a build whose cap has fallen to 0 that were decided on before and are not written yet. It allows
-// dispatches again to a build that was blocked before and is not any more.
+// blockBuild suppresses dispatches to a build whose cap has fallen to 0 that were decided on before and are not written
+// yet. It allows dispatches again to a build that was blocked before and is not any more.
 func (p *nodePool) blockBuild(ver int, blocked bool) {
 	blockedVer := -1
 	if blocked {
@@ -231,7 +234,8 @@
 // module returns the decision module, for events that need no processing by the core.
 func (w *worker) module() marshal.Module { return w.core.Events() }
 
-// loadList returns the nodes that the transport knows, or else those of the list that a previous process of the marshal saved.
+// loadList returns the nodes that the transport knows, or else those of the list that a previous process of the marshal
+// saved.
 func (p *nodePool) loadList(transport *Transport) ([]balance.Node, []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -246,8 +250,8 @@
 	return p.applyLines(lines)
 }
 
-// maxSchedulingDelay is how long a process may be delayed between reading its clock and a write. The grace period of a draining node
-// covers it.
+// maxSchedulingDelay is how long a process may be delayed between reading its clock and a write. The grace period of a
+// draining node covers it.
 const maxSchedulingDelay = 150 * time.Millisecond
 
 // applyLines allows or blocks dispatches to the addresses of registry lines, and converts the lines to nodes.
@@ -283,14 +287,15 @@
 	}
 }
 
-// minSaveInterval is the shortest time between two saves of a list: a rolling restart changes it hundreds of times a second.
+// minSaveInterval is the shortest time between two saves of a list: a rolling restart changes it hundreds of times a
+// second.
 const minSaveInterval = 50 * time.Millisecond
 
 // saveRetryInterval is the time between two attempts to save a list after a failure.
 const saveRetryInterval = 500 * time.Millisecond
 
-// saveChanges saves the node list when it has changed, in a goroutine of its own: neither the loops nor the client of the service
-// registry wait for the disk.
+// saveChanges saves the node list when it has changed, in a goroutine of its own: neither the loops nor the client of
+// the service registry wait for the disk.
 func (p *nodePool) saveChanges(ctx context.Context) {
 	for {
 		select {
--- a/internal/serve/hooks.go
+++ b/internal/serve/hooks.go
@@ -33,8 +33,8 @@
 	WallClock func() time.Time
 }
 
-// Transport connects a marshal to its surroundings by another protocol, in place of the project's own line protocols for the
-// service registry, the rollout service and peers.
+// Transport connects a marshal to its surroundings by another protocol, in place of the project's own line protocols
+// for the service registry, the rollout service and peers.
 type Transport struct {
 	ProtocolOptions    front.Terms
 	ModuleSettings     balance.Settings  // of the decision module
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -18,8 +18,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// fullAcceptQueue returns an address whose accept queue is full, so that connections to it hang. drain empties the queue for good and returns
-// what was sent.
+// fullAcceptQueue returns an address whose accept queue is full, so that connections to it hang. drain empties the
+// queue for good and returns what was sent.
 func fullAcceptQueue(t *testing.T) (address string, drain func() (got string)) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -60,8 +60,8 @@
 	}
 }
 
-// A client disconnects while the connection to its node hangs. The attempt is abandoned, and nothing is written once the connection is
-// established.
+// A client disconnects while the connection to its node hangs. The attempt is abandoned, and nothing is written once
+// the connection is established.
 func TestClientLeavesBeforeDispatchIsWritten(t *testing.T) {
 	address, drain := fullAcceptQueue(t)
 	r := startRig(t, 0, echoPath, func(s *settings.Settings) {
@@ -83,7 +83,8 @@
 	}
 }
 
-// A client disconnects while a node works on its request. The dispatch is abandoned by closing the connection to the node.
+// A client disconnects while a node works on its request. The dispatch is abandoned by closing the connection to the
+// node.
 func TestClientLeavesWhileANodeWorks(t *testing.T) {
 	closed := make(chan error, 1)
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
@@ -107,8 +108,8 @@
 	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Endings[balance.Canceled] == 1 })
 }
 
-// finalResponse reads the last response of a connection. It returns "200", "200 kept" if the connection stays open, "closed" if the
-// connection ended without a byte, or what went wrong.
+// finalResponse reads the last response of a connection. It returns "200", "200 kept" if the connection stays open,
+// "closed" if the connection ended without a byte, or what went wrong.
 func finalResponse(c net.Conn, b *bufio.Reader) string {
 	c.SetReadDeadline(time.Now().Add(3 * time.Second))
 	resp, err := http.ReadResponse(b, nil)
@@ -127,8 +128,9 @@
 	return fmt.Sprint(resp.StatusCode)
 }
 
-// Requests that are under way when a marshal stops are answered completely: in the accept queue, accepted and unread, half read, or at a
-// node. A request that arrives while its connection is closed gets no byte, is not read, so that its client can tell, and reaches no node.
+// Requests that are under way when a marshal stops are answered completely: in the accept queue, accepted and unread,
+// half read, or at a node. A request that arrives while its connection is closed is answered or not read, so that its client
+// can tell, and reaches nodes at most once.
 func TestStopUnderRequests(t *testing.T) {
 	const request = "GET /look%s HTTP/1.1\r\nHost: x\r\n\r\n"
 	for round := range 12 {
@@ -209,9 +211,9 @@
 	}
 }
 
-// A core stalls for good and the marshal is stopped. Stop waited for the core to report its open invocations, and End for its loop to end.
-// Neither happened: the listener and all connections stayed open, a second signal changed nothing, and open requests were unanswered when
-// KILL came. Answering clients must not depend on the loop.
+// A core stalls for good and the marshal is stopped. Stop waited for the core to report its open invocations, and End
+// for its loop to end. Neither happened: the listener and all connections stayed open, a second signal changed nothing,
+// and open requests were unanswered when KILL came. Answering clients must not depend on the loop.
 func TestStopWhileLoopIsStalled(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		for {
@@ -250,9 +252,10 @@
 	}
 }
 
-// A request with an idempotency key may have run at a node that reset the connection. It is sent again within the memory window, which is
-// shorter than the client's time limit. The new connection hangs until after the window, and carried the request to a node that had forgotten
-// the key: a double effect. Nothing may be written once the window is over, and the client must be answered at once.
+// A request with an idempotency key may have run at a node that reset the connection. It is sent again within the
+// memory window, which is shorter than the client's time limit. The new connection hangs until after the window, and
+// carried the request to a node that had forgotten the key: a double effect. Nothing may be written once the window is
+// over, and the client must be answered at once.
 func TestRepeatStaysWithinMemoryWindow(t *testing.T) {
 	const window = 500.0
 	hangingAddress, drain := fullAcceptQueue(t)
@@ -287,9 +290,10 @@
 	}
 }
 
-// The cap of a build falls while dispatches decided on under the higher cap wait for connections. The connections were established a second
-// later, and all requests reached the build long after the lower cap takes effect (150 ms after it is received): 8 requests where the limit is
-// 1 + 0.05 x 8 and 2 more. A dispatch decided on before the cap falls must not be written afterwards.
+// The cap of a build falls while dispatches decided on under the higher cap wait for connections. The connections were
+// established a second later, and all requests reached the build long after the lower cap takes effect (150 ms after it
+// is received): 8 requests where the limit is 1 + 0.05 x 8 and 2 more. A dispatch decided on before the cap falls must
+// not be written afterwards.
 func TestCapFallsBetweenDecisionAndWrite(t *testing.T) {
 	const requests, lowerCap, tolerance = 8, 0.05, 2
 	hangingAddress, drain := fullAcceptQueue(t)
@@ -313,8 +317,9 @@
 	}
 }
 
-// A client closes its sending side and still reads. It counts as disconnected, since it can't be told from a client that closes, and no
-// dispatch begins for it any more. Its request had been read but its connection was closed without an answer; it must be answered as terminated.
+// A client closes its sending side and still reads. It counts as disconnected, since it can't be told from a client
+// that closes, and no dispatch begins for it any more. Its request had been read but its connection was closed without
+// an answer; it must be answered as terminated.
 func TestHalfClosedClientIsAnswered(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		if _, _, complete := r.readRequest(b); complete {
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -17,8 +17,8 @@
 	"arrowcleat/internal/loop"
 )
 
-// nodeList is the last list of the service registry, with which a restarted marshal begins. It also holds the clock times at which the
-// processes of nodes started, which the registry reports as ages.
+// nodeList is the last list of the service registry, with which a restarted marshal begins. It also holds the clock
+// times at which the processes of nodes started, which the registry reports as ages.
 type nodeList struct {
 	file          string
 	clock         loop.Clock
@@ -42,8 +42,8 @@
 		ageReceivedAt: map[uint32]float64{}, servingNode: map[string]uint32{}, write: writeSynced}
 }
 
-// processStart returns the clock time at which the process of a node started, or 0 if unknown. The first report for a process counts, so
-// that a later report does not look like a restart.
+// processStart returns the clock time at which the process of a node started, or 0 if unknown. The first report for a
+// process counts, so that a later report does not look like a restart.
 func (l *nodeList) processStart(line control.Line) float64 {
 	if line.Up <= 0 {
 		return 0
@@ -60,7 +60,8 @@
 // listHeader begins the first line of a saved list: the format and its version.
 const listHeader = "arrowcleat list 1"
 
-// update applies a complete list or changes to the current one. It does nothing else: during a rolling restart of a large fleet the next update waits for it.
+// update applies a complete list or changes to the current one. It does nothing else: during a rolling restart of a
+// large fleet the next update waits for it.
 func (l *nodeList) update(complete bool, lines []control.Line) {
 	now := l.clock.Now()
 	if complete {
@@ -192,8 +193,9 @@
 	if _, err := fmt.Sscanf(s.Text(), listHeader+" %d %d", &saved, &count); err != nil {
 		return nil, fmt.Errorf("line 1 is not %q followed by a time and a count", listHeader)
 	}
-	// How long ago the list was saved is unknown, since the wall clock of the machine may have been stepped in between. A node that is taken
-	// for older than it is would get too much load while it is warming up. Nodes keep their saved age until the registry reports another.
+	// How long ago the list was saved is unknown, since the wall clock of the machine may have been stepped in between.
+	// A node that is taken for older than it is would get too much load while it is warming up. Nodes keep their saved
+	// age until the registry reports another.
 	var lines []control.Line
 	for s.Scan() {
 		line, err := control.ParseLine(s.Text())
--- a/internal/serve/list_test.go
+++ b/internal/serve/list_test.go
@@ -15,8 +15,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// Saving the list fails for a while, leaving half-written files, and then works again. Requests must be served throughout, the previous
-// list must stay intact, and the list must be saved although it has not changed since.
+// Saving the list fails for a while, leaving half-written files, and then works again. Requests must be served
+// throughout, the previous list must stay intact, and the list must be saved although it has not changed since.
 func TestListSaveIsRetried(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENOSPC, syscall.EIO} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -56,8 +56,8 @@
 	}
 }
 
-// A list was saved an hour ago by the wall clock, or an hour in the future. Its nodes keep the age they had: the clock may have been stepped,
-// and a node that is warming up but taken for warm would get too much load.
+// A list was saved an hour ago by the wall clock, or an hour in the future. Its nodes keep the age they had: the clock
+// may have been stepped, and a node that is warming up but taken for warm would get too much load.
 func TestSavedAgesIgnoreWallClock(t *testing.T) {
 	const upMs = 400.0
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
--- a/internal/serve/meter.go
+++ b/internal/serve/meter.go
@@ -11,8 +11,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// metricsCollector collects the metrics of a marshal when they are requested. It reads counters that the loops keep anyway, so that a
-// request neither waits for a stalled core nor takes time from a busy one.
+// metricsCollector collects the metrics of a marshal when they are requested. It reads counters that the loops keep
+// anyway, so that a request neither waits for a stalled core nor takes time from a busy one.
 type metricsCollector struct{ m *Marshal }
 
 var (
--- a/internal/serve/open.go
+++ b/internal/serve/open.go
@@ -15,7 +15,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// While the machine lacks resources for a socket, a start retries for shortageTimeout, at intervals of shortageRetryInterval.
+// While the machine lacks resources for a socket, a start retries for shortageTimeout, at intervals of
+// shortageRetryInterval.
 const (
 	shortageTimeout       = 5 * time.Second
 	shortageRetryInterval = 10 * time.Millisecond
--- a/internal/serve/outside.go
+++ b/internal/serve/outside.go
@@ -8,8 +8,8 @@
 	"arrowcleat/balance"
 )
 
-// Now returns the clock time in ms at which the current call of the loop began. Now and the methods below are what marshal.Core needs of
-// its surroundings.
+// Now returns the clock time in ms at which the current call of the loop began. Now and the methods below are what
+// marshal.Core needs of its surroundings.
 func (w *worker) Now() float64 { return w.loop.Now() }
 
 // After runs f on the loop after a time in ms.
--- a/internal/serve/reload.go
+++ b/internal/serve/reload.go
@@ -9,13 +9,14 @@
 	"arrowcleat/internal/settings"
 )
 
-// reloadable holds the settings that can change while a marshal runs. The module gets its settings once, at the start, and sockets and
-// files are opened once.
+// reloadable holds the settings that can change while a marshal runs. The module gets its settings once, at the start,
+// and sockets and files are opened once.
 var reloadable = map[string]bool{"limits.connections": true, "limits.open": true, "limits.repeat_body_bytes": true,
 	"limits.held_answer_bytes": true, "times.header_ms": true, "times.body_ms": true, "times.write_ms": true, "times.idle_ms": true,
 	"times.stop_ms": true, "log.level": true}
 
-// Reload applies new settings, all of them or none. It returns the differences; the error names those that need a restart.
+// Reload applies new settings, all of them or none. It returns the differences; the error names those that need a
+// restart.
 func (m *Marshal) Reload(set *settings.Settings, level *slog.LevelVar) ([]lang.Change, error) {
 	m.reloadMu.Lock() // one reload at a time
 	defer m.reloadMu.Unlock()
--- a/internal/serve/rig_test.go
+++ b/internal/serve/rig_test.go
@@ -65,7 +65,8 @@
 	Log *slog.Logger // nil: discarded
 }
 
-// startRig starts a service registry, nodes that each run the script, and a marshal, and waits until the marshal knows the nodes.
+// startRig starts a service registry, nodes that each run the script, and a marshal, and waits until the marshal knows
+// the nodes.
 func startRig(t *testing.T, nodes int, node nodeScript, change func(*settings.Settings), hooks testHooks) *testRig {
 	t.Helper()
 	set, err := settings.Parse("rig", []byte(settingsText))
--- a/internal/serve/scarce_test.go
+++ b/internal/serve/scarce_test.go
@@ -57,8 +57,8 @@
 	return l.TCPListener.Accept()
 }
 
-// Accept fails during a stop, for longer than the final check of the accept queue once took: the listener was closed while the queue held
-// a request, which was reset.
+// Accept fails during a stop, for longer than the final check of the accept queue once took: the listener was closed
+// while the queue held a request, which was reset.
 func TestAcceptFailsDuringStop(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ENFILE, syscall.EMFILE, syscall.ENOBUFS, syscall.ECONNABORTED} {
 		t.Run(errno.Error(), func(t *testing.T) {
@@ -85,8 +85,8 @@
 	}
 }
 
-// Connecting to nodes fails briefly for a reason of the marshal's own machine. Each attempt was counted against the node, and the request
-// used up its attempts within a millisecond and was terminated.
+// Connecting to nodes fails briefly for a reason of the marshal's own machine. Each attempt was counted against the
+// node, and the request used up its attempts within a millisecond and was terminated.
 func TestTransientConnectFailure(t *testing.T) {
 	const outage = 60 * time.Millisecond
 	for _, errno := range []syscall.Errno{syscall.EADDRNOTAVAIL, syscall.ENETUNREACH, syscall.ENOBUFS, syscall.EMFILE} {
@@ -131,8 +131,8 @@
 	}
 }
 
-// The marshal ends at once, as after a second stop signal or a panic of its module, while a request waits in the accept queue. The request
-// must still be accepted and answered as not taken.
+// The marshal ends at once, as after a second stop signal or a panic of its module, while a request waits in the accept
+// queue. The request must still be accepted and answered as not taken.
 func TestImmediateEndAnswersAcceptQueue(t *testing.T) {
 	n := &faultyNetwork{}
 	r := startRig(t, 1, echoPath, nil, testHooks{Hooks: Hooks{Listen: n.listen}})
@@ -160,8 +160,9 @@
 	return c.TCPConn.Write(b)
 }
 
-// A dispatch was decided on before its node was reported as draining. It is about to be written just before the grace period ends, and the
-// marshal is not scheduled for 0.15 s between the final check and the write. The request reached the node 0.1 s after the grace period.
+// A dispatch was decided on before its node was reported as draining. It is about to be written just before the grace
+// period ends, and the marshal is not scheduled for 0.15 s between the final check and the write. The request reached
+// the node 0.1 s after the grace period.
 func TestSchedulingDelayBeforeWriteToDrainingNode(t *testing.T) {
 	const schedulingDelay, grace = 150 * time.Millisecond, 300 * time.Millisecond
 	connected := make(chan struct{})
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -181,8 +181,9 @@
 	return m, nil
 }
 
-// awaitFirstLists waits for the first node list of every pool, up to the timeout. A new process would otherwise dispatch by the list
-// it saved last, to nodes that the current list already excludes. The cost: where no list arrives, the marshal serves that much later.
+// awaitFirstLists waits for the first node list of every pool, up to the timeout. A new process would otherwise
+// dispatch by the list it saved last, to nodes that the current list already excludes. The cost: where no list arrives,
+// the marshal serves that much later.
 func (m *Marshal) awaitFirstLists(timeout time.Duration) {
 	expired := time.After(timeout)
 	for _, p := range m.pools {
@@ -215,8 +216,8 @@
 	}
 }
 
-// runLoop runs the loop of a core. If a module panics, the open invocations of that core are terminated. With several cores the core
-// then restarts, unless it panics repeatedly.
+// runLoop runs the loop of a core. If a module panics, the open invocations of that core are terminated. With several
+// cores the core then restarts, unless it panics repeatedly.
 func (m *Marshal) runLoop(core int, hooks Hooks, seed uint64) {
 	defer m.running.Done()
 	l := m.Loops[core]
@@ -264,8 +265,8 @@
 	return ""
 }
 
-// Snapshot returns a copy of the counters of the marshal, or of its first pool if there are several. It returns false once the marshal has
-// ended.
+// Snapshot returns a copy of the counters of the marshal, or of its first pool if there are several. It returns false
+// once the marshal has ended.
 func (m *Marshal) Snapshot() (marshal.Record, bool) {
 	r, err := m.PoolSnapshot(context.Background(), 0)
 	return r, err == nil
@@ -287,7 +288,8 @@
 	return total, nil
 }
 
-// peerMessage passes a message of a peer to the pool that it is for. With several pools the message begins with the pool number.
+// peerMessage passes a message of a peer to the pool that it is for. With several pools the message begins with the
+// pool number.
 func (m *Marshal) peerMessage(from int, text string) {
 	p := m.pools[0]
 	if len(m.pools) > 1 {
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -23,8 +23,8 @@
 
 const get = "GET /%s HTTP/1.1\nHost: x\n\n"
 
-// Nodes fail on their first request of a path in different ways. For each kind of operation, the table holds what the client gets and how
-// many requests reach nodes.
+// Nodes fail on their first request of a path in different ways. For each kind of operation, the table holds what the
+// client gets and how many requests reach nodes.
 func TestNodeFailures(t *testing.T) {
 	writeThenClose := func(output string) nodeScript { // a node that closes after a part of a response
 		return func(r *testRig, c net.Conn, b *bufio.Reader) {
@@ -89,8 +89,8 @@
 	}
 }
 
-// A kept connection that the node closes while a request is written does not prove that the request never ran. A connection that is already
-// closed is replaced.
+// A kept connection that the node closes while a request is written does not prove that the request never ran. A
+// connection that is already closed is replaced.
 func TestKeptConnectionCloses(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		if req, _, complete := r.readRequest(b); complete {
@@ -435,8 +435,8 @@
 	}
 }
 
-// A marshal that was killed and started again begins with its saved list, although the service registry is gone. A truncated or malformed
-// list is an error.
+// A marshal that was killed and started again begins with its saved list, although the service registry is gone. A
+// truncated or malformed list is an error.
 func TestRestartFromDisk(t *testing.T) {
 	file := tempFile(t, "list")
 	r := startRig(t, 2, echoPath, func(s *settings.Settings) { s.Roster.File = file }, testHooks{})
@@ -525,8 +525,8 @@
 	}
 }
 
-// While the loop is stalled, invocations that it has accepted are terminated and others are rejected, both within the client's time limit. Once
-// the loop continues, nothing more is sent for either.
+// While the loop is stalled, invocations that it has accepted are terminated and others are rejected, both within the
+// client's time limit. Once the loop continues, nothing more is sent for either.
 func TestLoopStalls(t *testing.T) {
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
 		if req, _, complete := r.readRequest(b); complete && req.URL.Path == "/once" {
@@ -557,9 +557,10 @@
 	}
 }
 
-// The loop is blocked inside the call that decides on a dispatch, past the client's time limit, and the connection answers by itself. The
-// dispatch command came after that and was neither executed nor reported: the record stayed at one open invocation, the module at one dispatch
-// in flight, and a stop waited its whole time. A dispatch decided on after the answer must end as never sent.
+// The loop is blocked inside the call that decides on a dispatch, past the client's time limit, and the connection
+// answers by itself. The dispatch command came after that and was neither executed nor reported: the record stayed at
+// one open invocation, the module at one dispatch in flight, and a stop waited its whole time. A dispatch decided on
+// after the answer must end as never sent.
 func TestDispatchAfterClientWasAnswered(t *testing.T) {
 	var blockNext atomic.Bool
 	release := make(chan struct{})
@@ -585,9 +586,9 @@
 	c.expect("200 succeeded")
 }
 
-// The loop is blocked for 0.3 s inside the call that decides on a dispatch to a node that then hangs. The timeout of the dispatch was decided
-// before the delay but counted from the start of the dispatch, so that the answer came that much after the client's time limit. The client's
-// time limit must bound a dispatch whenever it starts.
+// The loop is blocked for 0.3 s inside the call that decides on a dispatch to a node that then hangs. The timeout of
+// the dispatch was decided before the delay but counted from the start of the dispatch, so that the answer came that
+// much after the client's time limit. The client's time limit must bound a dispatch whenever it starts.
 func TestLateDispatchStaysWithinClientTimeLimit(t *testing.T) {
 	const limit, delay = 500 * time.Millisecond, 300 * time.Millisecond
 	r := startRig(t, 1, func(r *testRig, c net.Conn, b *bufio.Reader) {
@@ -645,7 +646,8 @@
 	other.expect("200 succeeded x")
 }
 
-// A node is reported as draining in the middle of a burst. Nothing new is dispatched to it from then on, even within the grace period.
+// A node is reported as draining in the middle of a burst. Nothing new is dispatched to it from then on, even within
+// the grace period.
 func TestDrainInBurst(t *testing.T) {
 	r := startRig(t, 2, echoPath, nil, testHooks{})
 	before := 0
@@ -698,7 +700,8 @@
 	}
 }
 
-// A node whose accept queue is full accepts no connection. A request for it provably never ran, and is sent to another node.
+// A node whose accept queue is full accepts no connection. A request for it provably never ran, and is sent to another
+// node.
 func TestAcceptQueueFull(t *testing.T) {
 	address, _ := fullAcceptQueue(t)
 	r := startRig(t, 1, echoPath, func(s *settings.Settings) { s.Times.DialMs = 60 }, testHooks{})
@@ -785,8 +788,8 @@
 	second.expect("503 not-taken too many connections")
 }
 
-// Two pools in one marshal: each invocation goes to the nodes of its pool. Builds, stage updates and the loss of all nodes of one pool do not
-// affect the other.
+// Two pools in one marshal: each invocation goes to the nodes of its pool. Builds, stage updates and the loss of all
+// nodes of one pool do not affect the other.
 func TestPools(t *testing.T) {
 	respondAs := func(name string) nodeScript {
 		return func(r *testRig, c net.Conn, b *bufio.Reader) {
--- a/internal/serve/stop.go
+++ b/internal/serve/stop.go
@@ -31,8 +31,8 @@
 // ErrLoopBlocked is returned when the marshal has ended but a call of one of its loops has not.
 var ErrLoopBlocked = errors.New("a call of an event loop still blocks: the marshal has ended without waiting for it")
 
-// Stop accepts no new invocations and lets open ones complete within the stop time. It ends the marshal once no connection is left that
-// may still carry a request.
+// Stop accepts no new invocations and lets open ones complete within the stop time. It ends the marshal once no
+// connection is left that may still carry a request.
 func (m *Marshal) Stop() error {
 	m.Front.Stop()
 	deadline := time.Now().Add(milliseconds(m.Front.Current().Times.StopMs))
@@ -48,8 +48,8 @@
 	return m.End()
 }
 
-// End ends the marshal at once and terminates open invocations. Clients are answered and disconnected whatever the loops do: before
-// waiting for the loops, and once more after, for invocations that a loop was just accepting.
+// End ends the marshal at once and terminates open invocations. Clients are answered and disconnected whatever the
+// loops do: before waiting for the loops, and once more after, for invocations that a loop was just accepting.
 func (m *Marshal) End() error {
 	m.endOnce.Do(func() {
 		m.Front.Abort()
