--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -129,8 +129,8 @@
 }
 
 // Requests that are under way when a marshal stops are answered completely: in the accept queue, accepted and unread,
-// half read, or at a node. A request that arrives while its connection is closed is answered or not read, so that its client
-// can tell, and reaches nodes at most once.
+// half read, or at a node. A request that arrives while its connection is closed is answered or not read, so that its
+// client can tell, and reaches nodes at most once.
 func TestStopUnderRequests(t *testing.T) {
 	const request = "GET /look%s HTTP/1.1\r\nHost: x\r\n\r\n"
 	for round := range 12 {
