--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -18,42 +18,42 @@
 	"arrowcleat/internal/settings"
 )
 
-// BenchmarkCores is what the decisions alone can do: whole invocations through loops, parts and modules of a running
-// marshal, with neither clients nor nodes on sockets. GOMAXPROCS is the number of cores.
+// BenchmarkCores measures decisions alone: complete invocations through the loops and modules of a running marshal,
+// without sockets of clients or nodes. GOMAXPROCS is the number of cores.
 func BenchmarkCores(b *testing.B) {
 	for _, nodes := range []int{300, 3000} {
 		for _, cores := range []int{1, 2, 4, 8} {
 			b.Run(fmt.Sprintf("nodes=%d/cores=%d", nodes, cores), func(b *testing.B) {
 				defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(cores))
-				m := benched(b, cores, nodes, "127.0.0.1:1")
+				m := startForBenchmark(b, cores, nodes, "127.0.0.1:1")
 				defer m.End()
-				g := m.groups[0]
-				load := &calmLoad{ended: make(chan struct{})}
-				load.upTo.Store(1 << 62)
-				for _, l := range g.lanes {
-					for range 2 { // that each core has open at once
-						c := &calmClient{l: l, calmLoad: load}
-						l.loop.Post(c.ask)
+				p := m.pools[0]
+				load := &closedLoopLoad{ended: make(chan struct{})}
+				load.target.Store(1 << 62)
+				for _, w := range p.workers {
+					for range 2 { // invocations open at once per core
+						c := &closedLoopClient{w: w, closedLoopLoad: load}
+						w.loop.Post(c.send)
 					}
 				}
-				time.Sleep(1500 * time.Millisecond) // until the modules know the pace of things
-				before, _ := m.Look()
+				time.Sleep(1500 * time.Millisecond) // until the modules have measured the rates
+				before, _ := m.Snapshot()
 				b.ReportAllocs()
 				b.ResetTimer()
-				load.upTo.Store(load.done.Load() + int64(b.N))
+				load.target.Store(load.done.Load() + int64(b.N))
 				<-load.ended
 				b.StopTimer()
-				if r, ok := m.Look(); !ok || r.Succeeded-before.Succeeded < int64(b.N)*9/10 {
-					b.Fatalf("%d of %d succeeded", r.Succeeded-before.Succeeded, b.N)
+				if r, ok := m.Snapshot(); !ok || r.Succeeded-before.Succeeded < int64(b.N)*9/10 {
+					b.Fatalf("%d of %d invocations succeeded", r.Succeeded-before.Succeeded, b.N)
 				}
 			})
 		}
 	}
 }
 
-// benched is a marshal that knows as many nodes, at one address.
-func benched(b *testing.B, cores, nodes int, address string) *Marshal {
-	set, err := settings.Parse("bench", []byte(text))
+// startForBenchmark starts a marshal that knows a number of nodes, all at one address.
+func startForBenchmark(b *testing.B, cores, nodes int, address string) *Marshal {
+	set, err := settings.Parse("bench", []byte(settingsText))
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -66,13 +66,13 @@
 	for i := range nodes {
 		lines = append(lines, control.Line{Node: balance.Node{ID: uint32(i + 1), Ver: 1, Size: 1}, Address: address})
 	}
-	m.groups[0].listed(true, lines)
-	m.groups[0].staged(1, 0, balance.Released, 1, 60000, false)
+	m.pools[0].nodesListed(true, lines)
+	m.pools[0].stageUpdate(1, 0, balance.Released, 1, 60000, false)
 	return m
 }
 
-// BenchmarkSockets is whole invocations from client to node and back, on loopback: clients, nodes and marshal share the
-// processors. Its profile tells what the marshal's socket side costs.
+// BenchmarkSockets measures complete invocations from client to node and back over loopback. Clients, nodes and marshal
+// share the processors. Its profile shows the cost of the marshal's socket handling.
 func BenchmarkSockets(b *testing.B) {
 	for _, cores := range []int{1, 4} {
 		b.Run(fmt.Sprintf("cores=%d", cores), func(b *testing.B) {
@@ -102,10 +102,10 @@
 					}()
 				}
 			}()
-			m := benched(b, cores, 300, ln.Addr().String())
+			m := startForBenchmark(b, cores, 300, ln.Addr().String())
 			defer m.End()
-			var left atomic.Int64
-			left.Store(int64(b.N))
+			var remaining atomic.Int64
+			remaining.Store(int64(b.N))
 			b.ReportAllocs()
 			b.ResetTimer()
 			var wg sync.WaitGroup
@@ -117,11 +117,11 @@
 						return
 					}
 					defer c.Close()
-					ask, buf := []byte("GET /look HTTP/1.1\r\nHost: x\r\n\r\n"), make([]byte, 4096)
-					for left.Add(-1) >= 0 {
-						c.Write(ask)
+					request, buf := []byte("GET /look HTTP/1.1\r\nHost: x\r\n\r\n"), make([]byte, 4096)
+					for remaining.Add(-1) >= 0 {
+						c.Write(request)
 						if n, err := c.Read(buf); err != nil || !bytes.HasPrefix(buf[:n], []byte("HTTP/1.1 ")) {
-							b.Errorf("%q %v", buf[:n], err)
+							b.Errorf("response %q, error %v", buf[:n], err)
 							return
 						}
 					}
@@ -132,43 +132,44 @@
 	}
 }
 
-// calmClient asks anew as soon as it is answered; its nodes answer at once.
-type calmClient struct {
-	*calmLoad
-	l  *lane
+// closedLoopClient sends the next invocation as soon as one completes. Its nodes answer at once.
+type closedLoopClient struct {
+	*closedLoopLoad
+	w  *worker
 	id string
 }
 
-type calmLoad struct {
-	done, upTo atomic.Int64
-	ended      chan struct{}
+// closedLoopLoad counts completed invocations until a target is reached.
+type closedLoopLoad struct {
+	done, target atomic.Int64
+	ended        chan struct{}
 }
 
-var _ marshal.Exchange = (*calmClient)(nil)
+var _ marshal.Exchange = (*closedLoopClient)(nil)
 
-func (c *calmClient) ask() {
-	c.id = c.l.core.Arrived(c, 0, 0, "", 500, 0, false, false)
+func (c *closedLoopClient) send() {
+	c.id = c.w.core.Arrived(c, 0, 0, "", 500, 0, false, false)
 }
 
-func (c *calmClient) Dispatch(no int, _ uint32, _ string, _ float64) {
-	c.l.loop.Post(func() {
-		c.l.core.Ended(c.id, no, balance.Succeeded, 5, true, nil)
-		c.over()
+func (c *closedLoopClient) Dispatch(no int, _ uint32, _ string, _ float64) {
+	c.w.loop.Post(func() {
+		c.w.core.Ended(c.id, no, balance.Succeeded, 5, true, nil)
+		c.completed()
 	})
 }
 
-func (c *calmClient) over() {
-	n, last := c.done.Add(1), c.upTo.Load()
-	if n == last {
+func (c *closedLoopClient) completed() {
+	n, target := c.done.Add(1), c.target.Load()
+	if n == target {
 		close(c.ended)
 	}
-	if n < last {
-		c.l.loop.Post(c.ask)
+	if n < target {
+		c.w.loop.Post(c.send)
 	}
 }
 
-func (c *calmClient) Throttle(float64) { c.over() }
-func (c *calmClient) Terminate()       { c.over() }
-func (c *calmClient) Cancel(int)       {}
-func (c *calmClient) Let()             {}
-func (c *calmClient) Abrupt()          {}
+func (c *closedLoopClient) Throttle(float64) { c.completed() }
+func (c *closedLoopClient) Terminate()       { c.completed() }
+func (c *closedLoopClient) Cancel(int)       {}
+func (c *closedLoopClient) Let()             {}
+func (c *closedLoopClient) Abrupt()          {}
--- a/internal/serve/open.go
+++ b/internal/serve/open.go
@@ -15,25 +15,26 @@
 	"arrowcleat/internal/settings"
 )
 
-// How long a start goes on trying where the machine lacks what a socket takes, and how long it waits in between.
+// While the machine lacks resources for a socket, a start retries for shortageTimeout, at intervals of
+// shortageRetryInterval.
 const (
-	scarceFor   = 5 * time.Second
-	scarceEvery = 10 * time.Millisecond
+	shortageTimeout       = 5 * time.Second
+	shortageRetryInterval = 10 * time.Millisecond
 )
 
-// whileScarce opens something, and tries again while the machine lacks what it takes for a moment.
-func whileScarce(open func() error) error {
-	for end := time.Now().Add(scarceFor); ; time.Sleep(scarceEvery) {
-		if err := open(); err == nil || !back.Scarce(err) || time.Now().After(end) {
+// retryOnShortage calls open, and repeats it while it fails for a temporary shortage of resources.
+func retryOnShortage(open func() error) error {
+	for deadline := time.Now().Add(shortageTimeout); ; time.Sleep(shortageRetryInterval) {
+		if err := open(); err == nil || !back.Scarce(err) || time.Now().After(deadline) {
 			return err
 		}
 	}
 }
 
-// open opens the sockets and files; what was opened is closed if one can't be.
+// open opens the sockets and files of the marshal. If one fails, those already opened are closed.
 func (m *Marshal) open(listenOn func(network, address string) (net.Listener, error)) (err error) {
 	listen := func(address string) (ln net.Listener, err error) {
-		err = whileScarce(func() error {
+		err = retryOnShortage(func() error {
 			ln, err = listenOn("tcp", address)
 			return err
 		})
@@ -44,82 +45,83 @@
 			m.closeSockets()
 		}
 	}()
-	for _, l := range append([]*settings.Listener{{Name: settings.MainListener, Address: m.Set.Listen.Invocations}}, m.Set.Listener...) {
+	for _, l := range append([]*settings.Listener{{Name: settings.MainListener, Address: m.Settings.Listen.Invocations}}, m.Settings.Listener...) {
 		ln, err := listen(l.Address)
 		if err != nil {
 			return fmt.Errorf("listener %s: %w", l.Name, err)
 		}
-		m.lns = append(m.lns, front.Listener{Listener: ln, Name: l.Name})
+		m.listeners = append(m.listeners, front.Listener{Listener: ln, Name: l.Name})
 	}
-	if m.Set.Listen.Peers != "" {
-		address, err := net.ResolveUDPAddr("udp", m.Set.Listen.Peers)
+	if m.Settings.Listen.Peers != "" {
+		address, err := net.ResolveUDPAddr("udp", m.Settings.Listen.Peers)
 		if err != nil {
 			return fmt.Errorf("listen.peers: %w", err)
 		}
 		var conn *net.UDPConn
-		if err := whileScarce(func() error { conn, err = net.ListenUDP("udp", address); return err }); err != nil {
+		if err := retryOnShortage(func() error { conn, err = net.ListenUDP("udp", address); return err }); err != nil {
 			return fmt.Errorf("listen.peers: %w", err)
 		}
-		peers := &control.Peers{Number: int(m.Set.Instance.Number), Conn: conn, To: map[int]*net.UDPAddr{}, Told: m.told,
-			Bad: func(err error) { m.Log.Warn("between marshals", "err", err) }}
+		peers := &control.Peers{Number: int(m.Settings.Instance.Number), Conn: conn, To: map[int]*net.UDPAddr{}, Told: m.peerMessage,
+			Bad: func(err error) { m.Log.Warn("message from peer rejected", "err", err) }}
 		m.peers = peers
-		for _, p := range m.Set.Peer {
+		for _, p := range m.Settings.Peer {
 			if peers.To[int(p.Number)], err = net.ResolveUDPAddr("udp", p.Address); err != nil {
 				return fmt.Errorf("peer %d: %w", p.Number, err)
 			}
 		}
 	}
-	if m.Set.Listen.Metrics != "" {
-		if m.meter, err = listen(m.Set.Listen.Metrics); err != nil {
+	if m.Settings.Listen.Metrics != "" {
+		if m.metricsListener, err = listen(m.Settings.Listen.Metrics); err != nil {
 			return fmt.Errorf("listen.metrics: %w", err)
 		}
 	}
-	for _, l := range m.all() {
-		r := l.set.Record
-		if r.File == "" {
+	for _, w := range m.allWorkers() {
+		recording := w.settings.Record
+		if recording.File == "" {
 			continue
 		}
-		if err = os.MkdirAll(filepath.Dir(r.File), 0o755); err != nil {
+		if err = os.MkdirAll(filepath.Dir(recording.File), 0o755); err != nil {
 			return fmt.Errorf("record.file: %w", err)
 		}
-		if l.rec, err = record.Create(l.recordFile(), int64(r.MostBytes)); err != nil {
+		if w.recorder, err = record.Create(w.recordFile(), int64(recording.MostBytes)); err != nil {
 			return fmt.Errorf("record.file: %w", err)
 		}
 	}
 	return nil
 }
 
-// all are the lanes of all groups.
-func (m *Marshal) all() (lanes []*lane) {
-	for _, g := range m.groups {
-		lanes = append(lanes, g.lanes...)
+// allWorkers returns the workers of all pools.
+func (m *Marshal) allWorkers() (workers []*worker) {
+	for _, p := range m.pools {
+		workers = append(workers, p.workers...)
 	}
-	return lanes
+	return workers
 }
 
-// recordFile is where an instance is recorded: each in a file of its own.
-func (l *lane) recordFile() string {
-	file := l.set.Record.File
-	if len(l.lanes) > 1 {
+// recordFile returns the file in which a worker is recorded. Each worker has a file of its own.
+func (w *worker) recordFile() string {
+	file := w.settings.Record.File
+	if len(w.workers) > 1 {
 		ext := filepath.Ext(file)
-		file = fmt.Sprintf("%s.core%d%s", strings.TrimSuffix(file, ext), l.instance, ext)
+		file = fmt.Sprintf("%s.core%d%s", strings.TrimSuffix(file, ext), w.instance, ext)
 	}
 	return file
 }
 
+// closeSockets closes the sockets and recordings of the marshal.
 func (m *Marshal) closeSockets() {
-	for _, ln := range m.lns {
+	for _, ln := range m.listeners {
 		ln.Close()
 	}
 	if m.peers != nil {
 		m.peers.Close()
 	}
-	if m.meter != nil {
-		m.meter.Close()
+	if m.metricsListener != nil {
+		m.metricsListener.Close()
 	}
-	for _, l := range m.all() {
-		if l.rec != nil {
-			l.rec.Close()
+	for _, w := range m.allWorkers() {
+		if w.recorder != nil {
+			w.recorder.Close()
 		}
 	}
 }
--- a/internal/serve/outside.go
+++ b/internal/serve/outside.go
@@ -8,50 +8,57 @@
 	"arrowcleat/balance"
 )
 
-// Now and the methods below are marshal.Outside.
-func (l *lane) Now() float64 { return l.loop.Now() }
+// Now returns the clock time in ms at which the current call of the loop began. Now and the methods below are what
+// marshal.Core needs of its surroundings.
+func (w *worker) Now() float64 { return w.loop.Now() }
 
-func (l *lane) After(ms float64, f func()) { l.loop.After(ms, f) }
+// After runs f on the loop after a time in ms.
+func (w *worker) After(ms float64, f func()) { w.loop.After(ms, f) }
 
-func (l *lane) Probe(node uint32, address string) {
-	if !l.set.Limits.Probes {
+// Probe probes a node if the settings enable probes, and posts the outcome to the loop.
+func (w *worker) Probe(node uint32, address string) {
+	if !w.settings.Limits.Probes {
 		return
 	}
-	m := l.m
+	m := w.m
 	m.background(func() {
 		start := time.Now()
-		how, report := m.pool.Probe(context.Background(), address, l.set.Limits.ProbePath)
-		took := float64(time.Since(start)) / float64(time.Millisecond)
-		l.loop.Post(func() { l.events().Probed(node, how, took, report) })
+		outcome, report := m.upstream.Probe(context.Background(), address, w.settings.Limits.ProbePath)
+		tookMs := float64(time.Since(start)) / float64(time.Millisecond)
+		w.loop.Post(func() { w.module().Probed(node, outcome, tookMs, report) })
 	})
 }
 
-func (l *lane) Fetch() {
-	if l.roster != nil {
-		l.roster.Fetch()
+// Fetch requests the node list of the service registry.
+func (w *worker) Fetch() {
+	if w.registry != nil {
+		w.registry.Fetch()
 	}
 }
 
-func (l *lane) Watch(on bool) {
-	if l.roster != nil {
-		l.roster.Watch(on)
+// Watch starts or stops updates of the node list.
+func (w *worker) Watch(on bool) {
+	if w.registry != nil {
+		w.registry.Watch(on)
 	}
 }
 
-func (l *lane) Vote(ver, stage int, verdict balance.Verdict) {
-	if l.conveyor != nil {
-		l.conveyor.Vote(ver, stage, verdict)
+// Vote sends a vote to the rollout service. Without one the vote fails.
+func (w *worker) Vote(ver, stage int, verdict balance.Verdict) {
+	if w.rollout != nil {
+		w.rollout.Vote(ver, stage, verdict)
 	} else {
-		l.After(0, func() { l.voter().events().VoteFailed(balance.Ignored) })
+		w.After(0, func() { w.finishVote().module().VoteFailed(balance.Ignored) })
 	}
 }
 
-func (l *lane) Tell(peer int, text string) {
-	if l.m.peers == nil {
+// Tell sends a message to a peer, with the number of the pool if there are several.
+func (w *worker) Tell(peer int, text string) {
+	if w.m.peers == nil {
 		return
 	}
-	if len(l.m.groups) > 1 {
-		text = strconv.Itoa(l.number) + " " + text
+	if len(w.m.pools) > 1 {
+		text = strconv.Itoa(w.number) + " " + text
 	}
-	l.m.peers.Tell(peer, text)
+	w.m.peers.Tell(peer, text)
 }
--- a/internal/serve/rig_test.go
+++ b/internal/serve/rig_test.go
@@ -25,7 +25,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const text = `
+const settingsText = `
 instance { marshals: 1 zone: "here" }
 listen { invocations: "127.0.0.1:0" }
 zone: "here"
@@ -42,47 +42,49 @@
   votes_per_s: 10 stage { part: 1 cap: 1 } }
 `
 
-// script plays a node's side of one connection; got counts the requests that reached any node.
-type script func(r *rig, c net.Conn, b *bufio.Reader)
+// nodeScript serves one connection as a node.
+type nodeScript func(r *testRig, c net.Conn, b *bufio.Reader)
 
-type rig struct {
-	t      *testing.T
-	set    *settings.Settings
-	m      *Marshal
-	roster *standin.Roster
-	mu     sync.Mutex
-	paths  []string // of the requests that reached nodes, in order
-	wg     sync.WaitGroup
-	lns    []net.Listener
-	conns  []net.Conn
-	gate   chan struct{} // closed to let nodes that wait go on
+// testRig is a running marshal with its service registry and nodes.
+type testRig struct {
+	t             *testing.T
+	settings      *settings.Settings
+	m             *Marshal
+	registry      *standin.Roster
+	mu            sync.Mutex
+	paths         []string // paths of the requests that reached nodes, in order
+	wg            sync.WaitGroup
+	nodeListeners []net.Listener
+	nodeConns     []net.Conn
+	release       chan struct{} // closed to release nodes that wait
 }
 
-// rigHooks are the marshal's hooks, and its log where that is looked at.
-type rigHooks struct {
+// testHooks are the hooks of the marshal, and its log if a test reads it.
+type testHooks struct {
 	Hooks
-	Log *slog.Logger
+	Log *slog.Logger // nil: discarded
 }
 
-// start runs a marshal before nodes that each play the script, and waits until it knows them.
-func start(t *testing.T, nodes int, play script, change func(*settings.Settings), hooks rigHooks) *rig {
+// startRig starts a service registry, nodes that each run the script, and a marshal, and waits until the marshal knows
+// the nodes.
+func startRig(t *testing.T, nodes int, node nodeScript, change func(*settings.Settings), hooks testHooks) *testRig {
 	t.Helper()
-	set, err := settings.Parse("rig", []byte(text))
+	set, err := settings.Parse("rig", []byte(settingsText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &rig{t: t, set: set, roster: &standin.Roster{}, gate: make(chan struct{})}
-	if err := r.roster.Start("127.0.0.1:0"); err != nil {
+	r := &testRig{t: t, settings: set, registry: &standin.Roster{}, release: make(chan struct{})}
+	if err := r.registry.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
-	set.Roster.Address, set.Seed = r.roster.Address(), 7
+	set.Roster.Address, set.Seed = r.registry.Address(), 7
 	for i := range nodes {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		r.lns = append(r.lns, ln)
-		r.list(uint32(i+1), ln.Addr().String(), balance.Serving)
+		r.nodeListeners = append(r.nodeListeners, ln)
+		r.setNode(uint32(i+1), ln.Addr().String(), balance.Serving)
 		r.wg.Go(func() {
 			for {
 				c, err := ln.Accept()
@@ -90,9 +92,9 @@
 					return
 				}
 				r.mu.Lock()
-				r.conns = append(r.conns, c)
+				r.nodeConns = append(r.nodeConns, c)
 				r.mu.Unlock()
-				r.wg.Go(func() { defer c.Close(); play(r, c, bufio.NewReader(c)) })
+				r.wg.Go(func() { defer c.Close(); node(r, c, bufio.NewReader(c)) })
 			}
 		})
 	}
@@ -108,27 +110,29 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(r.close)
-	r.until("the marshal knows its nodes", func() bool { l, _ := r.m.Look(); return len(l.Nodes) >= nodes })
+	r.waitFor("the marshal knows its nodes", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) >= nodes })
 	return r
 }
 
-func (r *rig) list(id uint32, address string, health balance.Health) {
-	r.roster.Set(control.Line{Node: balance.Node{ID: id, Ver: 1, Size: 1, Health: health}, Address: address}, 0)
+// setNode sets a node of build 1 in the service registry.
+func (r *testRig) setNode(id uint32, address string, health balance.Health) {
+	r.registry.Set(control.Line{Node: balance.Node{ID: id, Ver: 1, Size: 1, Health: health}, Address: address}, 0)
 }
 
-func (r *rig) close() {
+// close ends the marshal, the service registry and the nodes.
+func (r *testRig) close() {
 	r.m.End()
-	r.roster.Close()
-	for _, ln := range r.lns {
+	r.registry.Close()
+	for _, ln := range r.nodeListeners {
 		ln.Close()
 	}
 	select {
-	case <-r.gate:
+	case <-r.release:
 	default:
-		close(r.gate)
+		close(r.release)
 	}
 	r.mu.Lock()
-	for _, c := range r.conns {
+	for _, c := range r.nodeConns {
 		c.Close()
 	}
 	r.mu.Unlock()
@@ -136,38 +140,40 @@
 	http.DefaultTransport.(*http.Transport).CloseIdleConnections()
 }
 
-func (r *rig) until(what string, is func() bool) {
+// waitFor waits up to 2 s until a condition holds.
+func (r *testRig) waitFor(condition string, holds func() bool) {
 	r.t.Helper()
 	for range 400 {
-		if is() {
+		if holds() {
 			return
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
-	r.t.Fatalf("it never came that %s", what)
+	r.t.Fatalf("timed out waiting until %s", condition)
 }
 
-// request reads a request at a node, whole, and counts it.
-func (r *rig) request(b *bufio.Reader) (*http.Request, []byte, bool) {
-	q, err := http.ReadRequest(b)
+// readRequest reads a complete request at a node and records its path.
+func (r *testRig) readRequest(b *bufio.Reader) (*http.Request, []byte, bool) {
+	req, err := http.ReadRequest(b)
 	if err != nil {
 		return nil, nil, false
 	}
-	body, err := io.ReadAll(q.Body)
+	body, err := io.ReadAll(req.Body)
 	r.mu.Lock()
-	r.paths = append(r.paths, q.URL.Path)
+	r.paths = append(r.paths, req.URL.Path)
 	r.mu.Unlock()
-	return q, body, err == nil
+	return req, body, err == nil
 }
 
-func (r *rig) got() int {
+// received returns how many requests have reached nodes.
+func (r *testRig) received() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return len(r.paths)
 }
 
-// first says that this is the first request that reached a node for a path.
-func (r *rig) first(path string) bool {
+// isFirst reports whether exactly one request for a path has reached a node.
+func (r *testRig) isFirst(path string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
@@ -179,29 +185,31 @@
 	return n == 1
 }
 
-// ok answers every request with its path.
-func ok(r *rig, c net.Conn, b *bufio.Reader) {
+// echoPath is a node that answers every request with its path.
+func echoPath(r *testRig, c net.Conn, b *bufio.Reader) {
 	for {
-		q, _, whole := r.request(b)
-		if !whole {
+		req, _, complete := r.readRequest(b)
+		if !complete {
 			return
 		}
-		answer(c, q.URL.Path)
+		respond(c, req.URL.Path)
 	}
 }
 
-func answer(c net.Conn, body string) {
+// respond writes a response with status 200.
+func respond(c net.Conn, body string) {
 	fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 }
 
-// client is a connection of a client's.
+// client is a client connection to the marshal.
 type client struct {
 	net.Conn
 	b *bufio.Reader
 	t *testing.T
 }
 
-func (r *rig) client() *client {
+// client connects a client to the marshal.
+func (r *testRig) client() *client {
 	c, err := net.Dial("tcp", r.m.Address())
 	if err != nil {
 		r.t.Fatal(err)
@@ -210,6 +218,7 @@
 	return &client{c, bufio.NewReader(c), r.t}
 }
 
+// send formats and sends a request, with CRLF for each newline.
 func (c *client) send(format string, a ...any) {
 	c.t.Helper()
 	if _, err := io.WriteString(c, strings.ReplaceAll(fmt.Sprintf(format, a...), "\n", "\r\n")); err != nil {
@@ -217,37 +226,38 @@
 	}
 }
 
-// read gives status, final answer and body of the next response.
-func (c *client) read() (line string) {
+// read returns the status, the Arrowcleat-Answer header field and the body of the next response, or what went wrong.
+func (c *client) read() (summary string) {
 	c.SetReadDeadline(time.Now().Add(3 * time.Second))
-	q, err := http.ReadResponse(c.b, nil)
+	resp, err := http.ReadResponse(c.b, nil)
 	if err != nil {
 		return "no answer: " + err.Error()
 	}
-	body, err := io.ReadAll(q.Body)
+	body, err := io.ReadAll(resp.Body)
 	if err != nil {
 		return "broken off: " + err.Error()
 	}
 	if len(body) > 60 {
 		body = fmt.Appendf(nil, "%d bytes", len(body))
 	}
-	return fmt.Sprintf("%d %s %s", q.StatusCode, q.Header.Get("Arrowcleat-Answer"), bytes.TrimSpace(body))
+	return fmt.Sprintf("%d %s %s", resp.StatusCode, resp.Header.Get("Arrowcleat-Answer"), bytes.TrimSpace(body))
 }
 
+// expect checks that the summary of the next response begins with want.
 func (c *client) expect(want string) {
 	c.t.Helper()
 	if got := c.read(); !strings.HasPrefix(got, want) {
-		c.t.Errorf("the client got %q, not %q", got, want)
+		c.t.Errorf("the client got %q, want prefix %q", got, want)
 	}
 }
 
-// silent says that nothing more comes.
-func (c *client) silent() {
+// expectSilence checks that the client receives nothing more for 150 ms.
+func (c *client) expectSilence() {
 	c.t.Helper()
 	c.SetReadDeadline(time.Now().Add(150 * time.Millisecond))
 	if b, err := c.b.Peek(1); err == nil {
 		rest, _ := c.b.Peek(min(c.b.Buffered(), 80))
-		c.t.Errorf("after its answer the client got %q%q", b, rest)
+		c.t.Errorf("after the response the client got %q, buffered %q", b, rest)
 	}
 }
 
--- a/internal/serve/stop.go
+++ b/internal/serve/stop.go
@@ -8,10 +8,10 @@
 	"arrowcleat/internal/loop"
 )
 
-// fail ends the marshal: one of its cores has.
+// fail ends the marshal because the loop of a core has failed.
 func (m *Marshal) fail(err error) {
-	m.failed.Do(func() {
-		m.endsWith(err)
+	m.failOnce.Do(func() {
+		m.addError(err)
 		for _, l := range m.Loops {
 			l.Stop()
 		}
@@ -19,39 +19,39 @@
 	})
 }
 
-// Ended is closed once the marshal has nothing left to run on: after Stop, Kill, or a panic of its module.
+// Ended returns a channel that is closed once all loops have ended: after Stop, End, Kill, or a panic of the module.
 func (m *Marshal) Ended() <-chan struct{} { return m.ended }
 
-// How long the end of a marshal waits for its loops, whose calls it can't break off.
+// How long the end of a marshal waits for its loops, whose calls cannot be interrupted.
 const (
-	askWithin     = 100 * time.Millisecond // for what a loop owes, before it is taken to stand still
-	loopEndWithin = 200 * time.Millisecond // for it to end
+	queryTimeout    = 100 * time.Millisecond // for the number of open invocations, before a loop counts as stalled
+	loopStopTimeout = 200 * time.Millisecond // for the loops to end
 )
 
-// ErrLoopBlocked says that the marshal has ended but a call of one of its loops has not.
-var ErrLoopBlocked = errors.New("a call of the loop still blocks: the marshal has ended without it")
+// ErrLoopBlocked is returned when the marshal has ended but a call of one of its loops has not.
+var ErrLoopBlocked = errors.New("a call of an event loop still blocks: the marshal has ended without waiting for it")
 
-// Stop takes nothing new, lets what was taken end within its time, and ends once no connection is left that may still carry a
-// request.
+// Stop accepts no new invocations and lets open ones complete within the stop time. It ends the marshal once no
+// connection is left that may still carry a request.
 func (m *Marshal) Stop() error {
 	m.Front.Stop()
-	deadline := time.Now().Add(dur(m.Front.CurrentSettings().Times.StopMs))
+	deadline := time.Now().Add(milliseconds(m.Front.CurrentSettings().Times.StopMs))
 	for time.Now().Before(deadline) {
 		time.Sleep(5 * time.Millisecond)
 		if m.Front.OpenInvocations()+m.Front.Connections() > 0 {
 			continue
 		}
-		if open, err := m.owedByAll(); err != nil || open == 0 {
+		if open, err := m.openOnAllCores(); err != nil || open == 0 {
 			break
 		}
 	}
 	return m.End()
 }
 
-// End ends at once; what is open is terminated. Clients are answered and left whatever the loops do: before the loops are waited for, and
-// once more after, for what the loops were just taking.
+// End ends the marshal at once and terminates open invocations. Clients are answered and disconnected whatever the
+// loops do: before waiting for the loops, and once more after, for invocations that a loop was just accepting.
 func (m *Marshal) End() error {
-	m.once.Do(func() {
+	m.endOnce.Do(func() {
 		m.Front.Abort()
 		blocked := !m.stopLoops()
 		m.Front.Abort()
@@ -60,43 +60,44 @@
 		if m.peers != nil {
 			m.peers.Close()
 		}
-		m.pool.Close()
-		m.wg.Wait()
+		m.upstream.Close()
+		m.tasks.Wait()
 		if blocked {
-			m.endsWith(ErrLoopBlocked)
-			return // what it records is its own until it ends
+			m.addError(ErrLoopBlocked)
+			return // the recordings belong to the blocked loop until it ends
 		}
-		for _, l := range m.all() {
-			if l.rec != nil {
-				l.rec.Close()
+		for _, w := range m.allWorkers() {
+			if w.recorder != nil {
+				w.recorder.Close()
 			}
 		}
 	})
-	m.errs.Lock()
-	defer m.errs.Unlock()
+	m.errMu.Lock()
+	defer m.errMu.Unlock()
 	return m.err
 }
 
-func (m *Marshal) endsWith(err error) {
-	m.errs.Lock()
-	defer m.errs.Unlock()
+// addError adds to the error that End returns.
+func (m *Marshal) addError(err error) {
+	m.errMu.Lock()
+	defer m.errMu.Unlock()
 	m.err = errors.Join(m.err, err)
 }
 
-// Kill ends like a killed process: sockets close, nothing is answered, nothing is written any more.
+// Kill ends the marshal like a killed process: sockets close, no request is answered, and nothing more is written.
 func (m *Marshal) Kill() {
-	m.once.Do(func() {
+	m.endOnce.Do(func() {
 		m.Front.Kill()
 		m.stopLoops()
 		m.cancel()
 		m.closeSockets()
 		m.Front.Close(0)
-		m.pool.Close()
-		m.wg.Wait()
+		m.upstream.Close()
+		m.tasks.Wait()
 	})
 }
 
-// stopLoops ends the loops; false says that one has not ended.
+// stopLoops stops the loops. It returns false if one has not ended in time.
 func (m *Marshal) stopLoops() bool {
 	for _, l := range m.Loops {
 		l.Stop()
@@ -104,17 +105,17 @@
 	select {
 	case <-m.ended:
 		return true
-	case <-time.After(loopEndWithin):
+	case <-time.After(loopStopTimeout):
 		return false
 	}
 }
 
-// owedByAll counts the invocations that are open at all cores; the error says that one has ended or stands still.
-func (m *Marshal) owedByAll() (open int, err error) {
-	ctx, done := context.WithTimeout(context.Background(), askWithin)
-	defer done()
+// openOnAllCores counts the open invocations of all cores. It returns an error if a loop has ended or is stalled.
+func (m *Marshal) openOnAllCores() (open int, err error) {
+	ctx, cancel := context.WithTimeout(context.Background(), queryTimeout)
+	defer cancel()
 	for i, l := range m.Loops {
-		n, err := loop.Query(ctx, l, func() int { return m.owed(i) })
+		n, err := loop.Query(ctx, l, func() int { return m.openOn(i) })
 		if err != nil {
 			return 0, err
 		}
@@ -123,8 +124,8 @@
 	return open, nil
 }
 
-// owed counts the invocations that are open at a core; to be called on its loop.
-func (m *Marshal) owed(core int) (open int) {
-	m.lanesOf(core, func(l *lane) { open += l.core.Open() })
+// openOn counts the open invocations of a core. It must run on the loop of that core, or after that loop has ended.
+func (m *Marshal) openOn(core int) (open int) {
+	m.forEachWorker(core, func(w *worker) { open += w.core.Open() })
 	return open
 }
