--- a/divide/account.go
+++ b/divide/account.go
@@ -27,8 +27,8 @@
 
 // Lease is what one instance may expose until a time.
 type Lease struct {
-	N       int
-	Until   float64
+	Size       int
+	UntilMs   float64
 	version uint64
 }
 
@@ -99,9 +99,9 @@
 	return a.lives[instance]
 }
 
-// Staged tells where the newest build stands. It is to be called before any instance is told: leases drawn on
+// StageUpdate tells where the newest build stands. It is to be called before any instance is told: leases drawn on
 // another cap are void from then on.
-func (a *Account) Staged(ver int, phase balance.Phase, cap float64) {
+func (a *Account) StageUpdate(ver int, phase balance.Phase, cap float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.announced && ver < a.ver || a.announced && ver == a.ver && cap == a.cap && phase == a.phase {
@@ -119,8 +119,8 @@
 	return Scope{ver, -1}
 }
 
-// Took counts invocations of an operation that an instance took no earlier than at a time.
-func (a *Account) Took(op, n int, at float64) {
+// RecordAccepted counts invocations of an operation that an instance took no earlier than at a time.
+func (a *Account) RecordAccepted(op, n int, at float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.window(op).add(at, float64(n))
@@ -151,7 +151,7 @@
 	if !a.announced || s.Ver != a.ver {
 		cap = a.firstCap
 	}
-	l := Lease{Until: now + a.life, version: a.version.Load()}
+	l := Lease{UntilMs: now + a.life, version: a.version.Load()}
 	if cap <= 0 {
 		return l
 	}
@@ -159,13 +159,13 @@
 	if now-a.begun < a.over { // a marshal that was here before may have used its allowance up
 		free = 0
 	}
-	room := free + cap*a.window(s.Op).since(l.Until-a.over+margin, false) - a.used(s, now)
+	room := free + cap*a.window(s.Op).since(l.UntilMs-a.over+margin, false) - a.used(s, now)
 	if room < 1 {
 		a.refused++
 		return l
 	}
-	l.N = min(int(room), max(1, int(room)/(2*len(a.lives))), mostLease)
-	a.out[s] = append(a.out[s], drawn{instance, life, l.N, l.Until})
+	l.Size = min(int(room), max(1, int(room)/(2*len(a.lives))), mostLease)
+	a.out[s] = append(a.out[s], drawn{instance, life, l.Size, l.UntilMs})
 	return l
 }
 
@@ -204,17 +204,17 @@
 	}
 }
 
-// Void says that a lease is not to be used any more: its time is up, or the cap is another.
-func (a *Account) Void(l Lease) bool { return l.version != a.version.Load() || a.now() >= l.Until }
+// Invalid says that a lease is not to be used any more: its time is up, or the cap is another.
+func (a *Account) Invalid(l Lease) bool { return l.version != a.version.Load() || a.now() >= l.UntilMs }
 
-// Beat says that an instance does its work, and gives back whether it is the one that votes. The chair passes on when
+// Heartbeat says that an instance does its work, and gives back whether it is the one that votes. The chair passes on when
 // the one that has it stands still, to the first that does not.
-func (a *Account) Beat(instance int) (chair bool) {
+func (a *Account) Heartbeat(instance int) (chair bool) {
 	now := a.now()
 	a.beats[instance].Store(math.Float64bits(now))
-	if at := int(a.chair.Load()); at != instance && !a.Lives(at) {
+	if at := int(a.chair.Load()); at != instance && !a.Alive(at) {
 		for i := range a.beats {
-			if a.Lives(i) {
+			if a.Alive(i) {
 				a.chair.CompareAndSwap(int64(at), int64(i))
 				break
 			}
@@ -223,37 +223,37 @@
 	return a.chair.Load() == int64(instance)
 }
 
-// Lives says that an instance has not stood still for long.
-func (a *Account) Lives(instance int) bool {
+// Alive says that an instance has not stood still for long.
+func (a *Account) Alive(instance int) bool {
 	return a.now()-math.Float64frombits(a.beats[instance].Load()) < deadAfter
 }
 
-// Chair is the instance that votes.
-func (a *Account) Chair() int { return int(a.chair.Load()) }
+// Coordinator is the instance that votes.
+func (a *Account) Coordinator() int { return int(a.chair.Load()) }
 
-// Vote says whether an instance may vote now: it has the chair, no vote is out, and the votes of two chairs are as
+// StartVote says whether an instance may vote now: it has the chair, no vote is out, and the votes of two chairs are as
 // far apart as the platform allows a marshal's.
-func (a *Account) Vote(instance int) bool {
+func (a *Account) StartVote(instance int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	if a.Chair() != instance || a.voteOut || a.voter != instance && a.voted > 0 && now-a.voted < a.apart {
+	if a.Coordinator() != instance || a.voteOut || a.voter != instance && a.voted > 0 && now-a.voted < a.apart {
 		return false
 	}
 	a.voteOut, a.voter, a.voted = true, instance, now
 	return true
 }
 
-// Answered says that the last vote was answered or has failed, and gives the instance whose it was.
-func (a *Account) Answered() (instance int) {
+// FinishVote says that the last vote was answered or has failed, and gives the instance whose it was.
+func (a *Account) FinishVote() (instance int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.voteOut = false
 	return a.voter
 }
 
-// Watch says whether the list is to be asked for: once, though each instance wants it.
-func (a *Account) Watch(on bool) bool {
+// SetWatching says whether the list is to be asked for: once, though each instance wants it.
+func (a *Account) SetWatching(on bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	changed := a.watched != on
@@ -261,8 +261,8 @@
 	return changed
 }
 
-// ListFailed says that the list has to be asked for again.
-func (a *Account) ListFailed() {
+// NodeListFailed says that the list has to be asked for again.
+func (a *Account) NodeListFailed() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.watched = false
@@ -270,28 +270,28 @@
 
 // State is an account as people look at it.
 type State struct {
-	Chair   int
+	Coordinator   int
 	Ver     int
 	Cap     float64
-	Refused int64 // draws that the rule left no room for
+	RefusedDraws int64 // draws that the rule left no room for
 	Scopes  []ScopeState
 }
 
 // ScopeState is one scope of it.
 type ScopeState struct {
 	Scope
-	Taken, Exposed float64 // in the window
+	Accepted, Exposed float64 // in the window
 	Leased         int     // of Exposed, out
 }
 
-// Look gives the account's state.
-func (a *Account) Look() State {
+// Snapshot gives the account's state.
+func (a *Account) Snapshot() State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	st := State{Chair: a.Chair(), Ver: a.ver, Cap: a.cap, Refused: a.refused}
+	st := State{Coordinator: a.Coordinator(), Ver: a.ver, Cap: a.cap, RefusedDraws: a.refused}
 	for s := range a.exposed {
-		c := ScopeState{Scope: s, Taken: a.window(s.Op).since(now+a.life-a.over+margin, false), Exposed: a.used(s, now)}
+		c := ScopeState{Scope: s, Accepted: a.window(s.Op).since(now+a.life-a.over+margin, false), Exposed: a.used(s, now)}
 		for _, d := range a.out[s] {
 			c.Leased += d.n
 		}
--- a/divide/example_test.go
+++ b/divide/example_test.go
@@ -22,8 +22,8 @@
 	c := clock(1e6)
 	a := divide.NewAccount(c.now, set(allowance, 0.1), instances)
 	c += 4100
-	a.Staged(2, balance.OnTrial, cap)
-	a.Took(0, int(taken), c.now())
+	a.StageUpdate(2, balance.OnTrial, cap)
+	a.RecordAccepted(0, int(taken), c.now())
 	return a, &c
 }
 
@@ -33,13 +33,13 @@
 func Example_oneLeft() {
 	a, c := grown(8, 0, 0.1, 10)
 	for i := range 8 {
-		fmt.Print(a.Draw(i, a.Join(i), all).N, " ")
+		fmt.Print(a.Draw(i, a.Join(i), all).Size, " ")
 	}
 	a.Settle(0, 1, all, 0)
-	fmt.Println("then", a.Draw(5, 1, all).N)
+	fmt.Println("then", a.Draw(5, 1, all).Size)
 	*c += 30 // the lease of 5 is over; it was used, and says so
 	a.Settle(5, 1, all, 1)
-	fmt.Println("used:", a.Draw(6, 1, all).N)
+	fmt.Println("used:", a.Draw(6, 1, all).Size)
 	// Output:
 	// 1 0 0 0 0 0 0 0 then 1
 	// used: 0
@@ -49,7 +49,7 @@
 func Example_smallAllowance() {
 	a, _ := grown(8, 3, 0.01, 0)
 	for i := range 8 {
-		fmt.Print(a.Draw(i, a.Join(i), all).N, " ")
+		fmt.Print(a.Draw(i, a.Join(i), all).Size, " ")
 	}
 	fmt.Println()
 	// Output: 1 1 1 0 0 0 0 0
@@ -59,9 +59,9 @@
 func Example_capFalls() {
 	a, _ := grown(4, 0, 0.5, 100)
 	l := a.Draw(0, a.Join(0), all)
-	fmt.Println(l.N, "void:", a.Void(l))
-	a.Staged(2, balance.GoingBack, 0)
-	fmt.Println("void:", a.Void(l), "new:", a.Draw(1, a.Join(1), all).N, "counted:", a.Look().Scopes[0].Exposed)
+	fmt.Println(l.Size, "void:", a.Invalid(l))
+	a.StageUpdate(2, balance.GoingBack, 0)
+	fmt.Println("void:", a.Invalid(l), "new:", a.Draw(1, a.Join(1), all).Size, "counted:", a.Snapshot().Scopes[0].Exposed)
 	// Output:
 	// 6 void: false
 	// void: true new: 0 counted: 6
@@ -71,10 +71,10 @@
 func Example_stuck() {
 	a, c := grown(2, 1, 0.01, 0)
 	life := a.Join(0)
-	fmt.Println(a.Draw(0, life, all).N)
+	fmt.Println(a.Draw(0, life, all).Size)
 	for _, after := range []float64{1000, 3000, 40} {
 		*c += clock(after)
-		fmt.Println(*c-1e6-4100, a.Draw(1, a.Join(1), all).N)
+		fmt.Println(*c-1e6-4100, a.Draw(1, a.Join(1), all).Size)
 	}
 	a.Settle(0, life, all, 1) // it comes back late: that was forgotten, and was long ago
 	// Output:
@@ -88,10 +88,10 @@
 func Example_begunAnew() {
 	a, _ := grown(2, 2, 0.01, 0)
 	before := a.Join(0)
-	fmt.Println(a.Draw(0, before, all).N)
+	fmt.Println(a.Draw(0, before, all).Size)
 	now := a.Join(0)
 	a.Settle(0, now, all, 0) // gives back nothing: it was not drawn by this one
-	fmt.Println(a.Draw(0, now, all).N, a.Draw(1, a.Join(1), all).N)
+	fmt.Println(a.Draw(0, now, all).Size, a.Draw(1, a.Join(1), all).Size)
 	// Output:
 	// 1
 	// 1 0
@@ -101,10 +101,10 @@
 func Example_unannounced() {
 	c := clock(1e6)
 	a := divide.NewAccount(c.now, set(3, 0.1), 2)
-	a.Took(0, 25, c.now())
-	a.Staged(2, balance.OnTrial, 1)
+	a.RecordAccepted(0, 25, c.now())
+	a.StageUpdate(2, balance.OnTrial, 1)
 	life := a.Join(0)
-	fmt.Println(a.Draw(0, life, divide.Scope{Ver: 3, Op: -1}).N, a.Draw(0, life, all).N)
+	fmt.Println(a.Draw(0, life, divide.Scope{Ver: 3, Op: -1}).Size, a.Draw(0, life, all).Size)
 	// Output: 1 6
 }
 
@@ -113,17 +113,17 @@
 	a, c := grown(3, 1, 0.1, 0)
 	beat := func(who ...int) {
 		for _, i := range who {
-			a.Beat(i)
+			a.Heartbeat(i)
 		}
 	}
 	beat(0, 1, 2)
-	fmt.Println(a.Vote(1), a.Vote(0), "again:", a.Vote(0), "answered to", a.Answered())
+	fmt.Println(a.StartVote(1), a.StartVote(0), "again:", a.StartVote(0), "answered to", a.FinishVote())
 	*c += 1100
 	beat(1, 2)
-	fmt.Println("chair", a.Chair(), a.Vote(0), a.Vote(1))
+	fmt.Println("chair", a.Coordinator(), a.StartVote(0), a.StartVote(1))
 	*c += 1000
 	beat(1, 2)
-	fmt.Println(a.Vote(1), "answered to", a.Answered())
+	fmt.Println(a.StartVote(1), "answered to", a.FinishVote())
 	// Output:
 	// false true again: false answered to 0
 	// chair 1 false false
@@ -131,14 +131,14 @@
 }
 
 // What has a name goes to one instance; what has none to its connection's, until far more waits there.
-func ExamplePlace() {
+func ExampleAssignInvocation() {
 	waits := []int{31, 0, 2}
 	waiting := func(i int) int { return waits[i] }
-	fmt.Println(divide.Place("", 0, waiting, 3), divide.Place("key-7", 0, waiting, 3) == divide.Place("key-7", 2, waiting, 3))
+	fmt.Println(divide.AssignInvocation("", 0, waiting, 3), divide.AssignInvocation("key-7", 0, waiting, 3) == divide.AssignInvocation("key-7", 2, waiting, 3))
 	waits[0] = 32
-	fmt.Println(divide.Place("", 0, waiting, 3))
-	fmt.Println(divide.Seat(waiting, 3))
-	fmt.Println(divide.Elsewhere(0, waiting, func(i int) bool { return i == 1 }, 3))
+	fmt.Println(divide.AssignInvocation("", 0, waiting, 3))
+	fmt.Println(divide.AssignConnection(waiting, 3))
+	fmt.Println(divide.Reassign(0, waiting, func(i int) bool { return i == 1 }, 3))
 	// Output:
 	// 0 true
 	// 1
--- a/divide/model_test.go
+++ b/divide/model_test.go
@@ -105,7 +105,7 @@
 		}
 		k := fmt.Appendf(nil, "%d %v %v|", c.pending, c.since, c.open)
 		if c.open {
-			k = fmt.Appendf(k, "%d %v %v %d|", c.l.N, c.l.Until, c.l.version == m.a.version.Load(), c.spent)
+			k = fmt.Appendf(k, "%d %v %v %d|", c.l.Size, c.l.UntilMs, c.l.version == m.a.version.Load(), c.spent)
 		}
 		for _, d := range m.a.out[scope] {
 			if d.instance == i {
@@ -144,8 +144,8 @@
 		can("tick", func(c *model) { c.now, c.ticks = c.now+tickMs, c.ticks+1 })
 	}
 	if m.caps == 0 && !m.begun {
-		can("the cap falls", func(c *model) { c.caps++; c.a.Staged(2, balance.GoingBack, 0) })
-		can("the cap rises", func(c *model) { c.caps++; c.a.Staged(2, balance.OnTrial, 1) })
+		can("the cap falls", func(c *model) { c.caps++; c.a.StageUpdate(2, balance.GoingBack, 0) })
+		can("the cap rises", func(c *model) { c.caps++; c.a.StageUpdate(2, balance.OnTrial, 1) })
 	}
 	for i := range instances {
 		who := fmt.Sprint(i, " ")
@@ -163,19 +163,19 @@
 				}
 			})
 		}
-		if !mine.open || mine.spent == mine.l.N || m.a.Void(mine.l) {
+		if !mine.open || mine.spent == mine.l.Size || m.a.Invalid(mine.l) {
 			can(who+"draws", func(c *model) { c.draw(i, f) })
 		}
 		if mine.open {
 			can(who+"settles", func(c *model) { c.settle(i, f) })
 		}
-		void := m.a.Void(mine.l)
+		void := m.a.Invalid(mine.l)
 		if f == pastEnd {
 			void = mine.l.version != m.a.version.Load()
 		} else if f == oldCap {
-			void = m.now >= mine.l.Until
+			void = m.now >= mine.l.UntilMs
 		}
-		may := mine.open && mine.spent < mine.l.N && !void
+		may := mine.open && mine.spent < mine.l.Size && !void
 		if f == divided { // the allowance is the first one's
 			share := m.a.cap*float64(len(m.recent(m.own[i][0]))) - float64(len(m.recent(m.own[i][1])))
 			may = share >= 1 || i == 0 && share >= 0
@@ -215,8 +215,8 @@
 	if f == countedLate && k.spent > 0 { // it was not there to be settled
 		m.a.exposed[scope].add(m.now, float64(k.spent))
 	}
-	if f == twiceBack && k.spent < k.l.N {
-		m.a.exposed[scope].add(m.now, -float64(k.l.N-k.spent))
+	if f == twiceBack && k.spent < k.l.Size {
+		m.a.exposed[scope].add(m.now, -float64(k.l.Size-k.spent))
 	}
 	k.open = false
 }
@@ -227,11 +227,11 @@
 		m.settle(i, f)
 	}
 	if k.pending > 0 {
-		m.a.Took(0, k.pending, k.since)
+		m.a.RecordAccepted(0, k.pending, k.since)
 		k.pending = 0
 	}
 	k.l, k.spent = m.a.Draw(i, k.life, scope), 0
-	if k.open = k.l.N > 0; k.open && f == countedLate {
+	if k.open = k.l.Size > 0; k.open && f == countedLate {
 		m.a.out[scope] = nil
 	}
 }
@@ -240,7 +240,7 @@
 func explore(f fault, most int) (states int, broken string) {
 	start := begin()
 	start.a.life, start.a.steps, start.a.begun = 1.5*tickMs, windowMs/10, 0
-	start.a.Staged(2, balance.OnTrial, 0.5)
+	start.a.StageUpdate(2, balance.OnTrial, 0.5)
 	for i := range start.cores {
 		start.cores[i].life = start.a.Join(i)
 	}
--- a/divide/part.go
+++ b/divide/part.go
@@ -21,28 +21,28 @@
 	Elsewhere(node uint32, ver, op int, how balance.Ending, took float64, short bool, report map[string]float64)
 }
 
-// Outcome is one dispatch's, as the other instances are told of it.
-type Outcome struct {
+// DispatchOutcome is one dispatch's, as the other instances are told of it.
+type DispatchOutcome struct {
 	Node    uint32
 	Ver, Op int
-	How     balance.Ending
-	Took    float64
-	Short   bool // its time limit was under the SLO time
+	Outcome     balance.Ending
+	TookMs    float64
+	ShortLimit   bool // its time limit was under the SLO time
 	Report  map[string]float64
 }
 
-// Others are the other instances.
-type Others interface {
-	Share(to int, outcomes []Outcome) // by and by; the slice is not changed any more
+// Siblings are the other instances.
+type Siblings interface {
+	ShareOutcomes(to int, outcomes []DispatchOutcome) // by and by; the slice is not changed any more
 }
 
-// Part is one instance's end of the account: the Host that the module gets and the Module that the marshal calls. All
+// Shard is one instance's end of the account: the Host that the module gets and the Module that the marshal calls. All
 // its methods are called on the instance's own loop.
-type Part struct {
+type Shard struct {
 	balance.Host
 	Module
 	account  *Account
-	others   Others
+	others   Siblings
 	instance int
 	life     int
 	slo      []float64
@@ -54,7 +54,7 @@
 	since   float64 // the first of them came
 	invs    map[string]*invocation
 	free    []*invocation // to be used again
-	seen    []Outcome
+	seen    []DispatchOutcome
 	chairs  bool
 	members int
 }
@@ -80,9 +80,9 @@
 // wakeTick is the handle of a part's own timer; the module's are not negative.
 const wakeTick = -1
 
-// NewPart stands between a host and the module that Before is given.
-func NewPart(a *Account, instance, instances int, h balance.Host, others Others, set balance.Settings) *Part {
-	p := &Part{Host: h, account: a, others: others, instance: instance, members: instances, life: a.Join(instance),
+// NewShard stands between a host and the module that Before is given.
+func NewShard(a *Account, instance, instances int, h balance.Host, others Siblings, set balance.Settings) *Shard {
+	p := &Shard{Host: h, account: a, others: others, instance: instance, members: instances, life: a.Join(instance),
 		nodes: map[uint32]balance.Node{}, leases: map[Scope]*lease{}, invs: map[string]*invocation{}, chairs: true}
 	ops, _ := set["operations"].([]balance.Settings)
 	for _, o := range ops {
@@ -93,8 +93,8 @@
 	return p
 }
 
-// Before gives the module that the part stands before.
-func (p *Part) Before(m Module) *Part {
+// Attach gives the module that the part stands before.
+func (p *Shard) Attach(m Module) *Shard {
 	p.Module = m
 	p.beat()
 	p.Host.Wake(tick, wakeTick)
@@ -102,7 +102,7 @@
 }
 
 // Arrived counts an invocation as taken and sees to it that the module has a lease on what it may want to expose.
-func (p *Part) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+func (p *Shard) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	if !slices.ContainsFunc(p.took, func(n int) bool { return n > 0 }) {
 		p.since = p.Host.Now()
 	}
@@ -118,7 +118,7 @@
 }
 
 // ready draws on the account for what the module has no lease on.
-func (p *Part) ready(op int) {
+func (p *Shard) ready(op int) {
 	for _, ver := range p.trials {
 		s := p.account.Scope(ver, op)
 		l := p.leases[s]
@@ -126,7 +126,7 @@
 			l = &lease{}
 			p.leases[s] = l
 		}
-		if l.open && l.spent < l.N && !p.account.Void(l.Lease) {
+		if l.open && l.spent < l.Size && !p.account.Invalid(l.Lease) {
 			continue
 		}
 		if l.open {
@@ -138,25 +138,25 @@
 		}
 		p.tell()
 		l.Lease, l.spent = p.account.Draw(p.instance, p.life, s), 0
-		l.open = l.N > 0
+		l.open = l.Size > 0
 		if !l.open {
 			l.ask = now + askAgain
 		}
-		p.Module.Leased(s.Ver, s.Op, l.N, l.Until)
+		p.Module.Leased(s.Ver, s.Op, l.Size, l.UntilMs)
 	}
 }
 
-func (p *Part) settle(s Scope, l *lease) {
+func (p *Shard) settle(s Scope, l *lease) {
 	p.account.Settle(p.instance, p.life, s, l.spent)
 	l.open = false
 	p.Module.Leased(s.Ver, s.Op, 0, 0)
 }
 
 // tell brings what was taken to the account.
-func (p *Part) tell() {
+func (p *Shard) tell() {
 	for op, n := range p.took {
 		if n > 0 {
-			p.account.Took(op, n, p.since)
+			p.account.RecordAccepted(op, n, p.since)
 			p.took[op] = 0
 		}
 	}
@@ -164,7 +164,7 @@
 
 // Dispatch notes what is exposed. What would be exposed by a lease that ran out meanwhile, as this instance stood
 // still, is given no time, so that it is never sent.
-func (p *Part) Dispatch(id string, node uint32, within float64) {
+func (p *Shard) Dispatch(id string, node uint32, within float64) {
 	ver := p.nodes[node].Ver
 	inv := p.invs[id]
 	if inv == nil {
@@ -174,7 +174,7 @@
 	inv.node, inv.ver, inv.short, inv.out = node, ver, within < p.slo[inv.op], true
 	if slices.Contains(p.trials, ver) {
 		l := p.leases[p.account.Scope(ver, inv.op)]
-		if l == nil || !l.open || l.spent >= l.N || p.account.Void(l.Lease) {
+		if l == nil || !l.open || l.spent >= l.Size || p.account.Invalid(l.Lease) {
 			within = 0
 		} else {
 			l.spent++
@@ -184,14 +184,14 @@
 }
 
 // Ended keeps an outcome for the others. A repeat may want a lease.
-func (p *Part) Ended(id string, no int, node uint32, how balance.Ending, took float64, done bool,
+func (p *Shard) Ended(id string, no int, node uint32, how balance.Ending, took float64, done bool,
 	report map[string]float64) {
 	inv := p.invs[id]
 	if inv != nil {
 		inv.out = false
 		inv.over = inv.over || done
 		if how != balance.Ignored {
-			p.seen = append(p.seen, Outcome{inv.node, inv.ver, inv.op, how, took, inv.short, report})
+			p.seen = append(p.seen, DispatchOutcome{inv.node, inv.ver, inv.op, how, took, inv.short, report})
 		}
 		if !inv.over && how != balance.Succeeded {
 			p.ready(inv.op)
@@ -204,14 +204,14 @@
 	}
 }
 
-func (p *Part) forget(id string) {
+func (p *Shard) forget(id string) {
 	if inv := p.invs[id]; inv != nil && inv.over && !inv.out {
 		delete(p.invs, id)
 		p.free = append(p.free, inv)
 	}
 }
 
-func (p *Part) over(id string) {
+func (p *Shard) over(id string) {
 	if inv := p.invs[id]; inv != nil {
 		inv.over = true
 		p.forget(id)
@@ -219,44 +219,44 @@
 }
 
 // Lapsed and the two after it end an invocation that nothing of is out.
-func (p *Part) Lapsed(id string) {
+func (p *Shard) Lapsed(id string) {
 	p.Module.Lapsed(id)
 	p.over(id)
 }
 
-func (p *Part) Throttle(id string, comeBack float64) {
+func (p *Shard) Throttle(id string, comeBack float64) {
 	p.Host.Throttle(id, comeBack)
 	p.over(id)
 }
 
-func (p *Part) Terminate(id string) {
+func (p *Shard) Terminate(id string) {
 	p.Host.Terminate(id)
 	p.over(id)
 }
 
 // share tells the others what this instance has seen; what stands still is not told: it would be late news.
-func (p *Part) share() {
+func (p *Shard) share() {
 	if len(p.seen) == 0 {
 		return
 	}
 	outcomes := p.seen
-	p.seen = make([]Outcome, 0, batch)
+	p.seen = make([]DispatchOutcome, 0, batch)
 	for i := range p.members {
-		if i != p.instance && p.account.Lives(i) {
-			p.others.Share(i, outcomes)
+		if i != p.instance && p.account.Alive(i) {
+			p.others.ShareOutcomes(i, outcomes)
 		}
 	}
 }
 
-// Heard brings what another instance has seen.
-func (p *Part) Heard(outcomes []Outcome) {
+// ReceiveOutcomes brings what another instance has seen.
+func (p *Shard) ReceiveOutcomes(outcomes []DispatchOutcome) {
 	for _, o := range outcomes {
-		p.Module.Elsewhere(o.Node, o.Ver, o.Op, o.How, o.Took, o.Short, o.Report)
+		p.Module.Elsewhere(o.Node, o.Ver, o.Op, o.Outcome, o.TookMs, o.ShortLimit, o.Report)
 	}
 }
 
 // Listed and Staged keep which builds are on trial.
-func (p *Part) Listed(whole bool, list []balance.Node) {
+func (p *Shard) Listed(whole bool, list []balance.Node) {
 	if whole {
 		clear(p.nodes)
 	}
@@ -269,13 +269,13 @@
 	p.sort()
 }
 
-func (p *Part) Staged(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+func (p *Shard) Staged(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	p.Module.Staged(ver, stage, phase, cap, age, reply)
 	p.sort()
 }
 
 // sort asks the module which of the builds that serve are on trial.
-func (p *Part) sort() {
+func (p *Shard) sort() {
 	p.trials = p.trials[:0]
 	for _, n := range p.nodes {
 		if n.Health == balance.Serving && !slices.Contains(p.trials, n.Ver) && p.Module.OnTrial(n.Ver) {
@@ -286,7 +286,7 @@
 }
 
 // Woke beats, tells and draws for what is held.
-func (p *Part) Woke(handle int64) {
+func (p *Shard) Woke(handle int64) {
 	if handle != wakeTick {
 		for op := range p.took {
 			p.ready(op)
@@ -299,7 +299,7 @@
 	p.tell()
 	p.share()
 	for s, l := range p.leases { // in any order: each is given back for itself
-		if l.open && p.account.Void(l.Lease) {
+		if l.open && p.account.Invalid(l.Lease) {
 			p.settle(s, l)
 		}
 		if !l.open && !slices.Contains(p.trials, s.Ver) {
@@ -308,16 +308,16 @@
 	}
 }
 
-func (p *Part) beat() {
-	if chairs := p.account.Beat(p.instance); chairs != p.chairs {
+func (p *Shard) beat() {
+	if chairs := p.account.Heartbeat(p.instance); chairs != p.chairs {
 		p.chairs = chairs
 		p.Module.Chair(chairs)
 	}
 }
 
 // Vote passes on what the account allows; else it is as though it had never left.
-func (p *Part) Vote(ver, stage int, verdict balance.Verdict) {
-	if p.account.Vote(p.instance) {
+func (p *Shard) Vote(ver, stage int, verdict balance.Verdict) {
+	if p.account.StartVote(p.instance) {
 		p.Host.Vote(ver, stage, verdict)
 		return
 	}
@@ -325,15 +325,15 @@
 }
 
 // Tell passes on what the chair tells the other marshals: each instance has counted the same.
-func (p *Part) Tell(peer int, text string) {
+func (p *Shard) Tell(peer int, text string) {
 	if p.chairs {
 		p.Host.Tell(peer, text)
 	}
 }
 
 // Watch passes on one instance's wish for all.
-func (p *Part) Watch(on bool) {
-	if p.account.Watch(on) {
+func (p *Shard) Watch(on bool) {
+	if p.account.SetWatching(on) {
 		p.Host.Watch(on)
 	}
 }
--- a/divide/place.go
+++ b/divide/place.go
@@ -12,9 +12,9 @@
 	beginsCount = 10000.0 // ms over which they count
 )
 
-// Again says whether an instance that panicked at these times begins anew: what panics time and again would only
+// MayRestart says whether an instance that panicked at these times begins anew: what panics time and again would only
 // terminate more.
-func Again(at []float64) bool {
+func MayRestart(at []float64) bool {
 	recent := 0
 	for _, t := range at {
 		if t > at[len(at)-1]-beginsCount {
@@ -24,8 +24,8 @@
 	return recent <= mostBegins
 }
 
-// Seat is the instance that a new connection belongs to: the one with the fewest.
-func Seat(open func(instance int) int, instances int) (seat int) {
+// AssignConnection is the instance that a new connection belongs to: the one with the fewest.
+func AssignConnection(open func(instance int) int, instances int) (seat int) {
 	for i := 1; i < instances; i++ {
 		if open(i) < open(seat) {
 			seat = i
@@ -34,17 +34,17 @@
 	return seat
 }
 
-// Home is the instance where all of a name go.
-func Home(name string, instances int) int {
+// AssignByName is the instance where all of a name go.
+func AssignByName(name string, instances int) int {
 	return int(xxhash.Sum64String(name) % uint64(instances))
 }
 
-// Place is the instance that takes an invocation. What has a key that only goes forward, or a mark against repeats, goes
+// AssignInvocation is the instance that takes an invocation. What has a key that only goes forward, or a mark against repeats, goes
 // where the like of it went before: name is that, or empty. All else goes to the instance of its connection, unless so
 // much more waits there than at another that waiting would be worse than what the other does not know.
-func Place(name string, home int, waiting func(instance int) int, instances int) int {
+func AssignInvocation(name string, home int, waiting func(instance int) int, instances int) int {
 	if name != "" {
-		return Home(name, instances)
+		return AssignByName(name, instances)
 	}
 	here := waiting(home)
 	if here < spillOver {
@@ -62,9 +62,9 @@
 	return home
 }
 
-// Elsewhere is the instance to which an invocation goes that one has let wait too long: the one where the least waits,
+// Reassign is the instance to which an invocation goes that one has let wait too long: the one where the least waits,
 // or none where the one it is at is as good.
-func Elsewhere(at int, waiting func(instance int) int, stands func(instance int) bool, instances int) (to int, ok bool) {
+func Reassign(at int, waiting func(instance int) int, stands func(instance int) bool, instances int) (to int, ok bool) {
 	to = at
 	for i := range instances {
 		if i != at && !stands(i) && (to == at || waiting(i) < waiting(to)) {
--- a/divide/race_test.go
+++ b/divide/race_test.go
@@ -36,7 +36,7 @@
 		a := NewAccount(func() float64 { return 10000 }, balance.Settings{"rollout.counted-over-ms": 4000.0,
 			"rollout.allowance": 10.0, "rollout.cap-scope": "all"}, 8)
 		a.begun = 0
-		a.Staged(2, balance.OnTrial, 0.5)
+		a.StageUpdate(2, balance.OnTrial, 0.5)
 		var mu sync.Mutex
 		var history []porcupine.Operation
 		var wg sync.WaitGroup
@@ -54,7 +54,7 @@
 					return out
 				}
 				for range 6 {
-					n := note(input{i, -1}, func() any { return a.Draw(i, life, Scope{2, -1}).N }).(int)
+					n := note(input{i, -1}, func() any { return a.Draw(i, life, Scope{2, -1}).Size }).(int)
 					if n > 0 {
 						used := 0
 						if rnd.IntN(8) == 0 {
@@ -95,7 +95,7 @@
 		var mu sync.Mutex // the truth, in its order
 		var taken, exposed []event
 		caps := []float64{0.5}
-		a.Staged(2, balance.OnTrial, 0.5)
+		a.StageUpdate(2, balance.OnTrial, 0.5)
 		var wg sync.WaitGroup
 		for i := range n {
 			rnd, life := rand.New(rand.NewPCG(seed, uint64(i))), a.Join(i)
@@ -109,21 +109,21 @@
 					mu.Lock()
 					taken = append(taken, event{at, op})
 					mu.Unlock()
-					a.Took(op, 1, at)
+					a.RecordAccepted(op, 1, at)
 					s := a.Scope(2, 0)
-					if !open || spent >= l.N || a.Void(l) {
+					if !open || spent >= l.Size || a.Invalid(l) {
 						if open {
 							a.Settle(i, life, s, spent)
 						}
 						l, spent = a.Draw(i, life, s), 0
-						open = l.N > 0
+						open = l.Size > 0
 					}
 					if rnd.IntN(40) == 0 { // it stands still with a lease in hand
 						micros.Add(30_000)
 					}
 					mu.Lock() // the exposure and the look at the clock are one: others move it on while this goroutine has no turn
 					at = now()
-					if open && !a.Void(l) && spent < l.N {
+					if open && !a.Invalid(l) && spent < l.Size {
 						spent++
 						exposed = append(exposed, event{at, 0})
 						in := func(e event) bool { return e.at > at-400 && (!each || e.op == 0) }
@@ -146,7 +146,7 @@
 					if rnd.IntN(100) == 0 {
 						mu.Lock()
 						caps = []float64{[]float64{0, 0.1, 0.5, 1}[rnd.IntN(4)]}
-						a.Staged(2, balance.OnTrial, caps[0])
+						a.StageUpdate(2, balance.OnTrial, caps[0])
 						mu.Unlock()
 					}
 				}
--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -100,7 +100,7 @@
 	}
 	if !full {
 		s.conns[c] = true
-		c.home = divide.Seat(func(i int) int { return int(s.homes[i].Load()) }, len(s.Loops))
+		c.home = divide.AssignConnection(func(i int) int { return int(s.homes[i].Load()) }, len(s.Loops))
 		s.homes[c.home].Add(1)
 	}
 	if !full {
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -59,7 +59,7 @@
 	}
 	// The module learns of it before the client does: what the client asks next, it asks a marshal that knows.
 	took := s.Clock.Now() - start
-	x.loop().Post(func() { x.core().Ended(x.id, no, balance.Succeeded, took, true, report) })
+	x.loop().Post(func() { x.core().DispatchEnded(x.id, no, balance.Succeeded, took, true, report) })
 	x.putBack(node, h)
 	ends, owed := c.beginAnswer(x.mustEnd())
 	if !owed {
@@ -152,7 +152,7 @@
 	report map[string]float64) (keep bool) {
 	s, c := x.c.s, x.c
 	l := x.loop()
-	l.Post(func() { x.core().Began(x.id, no, l.Now()-start) })
+	l.Post(func() { x.core().ResponseStarted(x.id, no, l.Now()-start) })
 	x.mu.Lock() // no cancel ends what the client has begun to read
 	x.node, x.undial = nil, nil
 	x.mu.Unlock()
@@ -204,7 +204,7 @@
 		ends = closeWrite // cut short: only the end of the connection can tell
 	}
 	took := s.Clock.Now() - start
-	x.loop().Post(func() { x.core().Ended(x.id, no, how, took, true, report) })
+	x.loop().Post(func() { x.core().DispatchEnded(x.id, no, how, took, true, report) })
 	if err == io.EOF {
 		x.putBack(node, h)
 	} else {
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -232,7 +232,7 @@
 // interrupt ends what the worker waits for at a node.
 func (c *conn) interrupt() {
 	if x := c.current.Load(); x != nil {
-		x.Abrupt()
+		x.Abort()
 	}
 }
 
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -40,7 +40,7 @@
 		x.ranSince = start
 	}
 	how, took := x.how, s.Clock.Now()-start
-	x.loop().Post(func() { x.core().Ended(x.id, cmd.no, how, took, false, report) })
+	x.loop().Post(func() { x.core().DispatchEnded(x.id, cmd.no, how, took, false, report) })
 	return false, false
 }
 
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -81,11 +81,11 @@
 		}
 		x.taker.Store(int32(at) + 1)
 		if x.lapsed.Load() {
-			x.Let()
+			x.Discard()
 			return
 		}
 		// Its time runs while it waits its turn.
-		x.id = core.Arrived(x, x.local, x.tenant, x.key, x.dueAt-l.Now(), x.cost, x.retry, x.write)
+		x.id = core.InvocationArrived(x, x.local, x.tenant, x.key, x.dueAt-l.Now(), x.cost, x.retry, x.write)
 	})
 }
 
@@ -96,8 +96,8 @@
 	if len(s.Loops) == 1 || x.name != "" {
 		return false
 	}
-	stands := func(i int) bool { return s.Loops[i].Standing() > recall }
-	to, ok := divide.Elsewhere(int(x.at.Load()), s.waiting, stands, len(s.Loops))
+	stands := func(i int) bool { return s.Loops[i].CurrentCallMs() > recall }
+	to, ok := divide.Reassign(int(x.at.Load()), s.waiting, stands, len(s.Loops))
 	state := x.state.Load()
 	if !ok || state%states != offered || !x.state.CompareAndSwap(state, state+withdrawn) {
 		return false
@@ -152,7 +152,7 @@
 
 // neverSent tells the module that a dispatch has ended without having begun.
 func (x *exchange) neverSent(no int) {
-	x.loop().Post(func() { x.core().Ended(x.id, no, balance.Ignored, 0, false, nil) })
+	x.loop().Post(func() { x.core().DispatchEnded(x.id, no, balance.Ignored, 0, false, nil) })
 }
 
 // finish takes no command any more: the invocation has its answer. A dispatch that was decided on meanwhile is never sent.
@@ -195,10 +195,10 @@
 	x.final(command{what: doThrottle, retryAfter: retryAfter})
 }
 func (x *exchange) Terminate() { x.final(command{what: doTerminate}) }
-func (x *exchange) Abrupt()    { x.final(command{what: doTerminate}) }
+func (x *exchange) Abort()    { x.final(command{what: doTerminate}) }
 
-// Let gives up what is out: nobody waits for it any more, and a connection that comes up late must carry nothing.
-func (x *exchange) Let() { x.end(command{what: doLet}) }
+// Discard gives up what is out: nobody waits for it any more, and a connection that comes up late must carry nothing.
+func (x *exchange) Discard() { x.end(command{what: doLet}) }
 
 // end ends what is still out and has the worker carry out the last command.
 func (x *exchange) end(cmd command) {
@@ -227,7 +227,7 @@
 	at := x.at.Load() // where it is now; if it is moved, whoever takes it sees that the client has gone
 	x.c.s.Loops[at].Post(func() {
 		if x.taker.Load() == at+1 && x.id != "" {
-			x.c.s.Cores[at][x.pool].Lapsed(x.id)
+			x.c.s.Cores[at][x.pool].ClientTimedOut(x.id)
 		}
 	})
 }
@@ -354,7 +354,7 @@
 	if x.claimed.Swap(true) {
 		return false, false // its answer is on the way
 	}
-	x.loop().Post(func() { x.core().Overtaken(x.id) })
+	x.loop().Post(func() { x.core().TerminatedByExchange(x.id) })
 	return true, x.c.plain(x.terminated(), Terminated, "terminated: what it did is not known", x.mustEnd())
 }
 
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -149,7 +149,7 @@
 		if x.name == "" && s.names.mark != "" {
 			x.name = h.Header.Get(s.names.mark)
 		}
-		at = divide.Place(x.name, c.home, s.waiting, len(s.Loops))
+		at = divide.AssignInvocation(x.name, c.home, s.waiting, len(s.Loops))
 		if at != c.home && x.name == "" {
 			s.moved.Add(1)
 		}
--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -59,8 +59,8 @@
 	arrivals []func()
 	stopped  bool
 
-	// Again, set before Run, lets it be called again after a panic: what waits is kept, timers are not.
-	Again bool
+	// Restartable, set before Run, lets it be called again after a panic: what waits is kept, timers are not.
+	Restartable bool
 
 	// All from here to order belongs to the goroutine of Run. What is being run: endings, those that came meanwhile, arrivals.
 	ended, meanwhile, arrived []func()
@@ -102,9 +102,9 @@
 	return true
 }
 
-// News queues a call that goes before everything that waits: word of nodes and builds, which what waits must not be
+// PostUrgent queues a call that goes before everything that waits: word of nodes and builds, which what waits must not be
 // decided without.
-func (l *Loop) News(f func()) {
+func (l *Loop) PostUrgent(f func()) {
 	l.put(&l.news, f)
 	l.poke()
 }
@@ -133,15 +133,15 @@
 	}
 }
 
-// Behind counts the arrivals that were refused, Ran the calls that have run.
-func (l *Loop) Behind() int64 { return l.refused.Load() }
-func (l *Loop) Ran() int64    { return l.ran.Load() }
+// Refused counts the arrivals that were refused, Ran the calls that have run.
+func (l *Loop) Refused() int64 { return l.refused.Load() }
+func (l *Loop) Completed() int64    { return l.ran.Load() }
 
 // Waiting is how many arrivals wait, Busy the ms spent in calls so far, and Standing the ms that the call which runs
 // has run for.
 func (l *Loop) Waiting() int  { return int(l.queued.Load()) }
-func (l *Loop) Busy() float64 { return float64(l.busy.Load()) / 1000 }
-func (l *Loop) Standing() float64 {
+func (l *Loop) BusyMs() float64 { return float64(l.busy.Load()) / 1000 }
+func (l *Loop) CurrentCallMs() float64 {
 	since := l.since.Load()
 	if since == 0 {
 		return 0
@@ -178,7 +178,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if panicked != nil && l.Again && !l.stopped { // what waits is for whoever runs it next
+	if panicked != nil && l.Restartable && !l.stopped { // what waits is for whoever runs it next
 		l.requeue()
 		return panicked
 	}
@@ -307,8 +307,8 @@
 // Clock is the loop's clock.
 func (l *Loop) Clock() Clock { return l.clock }
 
-// First has a call run before all else; for a loop that is about to be run again.
-func (l *Loop) First(f func()) {
+// RunFirst has a call run before all else; for a loop that is about to be run again.
+func (l *Loop) RunFirst(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.news = append([]func(){f}, l.news...)
@@ -348,8 +348,8 @@
 	}
 }
 
-// Ask runs a call on the loop and waits for it, however long; false says that the loop has stopped.
-func (l *Loop) Ask(f func()) bool {
+// Do runs a call on the loop and waits for it, however long; false says that the loop has stopped.
+func (l *Loop) Do(f func()) bool {
 	_, err := Query(context.Background(), l, func() struct{} { f(); return struct{}{} })
 	return err == nil
 }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -56,7 +56,7 @@
 	}
 	l.Offer(note("refused"))
 	go func() {
-		for l.Ran() < 22 {
+		for l.Completed() < 22 {
 			time.Sleep(time.Millisecond)
 		}
 		l.Stop()
@@ -65,8 +65,8 @@
 		t.Fatal(err)
 	}
 	got := strings.Join(ran, "")
-	if taken != 20 || l.Behind() != 11 || !strings.HasPrefix(got, "e") || strings.Index(got, "E") > 9 || len(got) != 22 {
-		t.Errorf("%d taken, %d refused, ran %s", taken, l.Behind(), got)
+	if taken != 20 || l.Refused() != 11 || !strings.HasPrefix(got, "e") || strings.Index(got, "E") > 9 || len(got) != 22 {
+		t.Errorf("%d taken, %d refused, ran %s", taken, l.Refused(), got)
 	}
 	if l.Offer(func() {}) {
 		t.Error("a loop that has ended took an arrival")
@@ -88,7 +88,7 @@
 	}
 	done := make(chan error)
 	go func() { done <- l.Run() }()
-	l.Ask(func() {
+	l.Do(func() {
 		l.After(20, note("b"))
 		l.After(10, note("a"))
 		l.After(20, note("c"))
@@ -101,10 +101,10 @@
 	})
 	for _, now := range []float64{109, 115, 130} {
 		h.set(now)
-		l.Ask(func() {})
+		l.Do(func() {})
 		time.Sleep(2 * time.Millisecond)
 	}
-	l.Ask(func() {})
+	l.Do(func() {})
 	l.Stop()
 	<-done
 	mu.Lock()
@@ -118,23 +118,23 @@
 // what is to be first, and lets go of timers.
 func TestNewsAndAgain(t *testing.T) {
 	l := New(Monotonic(), 10)
-	l.Again = true
+	l.Restartable = true
 	var got []string
 	say := func(s string) func() { return func() { got = append(got, s) } }
 	l.Post(say("ending 1"))
 	l.Offer(say("arrival"))
 	l.Post(func() { l.After(0, say("timer")); panic("planted") })
 	l.Post(say("ending 2"))
-	l.News(say("news 1"))
-	l.News(say("news 2"))
+	l.PostUrgent(say("news 1"))
+	l.PostUrgent(say("news 2"))
 	var p *Panic
 	if err := l.Run(); !errors.As(err, &p) || p.Value != "planted" {
 		t.Fatalf("it ended with %v", err)
 	}
 	got = append(got, "again")
 	l.Offer(func() { got = append(got, "later"); l.Stop() })
-	l.First(say("first"))
-	l.News(say("news 3"))
+	l.RunFirst(say("first"))
+	l.PostUrgent(say("news 3"))
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
@@ -142,8 +142,8 @@
 	if s := strings.Join(got, ", "); s != want {
 		t.Errorf("it ran %s", s)
 	}
-	if l.Waiting() != 0 || l.Standing() != 0 {
-		t.Errorf("%d wait, and it stands for %v ms", l.Waiting(), l.Standing())
+	if l.Waiting() != 0 || l.CurrentCallMs() != 0 {
+		t.Errorf("%d wait, and it stands for %v ms", l.Waiting(), l.CurrentCallMs())
 	}
 }
 
@@ -183,7 +183,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(20 * time.Millisecond)
-	l.Ask(func() {
+	l.Do(func() {
 		if ran != 16000 || more != 2*160 || inside != 0 {
 			t.Errorf("%d and %d ran, %d within another", ran, more, inside)
 		}
@@ -202,14 +202,14 @@
 func TestPostersNeverWait(t *testing.T) {
 	for name, post := range map[string]func(*Loop, func()){
 		"Post":  (*Loop).Post,
-		"News":  (*Loop).News,
+		"News":  (*Loop).PostUrgent,
 		"Offer": func(l *Loop, f func()) { l.Offer(f) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := New(Monotonic(), 9)
 			end := make(chan error)
 			go func() { end <- l.Run() }()
-			l.Ask(func() {})
+			l.Do(func() {})
 			time.Sleep(10 * time.Millisecond) // it sleeps
 			blocked, posted, ran := make(chan struct{}), make(chan struct{}), make(chan struct{})
 			go func() {
--- a/internal/marshal/guard.go
+++ b/internal/marshal/guard.go
@@ -6,19 +6,19 @@
 
 // RepeatRule is what an operation allows after an attempt that may have run. The zero value allows nothing.
 type RepeatRule struct {
-	Free     bool    // an effect twice does no harm
-	Group    Group   // of nodes that drop each other's repeats
-	WithinMs float64 // for how long they do, from when the first such attempt was sent
+	Idempotent     bool    // an effect twice does no harm
+	Group    DedupGroup   // of nodes that drop each other's repeats
+	DedupWindowMs float64 // for how long they do, from when the first such attempt was sent
 }
 
-// Group is a set of nodes that drop each other's repeats.
-type Group string
+// DedupGroup is a set of nodes that drop each other's repeats.
+type DedupGroup string
 
 // The groups; in none but these a repeat has its effect again.
 const (
-	SameCell Group = "cell"
-	SameZone Group = "zone"
-	AllNodes Group = "all"
+	SameCell DedupGroup = "cell"
+	SameZone DedupGroup = "zone"
+	AllNodes DedupGroup = "all"
 )
 
 // Violations counts what the guard held back: what a decision asked for and the rules forbid. Each must stay 0.
@@ -47,17 +47,17 @@
 
 // rule is that of an invocation's operation.
 func (c *Core) rule(inv *invocation) RepeatRule {
-	if inv.op < len(c.Rules) {
-		return c.Rules[inv.op]
+	if inv.op < len(c.RepeatRules) {
+		return c.RepeatRules[inv.op]
 	}
-	return RepeatRule{Free: c.Rules == nil}
+	return RepeatRule{Idempotent: c.RepeatRules == nil}
 }
 
 // mayRepeat says whether a further attempt at a node keeps the rule against double effects.
 func (c *Core) mayRepeat(inv *invocation, node balance.Node) bool {
 	rule, now := c.rule(inv), c.out.Now()
 	for _, earlier := range inv.ran {
-		if !rule.Free && (now-earlier.sentMs > rule.WithinMs || !rule.Group.holds(earlier, node)) {
+		if !rule.Idempotent && (now-earlier.sentMs > rule.DedupWindowMs || !rule.Group.holds(earlier, node)) {
 			return false
 		}
 	}
@@ -67,11 +67,11 @@
 // mayRefuse says whether a refusal keeps its promise, that asking again is harmless.
 func (c *Core) mayRefuse(inv *invocation) bool {
 	rule := c.rule(inv)
-	return len(inv.ran) == 0 || rule.Free || rule.Group == AllNodes
+	return len(inv.ran) == 0 || rule.Idempotent || rule.Group == AllNodes
 }
 
 // holds says that a node drops a repeat of an attempt.
-func (g Group) holds(earlier attempt, node balance.Node) bool {
+func (g DedupGroup) holds(earlier attempt, node balance.Node) bool {
 	switch g {
 	case AllNodes:
 		return true
--- a/internal/marshal/guard_test.go
+++ b/internal/marshal/guard_test.go
@@ -40,15 +40,15 @@
 func (t *taken) Cancel(int)                                       {}
 func (t *taken) Throttle(float64)                                 { t.refused = true }
 func (t *taken) Terminate()                                       { t.terminated = true }
-func (t *taken) Let()                                             {}
-func (t *taken) Abrupt()                                          {}
+func (t *taken) Discard()                                             {}
+func (t *taken) Abort()                                          {}
 
 // A module asks for what the rule against double effects forbids: it is held back and counted, and the client hears no promise that does
 // not hold. What the rule allows goes through.
 func TestRepeatsKeepTheRule(t *testing.T) {
 	nodes := []balance.Node{{ID: 1, Size: 1}, {ID: 2, Size: 1, Cell: 1}, {ID: 3, Size: 1, Zone: 1}}
 	once := RepeatRule{}
-	keyed := func(g Group) RepeatRule { return RepeatRule{Group: g, WithinMs: 50} }
+	keyed := func(g DedupGroup) RepeatRule { return RepeatRule{Group: g, DedupWindowMs: 50} }
 	for name, c := range map[string]struct {
 		rule   RepeatRule
 		ending balance.Ending // of the first attempt
@@ -60,7 +60,7 @@
 		"once, may have run":        {once, balance.Reset, 1, 0, 1, false},
 		"once, timed out":           {once, balance.TimedOut, 2, 0, 1, false},
 		"once, never ran":           {once, balance.NoConnect, 2, 0, 2, true},
-		"free":                      {RepeatRule{Free: true}, balance.Reset, 3, 0, 2, true},
+		"free":                      {RepeatRule{Idempotent: true}, balance.Reset, 3, 0, 2, true},
 		"keyed, all":                {keyed(AllNodes), balance.Reset, 3, 20, 2, true},
 		"keyed, all, too late":      {keyed(AllNodes), balance.Reset, 1, 60, 1, true},
 		"keyed, zone":               {keyed(SameZone), balance.Reset, 2, 20, 2, false},
@@ -73,21 +73,21 @@
 		t.Run(name, func(t *testing.T) {
 			w := &world{now: 1e6}
 			w.core = New(w, slog.New(slog.DiscardHandler), "m-")
-			w.core.Rules = []RepeatRule{c.rule}
+			w.core.RepeatRules = []RepeatRule{c.rule}
 			w.core.Start(func(h balance.Host) Module { return &repeating{h: h, nodes: []uint32{1, c.to}} })
-			w.core.Listed(true, nodes, []string{"a:1", "b:2", "c:3"})
+			w.core.NodesListed(true, nodes, []string{"a:1", "b:2", "c:3"})
 			x := &taken{}
-			id := w.core.Arrived(x, 0, 0, "", 500, 0, false, false)
+			id := w.core.InvocationArrived(x, 0, 0, "", 500, 0, false, false)
 			w.now += c.after
-			w.core.Ended(id, 0, c.ending, 5, false, nil)
+			w.core.DispatchEnded(id, 0, c.ending, 5, false, nil)
 			w.until(w.now + 1)
 			if len(x.nodes) == 2 { // the second one never ran
-				w.core.Ended(id, 1, balance.NoConnect, 5, false, nil)
+				w.core.DispatchEnded(id, 1, balance.NoConnect, 5, false, nil)
 			}
 			if len(x.nodes) != c.sent || x.refused != c.refuse || x.terminated == c.refuse {
 				t.Errorf("sent to %v, refused %v, terminated %v", x.nodes, x.refused, x.terminated)
 			}
-			v := w.core.Look().Violations
+			v := w.core.Snapshot().Violations
 			if (v.Repeats == 0) != (c.sent == 2) || (v.Refusals == 0) != c.refuse || v.Copies != 0 {
 				t.Errorf("counted %+v", v)
 			}
--- a/internal/marshal/marshal.go
+++ b/internal/marshal/marshal.go
@@ -20,34 +20,34 @@
 	Cancel(no int)
 	Throttle(comeBack float64)
 	Terminate()
-	Let()    // nothing more will come: what happened was told already
-	Abrupt() // the marshal ends: terminated at once, whatever is out
+	Discard()    // nothing more will come: what happened was told already
+	Abort() // the marshal ends: terminated at once, whatever is out
 }
 
-// Outside is what an instance needs beside its invocations.
-type Outside interface {
+// Environment is what an instance needs beside its invocations.
+type Environment interface {
 	Now() float64
 	After(ms float64, f func())
 	Probe(node uint32, address string)
-	Fetch()
-	Watch(on bool)
+	FetchNodes()
+	WatchNodes(on bool)
 	Vote(ver, stage int, verdict balance.Verdict)
-	Tell(peer int, text string)
+	SendToPeer(peer int, text string)
 }
 
 // Core is one instance: the Host of its module.
 type Core struct {
-	out    Outside
+	out    Environment
 	log    *slog.Logger
 	module Module
 	prefix string
 	next   uint64
 	invs   map[string]*invocation
-	nodes  map[uint32]*NodeRecord
-	record Record
+	nodes  map[uint32]*NodeStats
+	record Stats
 
-	// Rules are those of the operations, by their index; nil: nothing is checked.
-	Rules []RepeatRule
+	// RepeatRules are those of the operations, by their index; nil: nothing is checked.
+	RepeatRules []RepeatRule
 }
 
 type invocation struct {
@@ -62,27 +62,29 @@
 	ran    []attempt // those that have ended and may have run
 }
 
-// Record is what the marshal knows of itself; Core.Look hands out a copy.
-type Record struct {
-	Taken, Succeeded, Throttled, Terminated, Lapsed int64
-	Dispatches, Cancels, Votes                      int64
-	Endings                                         [8]int64
-	Open                                            int
-	Ver, Stage                                      int
-	Phase                                           balance.Phase
-	Cap                                             float64
-	Violations                                      Violations
-	Nodes                                           map[uint32]NodeRecord
-	Last                                            []string // the module's last log lines
+// Stats is what the marshal knows of itself; Core.Look hands out a copy.
+type Stats struct {
+	Accepted                            int64 `json:"Taken"`
+	Succeeded, Throttled, Terminated int64
+	ClientTimeouts                           int64 `json:"Lapsed"`
+	Dispatches, Cancels, Votes       int64
+	Outcomes                          [8]int64 `json:"Endings"`
+	Open                             int
+	Ver, Stage                       int
+	Phase                            balance.Phase
+	Cap                              float64
+	Violations                       Violations
+	Nodes                            map[uint32]NodeStats
+	LogLines                             []string `json:"Last"` // the module's last log lines
 }
 
-// NodeRecord is what the marshal knows of a node.
-type NodeRecord struct {
+// NodeStats is what the marshal knows of a node.
+type NodeStats struct {
 	balance.Node
 	Address  string
 	Sent     int64
-	Endings  [8]int64
-	LastSent float64
+	Outcomes  [8]int64 `json:"Endings"`
+	LastSentMs float64  `json:"LastSent"`
 }
 
 const (
@@ -91,26 +93,26 @@
 )
 
 // New makes an instance; Start gives it its module. Ids of its invocations begin with prefix.
-func New(out Outside, log *slog.Logger, prefix string) *Core {
-	return &Core{out: out, log: log, prefix: prefix, invs: map[string]*invocation{}, nodes: map[uint32]*NodeRecord{}}
+func New(out Environment, log *slog.Logger, prefix string) *Core {
+	return &Core{out: out, log: log, prefix: prefix, invs: map[string]*invocation{}, nodes: map[uint32]*NodeStats{}}
 }
 
 // Start takes the module; make is given the Core as the module's Host.
 func (c *Core) Start(make func(balance.Host) Module) { c.module = make(c) }
 
-// Arrived takes an invocation and gives it its id.
-func (c *Core) Arrived(x Exchange, op, tenant int, key string, budget, cost float64, retry, write bool) string {
+// InvocationArrived takes an invocation and gives it its id.
+func (c *Core) InvocationArrived(x Exchange, op, tenant int, key string, budget, cost float64, retry, write bool) string {
 	c.next++
 	id := c.prefix + strconv.FormatUint(c.next, 36)
 	c.invs[id] = &invocation{x: x, op: op}
-	c.record.Taken++
+	c.record.Accepted++
 	c.module.Arrived(id, op, tenant, key, budget, cost, retry, write)
 	return id
 }
 
-// Ended says how a dispatch ended; done, that the client has been given its answer by it.
-func (c *Core) Ended(id string, no int, how balance.Ending, took float64, done bool, report map[string]float64) {
-	c.record.Endings[how]++
+// DispatchEnded says how a dispatch ended; done, that the client has been given its answer by it.
+func (c *Core) DispatchEnded(id string, no int, how balance.Ending, took float64, done bool, report map[string]float64) {
+	c.record.Outcomes[how]++
 	inv := c.invs[id]
 	if inv == nil {
 		return
@@ -120,7 +122,7 @@
 		inv.ran = append(inv.ran, inv.last)
 	}
 	if n := c.nodes[inv.node]; n != nil {
-		n.Endings[how]++
+		n.Outcomes[how]++
 	}
 	if done && !inv.done {
 		inv.done = true
@@ -134,23 +136,23 @@
 	c.forget(id, inv)
 }
 
-// Began says that an answer too long to be held has begun to go to the client.
-func (c *Core) Began(id string, no int, took float64) {
+// ResponseStarted says that an answer too long to be held has begun to go to the client.
+func (c *Core) ResponseStarted(id string, no int, took float64) {
 	if inv := c.invs[id]; inv != nil {
 		c.module.Began(id, no, inv.node, took)
 	}
 }
 
-// Lapsed says that the client is gone, or its time is up without an answer; the exchange is let go at once.
-func (c *Core) Lapsed(id string) {
+// ClientTimedOut says that the client is gone, or its time is up without an answer; the exchange is let go at once.
+func (c *Core) ClientTimedOut(id string) {
 	inv := c.invs[id]
 	if inv == nil || inv.done {
 		return
 	}
 	inv.done = true
-	c.record.Lapsed++
+	c.record.ClientTimeouts++
 	c.module.Lapsed(id)
-	inv.x.Let()
+	inv.x.Discard()
 	c.forget(id, inv)
 }
 
@@ -160,8 +162,8 @@
 	}
 }
 
-// Listed brings the list of nodes or what has changed of it; addresses go with the lines of the list.
-func (c *Core) Listed(whole bool, list []balance.Node, addresses []string) {
+// NodesListed brings the list of nodes or what has changed of it; addresses go with the lines of the list.
+func (c *Core) NodesListed(whole bool, list []balance.Node, addresses []string) {
 	now := c.out.Now()
 	if whole {
 		for _, n := range c.nodes {
@@ -170,34 +172,34 @@
 	}
 	for i, n := range list {
 		if c.nodes[n.ID] == nil {
-			c.nodes[n.ID] = &NodeRecord{}
+			c.nodes[n.ID] = &NodeStats{}
 		}
 		c.nodes[n.ID].Node, c.nodes[n.ID].Address = n, addresses[i]
 	}
 	for id, n := range c.nodes {
-		if n.Health == balance.Gone && now-n.LastSent > keepGone { // what came and went does not pile up
+		if n.Health == balance.Gone && now-n.LastSentMs > keepGone { // what came and went does not pile up
 			delete(c.nodes, id)
 		}
 	}
 	c.module.Listed(whole, list)
 }
 
-// Staged tells where the newest build stands.
-func (c *Core) Staged(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+// StageUpdate tells where the newest build stands.
+func (c *Core) StageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	r := &c.record
 	r.Ver, r.Stage, r.Phase, r.Cap = ver, stage, phase, cap
 	c.module.Staged(ver, stage, phase, cap, age, reply)
 }
 
-// Events gives the module for what needs no care on the way.
-func (c *Core) Events() Module { return c.module }
+// Module gives the module for what needs no care on the way.
+func (c *Core) Module() Module { return c.module }
 
-// Open is the number of invocations that are owed an answer or have a dispatch out.
-func (c *Core) Open() int { return len(c.invs) }
+// OpenInvocations is the number of invocations that are owed an answer or have a dispatch out.
+func (c *Core) OpenInvocations() int { return len(c.invs) }
 
-// Overtaken says that the client's time was nearly up and the loop had given no answer, so that the exchange gave
+// TerminatedByExchange says that the client's time was nearly up and the loop had given no answer, so that the exchange gave
 // one itself: terminated, which promises nothing. It happens to a marshal that stands still.
-func (c *Core) Overtaken(id string) {
+func (c *Core) TerminatedByExchange(id string) {
 	inv := c.invs[id]
 	if inv == nil || inv.done {
 		return
@@ -211,14 +213,14 @@
 
 // Add adds the record of another instance of the same marshal; where the build stands and the nodes' health are as
 // this one knows them.
-func (r *Record) Add(o Record) {
-	for _, p := range []struct{ to, from *int64 }{{&r.Taken, &o.Taken}, {&r.Succeeded, &o.Succeeded}, {&r.Throttled, &o.Throttled},
-		{&r.Terminated, &o.Terminated}, {&r.Lapsed, &o.Lapsed}, {&r.Dispatches, &o.Dispatches}, {&r.Cancels, &o.Cancels},
+func (r *Stats) Add(o Stats) {
+	for _, p := range []struct{ to, from *int64 }{{&r.Accepted, &o.Accepted}, {&r.Succeeded, &o.Succeeded}, {&r.Throttled, &o.Throttled},
+		{&r.Terminated, &o.Terminated}, {&r.ClientTimeouts, &o.ClientTimeouts}, {&r.Dispatches, &o.Dispatches}, {&r.Cancels, &o.Cancels},
 		{&r.Votes, &o.Votes}} {
 		*p.to += *p.from
 	}
-	for i, n := range o.Endings {
-		r.Endings[i] += n
+	for i, n := range o.Outcomes {
+		r.Outcomes[i] += n
 	}
 	r.Open += o.Open
 	r.Violations.add(o.Violations)
@@ -228,35 +230,35 @@
 			r.Nodes[id] = n
 			continue
 		}
-		mine.Sent, mine.LastSent = mine.Sent+n.Sent, max(mine.LastSent, n.LastSent)
-		for i, k := range n.Endings {
-			mine.Endings[i] += k
+		mine.Sent, mine.LastSentMs = mine.Sent+n.Sent, max(mine.LastSentMs, n.LastSentMs)
+		for i, k := range n.Outcomes {
+			mine.Outcomes[i] += k
 		}
 		r.Nodes[id] = mine
 	}
-	r.Last = append(r.Last, o.Last...)
+	r.LogLines = append(r.LogLines, o.LogLines...)
 }
 
-// Look gives a copy of the record; to be called on the loop.
-func (c *Core) Look() Record {
+// Snapshot gives a copy of the record; to be called on the loop.
+func (c *Core) Snapshot() Stats {
 	r := c.record
 	r.Open = len(c.invs)
-	r.Nodes = make(map[uint32]NodeRecord, len(c.nodes))
+	r.Nodes = make(map[uint32]NodeStats, len(c.nodes))
 	for id, n := range c.nodes {
 		r.Nodes[id] = *n
 	}
-	r.Last = append([]string(nil), r.Last...)
+	r.LogLines = append([]string(nil), r.LogLines...)
 	return r
 }
 
-// EndAll terminates what is open, at the marshal's own end.
-func (c *Core) EndAll() (open int) {
+// TerminateAll terminates what is open, at the marshal's own end.
+func (c *Core) TerminateAll() (open int) {
 	for id, inv := range c.invs { // in any order: nothing is decided any more
 		if !inv.done {
 			inv.done = true
 			open++
 			c.record.Terminated++
-			inv.x.Abrupt()
+			inv.x.Abort()
 		}
 		delete(c.invs, id)
 	}
@@ -277,7 +279,7 @@
 	inv.open++
 	if why := c.heldBack(inv, to, within); why != "" {
 		c.log.Debug("dispatch held back", "inv", id, "no", no, "node", node, "why", why)
-		c.out.After(0, func() { c.Ended(id, no, balance.Ignored, 0, false, nil) })
+		c.out.After(0, func() { c.DispatchEnded(id, no, balance.Ignored, 0, false, nil) })
 		return
 	}
 	if no > 0 {
@@ -286,13 +288,13 @@
 	inv.node, inv.lastNo, inv.last = node, no, attempt{to.Zone, to.Cell, c.out.Now()}
 	c.record.Dispatches++
 	to.Sent++
-	to.LastSent = c.out.Now()
+	to.LastSentMs = c.out.Now()
 	inv.x.Dispatch(no, node, to.Address, within)
 }
 
 // heldBack says why a dispatch must not be sent, empty where it may: an answered invocation, what has no time and what has no address;
 // and against the rules, which is counted, a second copy beside one that is out and a repeat that may have its effect again.
-func (c *Core) heldBack(inv *invocation, to *NodeRecord, within float64) (why string) {
+func (c *Core) heldBack(inv *invocation, to *NodeStats, within float64) (why string) {
 	violations := &c.record.Violations
 	switch {
 	case inv.done:
@@ -351,8 +353,8 @@
 	}
 }
 
-func (c *Core) Fetch()        { c.out.Fetch() }
-func (c *Core) Watch(on bool) { c.out.Watch(on) }
+func (c *Core) Fetch()        { c.out.FetchNodes() }
+func (c *Core) Watch(on bool) { c.out.WatchNodes(on) }
 
 func (c *Core) Vote(ver, stage int, verdict balance.Verdict) {
 	c.record.Votes++
@@ -363,12 +365,12 @@
 	c.out.After(after, func() { c.module.Woke(handle) })
 }
 
-func (c *Core) Tell(peer int, text string) { c.out.Tell(peer, text) }
+func (c *Core) Tell(peer int, text string) { c.out.SendToPeer(peer, text) }
 
 func (c *Core) Log(text string) {
 	c.log.Info(text, "ver", c.record.Ver)
-	c.record.Last = append(c.record.Last, fmt.Sprintf("%.0f %s", c.out.Now(), text))
-	if len(c.record.Last) > lastLines {
-		c.record.Last = c.record.Last[len(c.record.Last)-lastLines:]
+	c.record.LogLines = append(c.record.LogLines, fmt.Sprintf("%.0f %s", c.out.Now(), text))
+	if len(c.record.LogLines) > lastLines {
+		c.record.LogLines = c.record.LogLines[len(c.record.LogLines)-lastLines:]
 	}
 }
--- a/internal/marshal/marshal_test.go
+++ b/internal/marshal/marshal_test.go
@@ -20,10 +20,10 @@
 	w.calls, w.due = append(w.calls, f), append(w.due, w.now+ms)
 }
 func (w *world) Probe(node uint32, address string) { fmt.Println("probe", node, "at", address) }
-func (w *world) Fetch()                            {}
-func (w *world) Watch(bool)                        {}
+func (w *world) FetchNodes()                            {}
+func (w *world) WatchNodes(bool)                        {}
 func (w *world) Vote(int, int, balance.Verdict)    {}
-func (w *world) Tell(peer int, text string)        {}
+func (w *world) SendToPeer(peer int, text string)        {}
 
 // until runs what falls due.
 func (w *world) until(t float64) {
@@ -48,8 +48,8 @@
 func (c client) Cancel(no int)    { fmt.Printf("%s: cancel %d\n", c, no) }
 func (c client) Throttle(float64) { fmt.Printf("%s: throttled\n", c) }
 func (c client) Terminate()       { fmt.Printf("%s: terminated\n", c) }
-func (c client) Let()             { fmt.Printf("%s: let go\n", c) }
-func (c client) Abrupt()          { fmt.Printf("%s: ended with the marshal\n", c) }
+func (c client) Discard()             { fmt.Printf("%s: let go\n", c) }
+func (c client) Abort()          { fmt.Printf("%s: ended with the marshal\n", c) }
 
 // scripted is a module that asks for what no module of ours does.
 type scripted struct {
@@ -80,21 +80,21 @@
 	w := &world{now: 1e6}
 	w.core = New(w, slog.New(slog.DiscardHandler), "m-")
 	w.core.Start(make)
-	w.core.Listed(true, []balance.Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}}, []string{"a:1", "b:2"})
+	w.core.NodesListed(true, []balance.Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}}, []string{"a:1", "b:2"})
 	return w
 }
 
 // What a module must not do is never sent: a second copy, a node without address, a dispatch after the final answer.
 func Example_refused() {
 	w := begin(func(h balance.Host) Module { return scripted{h: h} })
-	id := w.core.Arrived(client("first"), 0, 0, "", 500, 0, false, false)
+	id := w.core.InvocationArrived(client("first"), 0, 0, "", 500, 0, false, false)
 	w.until(w.now + 1)
-	w.core.Ended(id, 0, balance.Succeeded, 7, true, nil)
-	w.core.Arrived(client("second"), 1, 0, "", 500, 0, false, false)
+	w.core.DispatchEnded(id, 0, balance.Succeeded, 7, true, nil)
+	w.core.InvocationArrived(client("second"), 1, 0, "", 500, 0, false, false)
 	w.until(w.now + 1)
-	w.core.Arrived(client("third"), 2, 0, "", 500, 0, false, false)
-	r := w.core.Look()
-	fmt.Println("taken", r.Taken, "succeeded", r.Succeeded, "throttled", r.Throttled, "terminated", r.Terminated, "open", r.Open)
+	w.core.InvocationArrived(client("third"), 2, 0, "", 500, 0, false, false)
+	r := w.core.Snapshot()
+	fmt.Println("taken", r.Accepted, "succeeded", r.Succeeded, "throttled", r.Throttled, "terminated", r.Terminated, "open", r.Open)
 	// Output:
 	// first: dispatch 0 to node 1 at a:1
 	// the module hears that dispatch 1 ended with 7, done false
@@ -109,23 +109,23 @@
 	set := balance.Settings{"limits.most-tries": 2.0, "discovery": "automatic",
 		"operations": []balance.Settings{{"repeat": "side-effecting", "slo-ms": 200.0}}}
 	w := begin(func(h balance.Host) Module { return balance.New(h, set, 3) })
-	w.core.Staged(1, 0, balance.Released, 1, 0, false)
-	arrive := func(name string) string { return w.core.Arrived(client(name), 0, 0, "", 400, 0, false, false) }
+	w.core.StageUpdate(1, 0, balance.Released, 1, 0, false)
+	arrive := func(name string) string { return w.core.InvocationArrived(client(name), 0, 0, "", 400, 0, false, false) }
 	a := arrive("answered")
 	w.until(w.now + 20)
-	w.core.Ended(a, 0, balance.Succeeded, 20, true, nil)
+	w.core.DispatchEnded(a, 0, balance.Succeeded, 20, true, nil)
 	b := arrive("failed")
-	w.core.Ended(b, 0, balance.Reset, 5, false, nil)
+	w.core.DispatchEnded(b, 0, balance.Reset, 5, false, nil)
 	c := arrive("gone")
-	w.core.Lapsed(c)
-	w.core.Ended(c, 0, balance.Succeeded, 30, false, nil)
+	w.core.ClientTimedOut(c)
+	w.core.DispatchEnded(c, 0, balance.Succeeded, 30, false, nil)
 	d := arrive("overtaken")
-	w.core.Overtaken(d)
-	w.core.Ended(d, 0, balance.TimedOut, 400, false, nil)
+	w.core.TerminatedByExchange(d)
+	w.core.DispatchEnded(d, 0, balance.TimedOut, 400, false, nil)
 	arrive("last")
-	fmt.Println("open at the end:", w.core.EndAll())
-	r := w.core.Look()
-	fmt.Println("taken", r.Taken, "succeeded", r.Succeeded, "terminated", r.Terminated, "lapsed", r.Lapsed, "dispatches", r.Dispatches)
+	fmt.Println("open at the end:", w.core.TerminateAll())
+	r := w.core.Snapshot()
+	fmt.Println("taken", r.Accepted, "succeeded", r.Succeeded, "terminated", r.Terminated, "lapsed", r.ClientTimeouts, "dispatches", r.Dispatches)
 	// Output:
 	// answered: dispatch 0 to node 1 at a:1
 	// failed: dispatch 0 to node 2 at b:2
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -124,11 +124,11 @@
 	nodes := make([]string, 0, len(r.Nodes))
 	for _, n := range r.Nodes {
 		if n.Health != balance.Gone {
-			nodes = append(nodes, fmt.Sprintf("%s/%d/%d:%d%v", n.Address, n.Ver, n.Health, n.Sent, n.Endings))
+			nodes = append(nodes, fmt.Sprintf("%s/%d/%d:%d%v", n.Address, n.Ver, n.Health, n.Sent, n.Outcomes))
 		}
 	}
 	slices.Sort(nodes)
-	m.Log.Debug("view", "taken", r.Taken, "succeeded", r.Succeeded, "throttled", r.Throttled, "terminated", r.Terminated,
-		"lapsed", r.Lapsed, "open", r.Open, "dispatches", r.Dispatches, "endings", fmt.Sprint(r.Endings), "ver", r.Ver, "stage", r.Stage,
+	m.Log.Debug("view", "taken", r.Accepted, "succeeded", r.Succeeded, "throttled", r.Throttled, "terminated", r.Terminated,
+		"lapsed", r.ClientTimeouts, "open", r.Open, "dispatches", r.Dispatches, "endings", fmt.Sprint(r.Outcomes), "ver", r.Ver, "stage", r.Stage,
 		"cap", r.Cap, "requests", &m.Front.Counts, "violations", fmt.Sprintf("%+v", r.Violations), "refused_behind", m.Behind(), "goroutines", runtime.NumGoroutine(), "nodes", strings.Join(nodes, " "))
 }
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -147,12 +147,12 @@
 var _ marshal.Exchange = (*calmClient)(nil)
 
 func (c *calmClient) ask() {
-	c.id = c.l.core.Arrived(c, 0, 0, "", 500, 0, false, false)
+	c.id = c.l.core.InvocationArrived(c, 0, 0, "", 500, 0, false, false)
 }
 
 func (c *calmClient) Dispatch(no int, _ uint32, _ string, _ float64) {
 	c.l.loop.Post(func() {
-		c.l.core.Ended(c.id, no, balance.Succeeded, 5, true, nil)
+		c.l.core.DispatchEnded(c.id, no, balance.Succeeded, 5, true, nil)
 		c.over()
 	})
 }
@@ -170,5 +170,5 @@
 func (c *calmClient) Throttle(float64) { c.over() }
 func (c *calmClient) Terminate()       { c.over() }
 func (c *calmClient) Cancel(int)       {}
-func (c *calmClient) Let()             {}
-func (c *calmClient) Abrupt()          {}
+func (c *calmClient) Discard()             {}
+func (c *calmClient) Abort()          {}
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -61,8 +61,8 @@
 	r.until("the node has it", func() bool { return r.got() == 1 })
 	home := -1
 	for i, l := range r.m.groups[0].lanes {
-		if l.loop.Ask(func() {
-			if l.core.Open() == 1 {
+		if l.loop.Do(func() {
+			if l.core.OpenInvocations() == 1 {
 				home = i
 			}
 		}); home >= 0 {
@@ -93,7 +93,7 @@
 		}
 	}
 	bound := 0
-	for divide.Home(fmt.Sprint(bound), 3) != home {
+	for divide.AssignByName(fmt.Sprint(bound), 3) != home {
 		bound++
 	}
 	c := r.client()
@@ -101,7 +101,7 @@
 	c.expect("503 not-taken")
 	close(r.gate) // the node answers what the core that stands still has taken: the client gets it
 	taken.expect("200 succeeded /once")
-	if look := r.m.Loops[home].Standing(); look < 100 {
+	if look := r.m.Loops[home].CurrentCallMs(); look < 100 {
 		t.Errorf("the core that stands still says it has for %v ms", look)
 	}
 }
@@ -149,7 +149,7 @@
 	b.send(get, "once/2")
 	r.until("the node has both", func() bool { return r.got() == 2 })
 	fatal := 0
-	for divide.Home(fmt.Sprint(fatal), 2) != 0 {
+	for divide.AssignByName(fmt.Sprint(fatal), 2) != 0 {
 		fatal++
 	}
 	bad := func() {
@@ -327,7 +327,7 @@
 	if len(exposed) > before {
 		t.Errorf("%d exposed after the cap fell to nothing", len(exposed)-before)
 	}
-	if st := g.account.Look(); st.Ver != 2 || st.Cap != 0 || st.Refused == 0 {
+	if st := g.account.Snapshot(); st.Ver != 2 || st.Cap != 0 || st.RefusedDraws == 0 {
 		t.Errorf("the account says %+v", st)
 	}
 }
@@ -347,7 +347,7 @@
 	}
 	// A dispatch decided on before is never written, and never ran.
 	for _, l := range r.m.groups[0].lanes {
-		l.loop.Ask(func() { l.core.Listed(false, []balance.Node{{ID: 1, Ver: 1, Size: 1}}, []string{addr}) })
+		l.loop.Do(func() { l.core.NodesListed(false, []balance.Node{{ID: 1, Ver: 1, Size: 1}}, []string{addr}) })
 	}
 	c := r.client()
 	c.send(get, "once")
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -46,7 +46,7 @@
 	instance int
 	loop     *loop.Loop
 	core     *marshal.Core
-	part     *divide.Part // nil for a lane alone
+	part     *divide.Shard // nil for a lane alone
 	rec      *record.Writer
 	begins   []float64 // when it began anew
 }
@@ -57,9 +57,9 @@
 	for i, o := range operations {
 		switch o.Repeat {
 		case settings.Repeat_IDEMPOTENT:
-			rules[i].Free = true
+			rules[i].Idempotent = true
 		case settings.Repeat_FINGERPRINTED:
-			rules[i] = marshal.RepeatRule{Group: marshal.Group(o.Group), WithinMs: o.MemoryMs}
+			rules[i] = marshal.RepeatRule{Group: marshal.DedupGroup(o.Group), DedupWindowMs: o.MemoryMs}
 		}
 	}
 	return rules
@@ -70,7 +70,7 @@
 func (g *group) wire(ways *Ways) {
 	listFailed := func() {
 		if g.account != nil {
-			g.account.ListFailed()
+			g.account.NodeListFailed()
 		}
 		g.each(func(l *lane) { l.events().ListFailed() })
 	}
@@ -112,7 +112,7 @@
 	if g.account == nil {
 		return g.lanes[0]
 	}
-	return g.lanes[g.account.Answered()]
+	return g.lanes[g.account.FinishVote()]
 }
 
 func (g *group) staged(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
@@ -120,7 +120,7 @@
 	defer g.mu.Unlock()
 	var to *lane
 	if g.account != nil {
-		g.account.Staged(ver, phase, cap)
+		g.account.StageUpdate(ver, phase, cap)
 	}
 	g.closed(ver, cap <= 0 && phase != balance.Released)
 	if reply {
@@ -128,10 +128,10 @@
 	}
 	heard := g.m.Loop.Clock().Now()
 	g.stage = func(l *lane) { // also to one that begins later
-		l.core.Staged(ver, stage, phase, cap, age+max(0, l.loop.Now()-heard), false)
+		l.core.StageUpdate(ver, stage, phase, cap, age+max(0, l.loop.Now()-heard), false)
 	}
 	for _, l := range g.lanes {
-		l.loop.News(func() { l.core.Staged(ver, stage, phase, cap, age, l == to) })
+		l.loop.PostUrgent(func() { l.core.StageUpdate(ver, stage, phase, cap, age, l == to) })
 	}
 	g.capped(ver, phase, cap)
 }
@@ -188,7 +188,7 @@
 	seed += uint64(l.instance) << 32
 	l.core.Start(func(h balance.Host) marshal.Module {
 		if l.account != nil {
-			l.part = divide.NewPart(l.account, l.instance, len(l.lanes), h, l, set)
+			l.part = divide.NewShard(l.account, l.instance, len(l.lanes), h, l, set)
 			h = l.part
 		}
 		var module divide.Module
@@ -199,12 +199,12 @@
 			module = tap.Before(hooks.Module(tap, set, seed))
 		}
 		if l.account != nil {
-			return l.part.Before(module)
+			return l.part.Attach(module)
 		}
 		return module
 	})
 	if len(nodes) > 0 {
-		l.core.Listed(true, nodes, addresses)
+		l.core.NodesListed(true, nodes, addresses)
 	}
 }
 
@@ -220,14 +220,14 @@
 	}
 }
 
-// Share is divide.Others.
-func (l *lane) Share(to int, outcomes []divide.Outcome) {
+// ShareOutcomes is divide.Others.
+func (l *lane) ShareOutcomes(to int, outcomes []divide.DispatchOutcome) {
 	other := l.lanes[to]
-	other.loop.Post(func() { other.part.Heard(outcomes) })
+	other.loop.Post(func() { other.part.ReceiveOutcomes(outcomes) })
 }
 
 // events gives the module for what needs no care on the way.
-func (l *lane) events() marshal.Module { return l.core.Events() }
+func (l *lane) events() marshal.Module { return l.core.Module() }
 
 // last reads the list of the marshal's life before.
 func (g *group) last(ways *Ways) ([]balance.Node, []string) {
@@ -270,7 +270,7 @@
 	defer g.mu.Unlock()
 	nodes, addresses := g.read(lines)
 	for _, l := range g.lanes {
-		l.loop.News(func() { l.core.Listed(whole, nodes, addresses) })
+		l.loop.PostUrgent(func() { l.core.NodesListed(whole, nodes, addresses) })
 	}
 	g.list.take(whole, lines)
 	g.once.Do(func() { close(g.heard) })
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -73,12 +73,12 @@
 	c.send("GET /look HTTP/1.1\nHost: x\n\n")
 	r.until("it is on its way", func() bool { l, _ := r.m.Look(); return l.Dispatches == 1 })
 	c.Close()
-	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Lapsed == 1 && l.Open == 0 })
+	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.ClientTimeouts == 1 && l.Open == 0 })
 	if got := empty(); got != "" {
 		t.Errorf("the node got %q", got)
 	}
-	if l, _ := r.m.Look(); l.Dispatches != 1 || l.Endings[balance.Ignored]+l.Endings[balance.NoConnect] != 1 {
-		t.Errorf("%d dispatches ended as %v", l.Dispatches, l.Endings)
+	if l, _ := r.m.Look(); l.Dispatches != 1 || l.Outcomes[balance.Ignored]+l.Outcomes[balance.NoConnect] != 1 {
+		t.Errorf("%d dispatches ended as %v", l.Dispatches, l.Outcomes)
 	}
 }
 
@@ -103,7 +103,7 @@
 	case <-time.After(2 * time.Second):
 		t.Error("the node's connection stays open")
 	}
-	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.Endings[balance.Canceled] == 1 })
+	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.Outcomes[balance.Canceled] == 1 })
 }
 
 // last asks on a connection and says what became of it: "200", "closed" where the connection ended without a byte, or else.
@@ -324,7 +324,7 @@
 	r.until("the node has it", func() bool { return r.got() == 1 })
 	c.Conn.(*net.TCPConn).CloseWrite()
 	c.expect("502 terminated")
-	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.Lapsed == 1 })
+	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.ClientTimeouts == 1 })
 	if n := r.m.Front.Counts.Left.Load(); n != 1 {
 		t.Errorf("%d requests counted as left", n)
 	}
--- a/internal/serve/meter.go
+++ b/internal/serve/meter.go
@@ -48,11 +48,11 @@
 	count, level := prometheus.CounterValue, prometheus.GaugeValue
 	for i, l := range c.m.Loops {
 		core := strconv.Itoa(i)
-		put(descRan, count, float64(l.Ran()), core)
-		put(descBusy, count, l.Busy()/1000, core)
-		put(descStand, level, l.Standing()/1000, core)
+		put(descRan, count, float64(l.Completed()), core)
+		put(descBusy, count, l.BusyMs()/1000, core)
+		put(descStand, level, l.CurrentCallMs()/1000, core)
 		put(descWait, level, float64(l.Waiting()), core)
-		put(descBack, count, float64(l.Behind()), core)
+		put(descBack, count, float64(l.Refused()), core)
 		put(descConns, level, float64(c.m.Front.Homes(i)), core)
 	}
 	put(descMoved, count, float64(c.m.Front.Moved()))
@@ -75,16 +75,16 @@
 		if len(c.m.Set.Pool) > 0 {
 			pool = c.m.Set.Pool[g.number].Name
 		}
-		st := g.account.Look()
-		put(descChair, level, float64(st.Chair), pool)
-		put(descNo, count, float64(st.Refused), pool)
+		st := g.account.Snapshot()
+		put(descChair, level, float64(st.Coordinator), pool)
+		put(descNo, count, float64(st.RefusedDraws), pool)
 		for _, s := range st.Scopes {
 			op := "all"
 			if s.Op >= 0 {
 				op = g.set.Operation[s.Op].Name
 			}
 			ver := strconv.Itoa(s.Ver)
-			put(descTaken, level, s.Taken, pool, ver, op)
+			put(descTaken, level, s.Accepted, pool, ver, op)
 			put(descExp, level, s.Exposed, pool, ver, op)
 			put(descLease, level, float64(s.Leased), pool, ver, op)
 		}
--- a/internal/serve/outside.go
+++ b/internal/serve/outside.go
@@ -26,13 +26,13 @@
 	})
 }
 
-func (l *lane) Fetch() {
+func (l *lane) FetchNodes() {
 	if l.roster != nil {
 		l.roster.Fetch()
 	}
 }
 
-func (l *lane) Watch(on bool) {
+func (l *lane) WatchNodes(on bool) {
 	if l.roster != nil {
 		l.roster.Watch(on)
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-func (l *lane) Tell(peer int, text string) {
+func (l *lane) SendToPeer(peer int, text string) {
 	if l.m.peers == nil {
 		return
 	}
--- a/internal/serve/scarce_test.go
+++ b/internal/serve/scarce_test.go
@@ -100,7 +100,7 @@
 			n.set(0)
 			c.expect("200 succeeded /once")
 			if l, _ := r.m.Look(); l.Dispatches != 1 || r.got() != 1 {
-				t.Errorf("%d dispatches, %d requests reached nodes; endings %v", l.Dispatches, r.got(), l.Endings)
+				t.Errorf("%d dispatches, %d requests reached nodes; endings %v", l.Dispatches, r.got(), l.Outcomes)
 			}
 		})
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -66,7 +66,7 @@
 	m := &Marshal{Set: set, Log: log, ended: make(chan struct{})}
 	for range set.Cores() {
 		l := loop.New(hooks.Clock, int(set.Limits.Queue))
-		l.Again = set.Cores() > 1
+		l.Restartable = set.Cores() > 1
 		m.Loops = append(m.Loops, l)
 	}
 	m.Loop = m.Loops[0]
@@ -98,7 +98,7 @@
 			}
 			l.core = marshal.New(l, log, prefix)
 			if !hooks.Unguarded {
-				l.core.Rules = repeatRules(of.Operation)
+				l.core.RepeatRules = repeatRules(of.Operation)
 			}
 			g.lanes, cores[j] = append(g.lanes, l), append(cores[j], l.core)
 		}
@@ -130,7 +130,7 @@
 	for _, g := range m.groups {
 		nodes, addresses := g.last(hooks.Ways)
 		for _, l := range g.lanes {
-			l.loop.News(func() { l.begin(hooks, seed+uint64(g.number), nodes, addresses) }) // before any other
+			l.loop.PostUrgent(func() { l.begin(hooks, seed+uint64(g.number), nodes, addresses) }) // before any other
 		}
 		g.wire(hooks.Ways)
 	}
@@ -222,16 +222,16 @@
 		err := l.Run()
 		var p *loop.Panic
 		if errors.As(err, &p) {
-			var looks []marshal.Record
-			m.lanesOf(core, func(l *lane) { looks = append(looks, l.core.Look()) })
+			var looks []marshal.Stats
+			m.lanesOf(core, func(l *lane) { looks = append(looks, l.core.Snapshot()) })
 			state, jerr := json.Marshal(looks)
 			m.Log.Error("the decision module panicked: what is open is terminated", "core", core, "err", err, "open", m.owed(core),
 				"stack", string(p.Stack), "state", string(state), "state_err", jerr)
 		}
-		m.lanesOf(core, func(l *lane) { l.core.EndAll() })
+		m.lanesOf(core, func(l *lane) { l.core.TerminateAll() })
 		begins = append(begins, l.Clock().Now())
-		if err != nil && l.Again && divide.Again(begins) {
-			l.First(func() { m.lanesOf(core, func(a *lane) { a.again(hooks, seed) }) })
+		if err != nil && l.Restartable && divide.MayRestart(begins) {
+			l.RunFirst(func() { m.lanesOf(core, func(a *lane) { a.again(hooks, seed) }) })
 			continue
 		}
 		if err != nil {
@@ -261,15 +261,15 @@
 }
 
 // Look gives a copy of the marshal's own record, of the first pool where there are several; false once it has ended.
-func (m *Marshal) Look() (marshal.Record, bool) {
+func (m *Marshal) Look() (marshal.Stats, bool) {
 	r, err := m.LookAt(context.Background(), 0)
 	return r, err == nil
 }
 
 // LookAt gives a copy of the record of one pool, of all cores together. It waits for each core until the context ends.
-func (m *Marshal) LookAt(ctx context.Context, pool int) (r marshal.Record, err error) {
+func (m *Marshal) LookAt(ctx context.Context, pool int) (r marshal.Stats, err error) {
 	for i, l := range m.groups[pool].lanes {
-		one, err := loop.Query(ctx, l.loop, l.core.Look)
+		one, err := loop.Query(ctx, l.loop, l.core.Snapshot)
 		if err != nil {
 			return r, fmt.Errorf("the record of core %d: %w", i, err)
 		}
@@ -300,7 +300,7 @@
 // Behind counts the arrivals that were refused because too many waited, at any core.
 func (m *Marshal) Behind() (count int64) {
 	for _, l := range m.Loops {
-		count += l.Behind()
+		count += l.Refused()
 	}
 	return count
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -164,7 +164,7 @@
 	c.send(get, "once-wait")
 	r.until("the node has it", func() bool { return r.got() == 1 })
 	c.Close()
-	r.until("the module knows", func() bool { l, _ := r.m.Look(); return l.Lapsed == 1 })
+	r.until("the module knows", func() bool { l, _ := r.m.Look(); return l.ClientTimeouts == 1 })
 	close(r.gate)
 	for i := range 60 {
 		c := r.client()
@@ -172,10 +172,10 @@
 		time.Sleep(time.Duration(1500+20*i) * time.Microsecond)
 		c.Close()
 	}
-	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.Taken >= 30 })
+	r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 && l.Accepted >= 30 })
 	l, _ := r.m.Look()
-	if l.Taken != l.Succeeded+l.Throttled+l.Terminated+l.Lapsed {
-		t.Errorf("%d taken, but %d+%d+%d answered and %d lapsed", l.Taken, l.Succeeded, l.Throttled, l.Terminated, l.Lapsed)
+	if l.Accepted != l.Succeeded+l.Throttled+l.Terminated+l.ClientTimeouts {
+		t.Errorf("%d taken, but %d+%d+%d answered and %d lapsed", l.Accepted, l.Succeeded, l.Throttled, l.Terminated, l.ClientTimeouts)
 	}
 	last := r.client() // after so many that left it may be throttled at first
 	r.until("it serves on", func() bool {
@@ -357,7 +357,7 @@
 		c.send(get, "look")
 		clients = append(clients, c)
 	}
-	r.until("the queue is full", func() bool { return r.m.Loop.Behind() == 4 })
+	r.until("the queue is full", func() bool { return r.m.Loop.Refused() == 4 })
 	close(block)
 	words := map[string]int{}
 	for _, c := range clients {
@@ -549,8 +549,8 @@
 	time.Sleep(30 * time.Millisecond)
 	first.silent()
 	l, _ := r.m.Look()
-	if l.Taken != 1 || l.Open != 0 || l.Terminated != 1 || r.got() != 1 {
-		t.Errorf("taken %d, open %d, terminated %d, %d requests at nodes", l.Taken, l.Open, l.Terminated, r.got())
+	if l.Accepted != 1 || l.Open != 0 || l.Terminated != 1 || r.got() != 1 {
+		t.Errorf("taken %d, open %d, terminated %d, %d requests at nodes", l.Accepted, l.Open, l.Terminated, r.got())
 	}
 }
 
@@ -575,8 +575,8 @@
 		held <- struct{}{}
 		r.until("all is over", func() bool { l, _ := r.m.Look(); return l.Open == 0 })
 	}
-	if l, _ := r.m.Look(); l.Terminated != 3 || l.Dispatches != 3 || l.Endings[balance.Ignored] != 3 || r.got() != 0 {
-		t.Errorf("%d dispatches ended as %v, %d requests at nodes", l.Dispatches, l.Endings, r.got())
+	if l, _ := r.m.Look(); l.Terminated != 3 || l.Dispatches != 3 || l.Outcomes[balance.Ignored] != 3 || r.got() != 0 {
+		t.Errorf("%d dispatches ended as %v, %d requests at nodes", l.Dispatches, l.Outcomes, r.got())
 	}
 	c.send(get, "look")
 	c.expect("200 succeeded")
@@ -636,7 +636,7 @@
 	c := r.client()
 	c.Conn.(*net.TCPConn).SetReadBuffer(4096)
 	c.send(get, "look-long")
-	r.until("it is given up", func() bool { l, _ := r.m.Look(); return l.Taken == 1 && l.Open == 0 && r.m.Front.Open() == 0 })
+	r.until("it is given up", func() bool { l, _ := r.m.Look(); return l.Accepted == 1 && l.Open == 0 && r.m.Front.Open() == 0 })
 	other := r.client()
 	other.send(get, "look")
 	other.expect("200 succeeded x")
@@ -690,8 +690,8 @@
 		}
 		c.expect("200 succeeded")
 	}
-	if l, _ := r.m.Look(); l.Taken != 3 {
-		t.Errorf("%d taken", l.Taken)
+	if l, _ := r.m.Look(); l.Accepted != 3 {
+		t.Errorf("%d taken", l.Accepted)
 	}
 }
 
@@ -707,8 +707,8 @@
 		c.expect("200 succeeded")
 	}
 	l, _ := r.m.Look()
-	if l.Nodes[9].Endings[balance.NoConnect] == 0 || l.Nodes[9].Endings[balance.NoConnect] != l.Nodes[9].Sent {
-		t.Errorf("at the full node %d were sent and ended so: %v", l.Nodes[9].Sent, l.Nodes[9].Endings)
+	if l.Nodes[9].Outcomes[balance.NoConnect] == 0 || l.Nodes[9].Outcomes[balance.NoConnect] != l.Nodes[9].Sent {
+		t.Errorf("at the full node %d were sent and ended so: %v", l.Nodes[9].Sent, l.Nodes[9].Outcomes)
 	}
 }
 
@@ -813,7 +813,7 @@
 		ask("book", "200 succeeded second/book")
 		ask("once", "200 succeeded first/once")
 	}
-	r.m.Loop.Post(func() { r.m.groups[1].lanes[0].core.Staged(7, 0, balance.OnTrial, 0, 0, false) })
+	r.m.Loop.Post(func() { r.m.groups[1].lanes[0].core.StageUpdate(7, 0, balance.OnTrial, 0, 0, false) })
 	for i, ln := range other.lns { // the second pool is gone
 		other.list(uint32(i+1), ln.Addr().String(), balance.Gone)
 	}
@@ -825,8 +825,8 @@
 	ask("look", "200 succeeded first/look")
 	a, _ := r.m.LookAt(t.Context(), 0)
 	b, _ := r.m.LookAt(t.Context(), 1)
-	if a.Taken != 21 || a.Succeeded != 21 || b.Taken != 11 || b.Succeeded != 10 || a.Ver == 7 || b.Ver != 7 {
-		t.Errorf("the first took %d, succeeded %d, ver %d; the second %d, %d, %d", a.Taken, a.Succeeded, a.Ver, b.Taken, b.Succeeded, b.Ver)
+	if a.Accepted != 21 || a.Succeeded != 21 || b.Accepted != 11 || b.Succeeded != 10 || a.Ver == 7 || b.Ver != 7 {
+		t.Errorf("the first took %d, succeeded %d, ver %d; the second %d, %d, %d", a.Accepted, a.Succeeded, a.Ver, b.Accepted, b.Succeeded, b.Ver)
 	}
 	// A reload that drops a pool with an invocation out needs a restart: nothing is changed.
 	set := r.set.Copy()
--- a/internal/serve/stop.go
+++ b/internal/serve/stop.go
@@ -125,6 +125,6 @@
 
 // owed counts the invocations that are open at a core; to be called on its loop.
 func (m *Marshal) owed(core int) (open int) {
-	m.lanesOf(core, func(l *lane) { open += l.core.Open() })
+	m.lanesOf(core, func(l *lane) { open += l.core.OpenInvocations() })
 	return open
 }
