--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -195,7 +195,7 @@
 	x.final(command{what: doThrottle, retryAfter: retryAfter})
 }
 func (x *exchange) Terminate() { x.final(command{what: doTerminate}) }
-func (x *exchange) Abort()    { x.final(command{what: doTerminate}) }
+func (x *exchange) Abort()     { x.final(command{what: doTerminate}) }
 
 // Discard gives up what is out: nobody waits for it any more, and a connection that comes up late must carry nothing.
 func (x *exchange) Discard() { x.end(command{what: doLet}) }
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -170,5 +170,5 @@
 func (c *calmClient) Throttle(float64) { c.over() }
 func (c *calmClient) Terminate()       { c.over() }
 func (c *calmClient) Cancel(int)       {}
-func (c *calmClient) Discard()             {}
-func (c *calmClient) Abort()          {}
+func (c *calmClient) Discard()         {}
+func (c *calmClient) Abort()           {}
