--- a/internal/marshal/guard.go
+++ b/internal/marshal/guard.go
@@ -4,28 +4,28 @@
 	"arrowcleat/balance"
 )
 
-// RepeatRule is what an operation allows after an attempt that may have run. The zero value allows nothing.
+// RepeatRule says when an operation may be sent again after an attempt that may have run. The zero value forbids it.
 type RepeatRule struct {
-	Idempotent     bool    // an effect twice does no harm
-	Group    DedupGroup   // of nodes that drop each other's repeats
-	DedupWindowMs float64 // for how long they do, from when the first such attempt was sent
+	Idempotent    bool       // running twice does no harm
+	Group         DedupGroup // the nodes that drop each other's repeats
+	DedupWindowMs float64    // how long they drop them, counted from when the first such attempt was sent
 }
 
 // DedupGroup is a set of nodes that drop each other's repeats.
 type DedupGroup string
 
-// The groups; in none but these a repeat has its effect again.
+// The groups. With any other value no node drops repeats, so that a repeat takes effect again.
 const (
 	SameCell DedupGroup = "cell"
 	SameZone DedupGroup = "zone"
 	AllNodes DedupGroup = "all"
 )
 
-// Violations counts what the guard held back: what a decision asked for and the rules forbid. Each must stay 0.
+// Violations counts what the module requested against the rules and the Core suppressed. Each count must stay 0.
 type Violations struct {
 	Repeats  int64 // attempts after one that may have run, against the operation's rule
-	Copies   int64 // attempts beside one that was out
-	Refusals int64 // refusals, which promise that nothing ran, of what may have run
+	Copies   int64 // attempts while another one was in flight
+	Refusals int64 // refusals, which promise that nothing ran, of invocations that may have run
 }
 
 func (v *Violations) add(o Violations) {
@@ -34,44 +34,44 @@
 	v.Refusals += o.Refusals
 }
 
-// attempt is one that may have run.
+// attempt is a dispatch that was sent to a node.
 type attempt struct {
 	zone, cell int // of its node
 	sentMs     float64
 }
 
-// NeverRan says that an ending proves that nothing ran.
-func NeverRan(how balance.Ending) bool {
-	return how == balance.Full || how == balance.NoConnect || how == balance.Ignored
+// NeverRan reports whether an outcome proves that the dispatch did not run.
+func NeverRan(outcome balance.Ending) bool {
+	return outcome == balance.Full || outcome == balance.NoConnect || outcome == balance.Ignored
 }
 
-// rule is that of an invocation's operation.
-func (c *Core) rule(inv *invocation) RepeatRule {
+// repeatRule returns the rule of an invocation's operation.
+func (c *Core) repeatRule(inv *invocation) RepeatRule {
 	if inv.op < len(c.RepeatRules) {
 		return c.RepeatRules[inv.op]
 	}
 	return RepeatRule{Idempotent: c.RepeatRules == nil}
 }
 
-// mayRepeat says whether a further attempt at a node keeps the rule against double effects.
+// mayRepeat reports whether the operation's rule allows a further attempt at a node.
 func (c *Core) mayRepeat(inv *invocation, node balance.Node) bool {
-	rule, now := c.rule(inv), c.out.Now()
-	for _, earlier := range inv.ran {
-		if !rule.Idempotent && (now-earlier.sentMs > rule.DedupWindowMs || !rule.Group.holds(earlier, node)) {
+	rule, now := c.repeatRule(inv), c.env.Now()
+	for _, earlier := range inv.mayHaveRun {
+		if !rule.Idempotent && (now-earlier.sentMs > rule.DedupWindowMs || !rule.Group.drops(earlier, node)) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRefuse says whether a refusal keeps its promise, that asking again is harmless.
+// mayRefuse reports whether an invocation may be refused: a refusal promises the client that a retry is harmless.
 func (c *Core) mayRefuse(inv *invocation) bool {
-	rule := c.rule(inv)
-	return len(inv.ran) == 0 || rule.Idempotent || rule.Group == AllNodes
+	rule := c.repeatRule(inv)
+	return len(inv.mayHaveRun) == 0 || rule.Idempotent || rule.Group == AllNodes
 }
 
-// holds says that a node drops a repeat of an attempt.
-func (g DedupGroup) holds(earlier attempt, node balance.Node) bool {
+// drops reports whether a node drops a repeat of an earlier attempt.
+func (g DedupGroup) drops(earlier attempt, node balance.Node) bool {
 	switch g {
 	case AllNodes:
 		return true
--- a/internal/marshal/marshal.go
+++ b/internal/marshal/marshal.go
@@ -1,6 +1,6 @@
-// Package marshal stands between the decision module and the world: it tells the module what happens, finds
-// for each thing the module asks the end of it that is meant, and keeps the marshal's own record. It knows no
-// sockets: front, back and control drive it from the loop, and an emulator can.
+// Package marshal connects the decision module with the rest of the marshal. It passes events to the module, carries out
+// the module's requests on the invocations and nodes they refer to, suppresses requests that are not allowed, and keeps
+// statistics. It does no I/O: the packages front, back and control drive it from the event loop, and so can a simulator.
 package marshal
 
 import (
@@ -11,20 +11,20 @@
 	"arrowcleat/balance"
 )
 
-// Module is what a decision module can be told.
+// Module is the decision module: the receiver of events.
 type Module = balance.Module
 
-// Exchange is the client's end of one invocation. Its methods are called on the loop and must not block.
+// Exchange is the client's side of one invocation. Its methods are called on the event loop and must not block.
 type Exchange interface {
-	Dispatch(no int, node uint32, address string, within float64)
+	Dispatch(no int, node uint32, address string, limitMs float64)
 	Cancel(no int)
-	Throttle(comeBack float64)
+	Throttle(retryAfterMs float64)
 	Terminate()
-	Discard()    // nothing more will come: what happened was told already
-	Abort() // the marshal ends: terminated at once, whatever is out
+	Discard() // no answer follows; the module has been notified already
+	Abort()   // the marshal ends: terminate at once, whatever is in flight
 }
 
-// Environment is what an instance needs beside its invocations.
+// Environment is what an instance needs apart from its invocations: a clock, timers and the other components.
 type Environment interface {
 	Now() float64
 	After(ms float64, f func())
@@ -35,136 +35,139 @@
 	SendToPeer(peer int, text string)
 }
 
-// Core is one instance: the Host of its module.
+// Core is one instance of a marshal: the Host of its module.
 type Core struct {
-	out    Environment
-	log    *slog.Logger
-	module Module
-	prefix string
-	next   uint64
-	invs   map[string]*invocation
-	nodes  map[uint32]*NodeStats
-	record Stats
-
-	// RepeatRules are those of the operations, by their index; nil: nothing is checked.
+	env         Environment
+	log         *slog.Logger
+	module      Module
+	prefix      string // of the ids of invocations
+	lastID      uint64
+	invocations map[string]*invocation
+	nodes       map[uint32]*NodeStats
+	stats       Stats
+
+	// RepeatRules are the rules of the operations, by index. With nil, repeats are not checked.
 	RepeatRules []RepeatRule
 }
 
 type invocation struct {
-	x      Exchange
-	op     int
-	node   uint32 // of the last dispatch
-	sent   int
-	open   int // dispatches out
-	done   bool
-	lastNo int       // the number of the last dispatch that was sent
-	last   attempt   // and where and when it was
-	ran    []attempt // those that have ended and may have run
+	exchange   Exchange
+	op         int
+	node       uint32 // of the last dispatch
+	dispatches int    // requested so far, suppressed ones included
+	inFlight   int    // dispatches
+	answered   bool   // it has its final answer
+	lastNo     int    // the number of the last dispatch that was sent
+	last       attempt
+	mayHaveRun []attempt // ended attempts that may have run
 }
 
-// Stats is what the marshal knows of itself; Core.Look hands out a copy.
+// Stats are the counters and the state of an instance. Core.Snapshot returns a copy. The log holds it as JSON when a
+// module panics, under the names in the tags.
 type Stats struct {
-	Accepted                            int64 `json:"Taken"`
+	Accepted                         int64 `json:"Taken"`
 	Succeeded, Throttled, Terminated int64
-	ClientTimeouts                           int64 `json:"Lapsed"`
+	ClientTimeouts                   int64 `json:"Lapsed"`
 	Dispatches, Cancels, Votes       int64
-	Outcomes                          [8]int64 `json:"Endings"`
-	Open                             int
+	Outcomes                         [8]int64 `json:"Endings"` // of dispatches, by balance's number
+	Open                             int      // invocations
 	Ver, Stage                       int
 	Phase                            balance.Phase
 	Cap                              float64
 	Violations                       Violations
 	Nodes                            map[uint32]NodeStats
-	LogLines                             []string `json:"Last"` // the module's last log lines
+	LogLines                         []string `json:"Last"` // the last lines that the module logged
 }
 
-// NodeStats is what the marshal knows of a node.
+// NodeStats are the counters and the state of a node.
 type NodeStats struct {
 	balance.Node
-	Address  string
-	Sent     int64
-	Outcomes  [8]int64 `json:"Endings"`
+	Address    string
+	Sent       int64    // dispatches
+	Outcomes   [8]int64 `json:"Endings"`
 	LastSentMs float64  `json:"LastSent"`
 }
 
 const (
-	lastLines = 50      // log lines of the module that the record keeps
-	keepGone  = 60000.0 // ms that the record keeps a node that is gone
+	maxLogLines     = 50      // in Stats
+	goneRetentionMs = 60000.0 // for which a node that is gone stays in Stats after its last dispatch
 )
 
-// New makes an instance; Start gives it its module. Ids of its invocations begin with prefix.
-func New(out Environment, log *slog.Logger, prefix string) *Core {
-	return &Core{out: out, log: log, prefix: prefix, invs: map[string]*invocation{}, nodes: map[uint32]*NodeStats{}}
+// New makes an instance; Start gives it its module. The ids of its invocations begin with prefix.
+func New(env Environment, log *slog.Logger, prefix string) *Core {
+	return &Core{env: env, log: log, prefix: prefix, invocations: map[string]*invocation{}, nodes: map[uint32]*NodeStats{}}
 }
 
-// Start takes the module; make is given the Core as the module's Host.
-func (c *Core) Start(make func(balance.Host) Module) { c.module = make(c) }
+// Start makes the module; newModule receives the Core as the module's Host.
+func (c *Core) Start(newModule func(balance.Host) Module) { c.module = newModule(c) }
 
-// InvocationArrived takes an invocation and gives it its id.
-func (c *Core) InvocationArrived(x Exchange, op, tenant int, key string, budget, cost float64, retry, write bool) string {
-	c.next++
-	id := c.prefix + strconv.FormatUint(c.next, 36)
-	c.invs[id] = &invocation{x: x, op: op}
-	c.record.Accepted++
-	c.module.Arrived(id, op, tenant, key, budget, cost, retry, write)
+// InvocationArrived accepts an invocation and returns the id given to it.
+func (c *Core) InvocationArrived(x Exchange, op, tenant int, key string, budgetMs, cost float64, retry, write bool) string {
+	c.lastID++
+	id := c.prefix + strconv.FormatUint(c.lastID, 36)
+	c.invocations[id] = &invocation{exchange: x, op: op}
+	c.stats.Accepted++
+	c.module.Arrived(id, op, tenant, key, budgetMs, cost, retry, write)
 	return id
 }
 
-// DispatchEnded says how a dispatch ended; done, that the client has been given its answer by it.
-func (c *Core) DispatchEnded(id string, no int, how balance.Ending, took float64, done bool, report map[string]float64) {
-	c.record.Outcomes[how]++
-	inv := c.invs[id]
+// DispatchEnded reports how a dispatch ended. With answered, its response was the client's answer.
+func (c *Core) DispatchEnded(id string, no int, outcome balance.Ending, tookMs float64, answered bool, report map[string]float64) {
+	c.stats.Outcomes[outcome]++
+	inv := c.invocations[id]
 	if inv == nil {
 		return
 	}
-	inv.open--
-	if !done && !NeverRan(how) && no == inv.lastNo {
-		inv.ran = append(inv.ran, inv.last)
+	inv.inFlight--
+	if !answered && !NeverRan(outcome) && no == inv.lastNo {
+		inv.mayHaveRun = append(inv.mayHaveRun, inv.last)
 	}
 	if n := c.nodes[inv.node]; n != nil {
-		n.Outcomes[how]++
+		n.Outcomes[outcome]++
 	}
-	if done && !inv.done {
-		inv.done = true
-		if how == balance.Succeeded {
-			c.record.Succeeded++
+	if answered && !inv.answered {
+		inv.answered = true
+		if outcome == balance.Succeeded {
+			c.stats.Succeeded++
 		} else {
-			c.record.Terminated++ // an answer that had begun and broke
+			c.stats.Terminated++ // the response broke off after it had begun
 		}
 	}
-	c.module.Ended(id, no, inv.node, how, took, inv.done, report)
-	c.forget(id, inv)
+	c.module.Ended(id, no, inv.node, outcome, tookMs, inv.answered, report)
+	c.deleteIfDone(id, inv)
 }
 
-// ResponseStarted says that an answer too long to be held has begun to go to the client.
-func (c *Core) ResponseStarted(id string, no int, took float64) {
-	if inv := c.invs[id]; inv != nil {
-		c.module.Began(id, no, inv.node, took)
+// ResponseStarted reports that a response too long to be buffered has begun to go to the client.
+func (c *Core) ResponseStarted(id string, no int, tookMs float64) {
+	if inv := c.invocations[id]; inv != nil {
+		c.module.Began(id, no, inv.node, tookMs)
 	}
 }
 
-// ClientTimedOut says that the client is gone, or its time is up without an answer; the exchange is let go at once.
+// ClientTimedOut reports that the client has disconnected, or that its deadline has passed without an answer. The
+// exchange is discarded at once.
 func (c *Core) ClientTimedOut(id string) {
-	inv := c.invs[id]
-	if inv == nil || inv.done {
+	inv := c.invocations[id]
+	if inv == nil || inv.answered {
 		return
 	}
-	inv.done = true
-	c.record.ClientTimeouts++
+	inv.answered = true
+	c.stats.ClientTimeouts++
 	c.module.Lapsed(id)
-	inv.x.Discard()
-	c.forget(id, inv)
+	inv.exchange.Discard()
+	c.deleteIfDone(id, inv)
 }
 
-func (c *Core) forget(id string, inv *invocation) {
-	if inv.done && inv.open == 0 {
-		delete(c.invs, id)
+// deleteIfDone deletes an invocation that has its answer and has no dispatch in flight.
+func (c *Core) deleteIfDone(id string, inv *invocation) {
+	if inv.answered && inv.inFlight == 0 {
+		delete(c.invocations, id)
 	}
 }
 
-// NodesListed brings the list of nodes or what has changed of it; addresses go with the lines of the list.
+// NodesListed delivers the list of nodes or, unless whole, the changed lines. Each node's address has the node's index.
 func (c *Core) NodesListed(whole bool, list []balance.Node, addresses []string) {
-	now := c.out.Now()
+	now := c.env.Now()
 	if whole {
 		for _, n := range c.nodes {
 			n.Health = balance.Gone
@@ -177,200 +180,215 @@
 		c.nodes[n.ID].Node, c.nodes[n.ID].Address = n, addresses[i]
 	}
 	for id, n := range c.nodes {
-		if n.Health == balance.Gone && now-n.LastSentMs > keepGone { // what came and went does not pile up
+		if n.Health == balance.Gone && now-n.LastSentMs > goneRetentionMs { // bounds the map
 			delete(c.nodes, id)
 		}
 	}
 	c.module.Listed(whole, list)
 }
 
-// StageUpdate tells where the newest build stands.
-func (c *Core) StageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
-	r := &c.record
-	r.Ver, r.Stage, r.Phase, r.Cap = ver, stage, phase, cap
-	c.module.Staged(ver, stage, phase, cap, age, reply)
+// StageUpdate reports the stage, phase and cap of the newest build.
+func (c *Core) StageUpdate(ver, stage int, phase balance.Phase, cap, ageMs float64, reply bool) {
+	s := &c.stats
+	s.Ver, s.Stage, s.Phase, s.Cap = ver, stage, phase, cap
+	c.module.Staged(ver, stage, phase, cap, ageMs, reply)
 }
 
-// Module gives the module for what needs no care on the way.
+// Module returns the module, for events that need no handling by the Core.
 func (c *Core) Module() Module { return c.module }
 
-// OpenInvocations is the number of invocations that are owed an answer or have a dispatch out.
-func (c *Core) OpenInvocations() int { return len(c.invs) }
+// OpenInvocations returns the number of invocations that have no answer yet or have a dispatch in flight.
+func (c *Core) OpenInvocations() int { return len(c.invocations) }
 
-// TerminatedByExchange says that the client's time was nearly up and the loop had given no answer, so that the exchange gave
-// one itself: terminated, which promises nothing. It happens to a marshal that stands still.
+// TerminatedByExchange reports that the client's deadline was close and the event loop had not answered, so that the
+// exchange itself answered "terminated", which promises nothing. This happens when the marshal is stalled.
 func (c *Core) TerminatedByExchange(id string) {
-	inv := c.invs[id]
-	if inv == nil || inv.done {
+	inv := c.invocations[id]
+	if inv == nil || inv.answered {
 		return
 	}
-	c.log.Warn("terminated without the module: the marshal stood still", "inv", id, "node", inv.node)
-	inv.done = true
-	c.record.Terminated++
+	c.log.Warn("terminated without the module: the marshal was stalled", "inv", id, "node", inv.node)
+	inv.answered = true
+	c.stats.Terminated++
 	c.module.Lapsed(id)
-	c.forget(id, inv)
+	c.deleteIfDone(id, inv)
 }
 
-// Add adds the record of another instance of the same marshal; where the build stands and the nodes' health are as
-// this one knows them.
-func (r *Stats) Add(o Stats) {
-	for _, p := range []struct{ to, from *int64 }{{&r.Accepted, &o.Accepted}, {&r.Succeeded, &o.Succeeded}, {&r.Throttled, &o.Throttled},
-		{&r.Terminated, &o.Terminated}, {&r.ClientTimeouts, &o.ClientTimeouts}, {&r.Dispatches, &o.Dispatches}, {&r.Cancels, &o.Cancels},
-		{&r.Votes, &o.Votes}} {
+// Add adds the counters of another instance of the same marshal. The build's stage and the nodes' health stay as they
+// are in s.
+func (s *Stats) Add(o Stats) {
+	for _, p := range []struct{ to, from *int64 }{{&s.Accepted, &o.Accepted}, {&s.Succeeded, &o.Succeeded}, {&s.Throttled, &o.Throttled},
+		{&s.Terminated, &o.Terminated}, {&s.ClientTimeouts, &o.ClientTimeouts}, {&s.Dispatches, &o.Dispatches}, {&s.Cancels, &o.Cancels},
+		{&s.Votes, &o.Votes}} {
 		*p.to += *p.from
 	}
 	for i, n := range o.Outcomes {
-		r.Outcomes[i] += n
+		s.Outcomes[i] += n
 	}
-	r.Open += o.Open
-	r.Violations.add(o.Violations)
+	s.Open += o.Open
+	s.Violations.add(o.Violations)
 	for id, n := range o.Nodes {
-		mine, ok := r.Nodes[id]
+		own, ok := s.Nodes[id]
 		if !ok {
-			r.Nodes[id] = n
+			s.Nodes[id] = n
 			continue
 		}
-		mine.Sent, mine.LastSentMs = mine.Sent+n.Sent, max(mine.LastSentMs, n.LastSentMs)
+		own.Sent, own.LastSentMs = own.Sent+n.Sent, max(own.LastSentMs, n.LastSentMs)
 		for i, k := range n.Outcomes {
-			mine.Outcomes[i] += k
+			own.Outcomes[i] += k
 		}
-		r.Nodes[id] = mine
+		s.Nodes[id] = own
 	}
-	r.LogLines = append(r.LogLines, o.LogLines...)
+	s.LogLines = append(s.LogLines, o.LogLines...)
 }
 
-// Snapshot gives a copy of the record; to be called on the loop.
+// Snapshot returns a copy of the statistics. It must be called on the event loop.
 func (c *Core) Snapshot() Stats {
-	r := c.record
-	r.Open = len(c.invs)
-	r.Nodes = make(map[uint32]NodeStats, len(c.nodes))
+	s := c.stats
+	s.Open = len(c.invocations)
+	s.Nodes = make(map[uint32]NodeStats, len(c.nodes))
 	for id, n := range c.nodes {
-		r.Nodes[id] = *n
+		s.Nodes[id] = *n
 	}
-	r.LogLines = append([]string(nil), r.LogLines...)
-	return r
+	s.LogLines = append([]string(nil), s.LogLines...)
+	return s
 }
 
-// TerminateAll terminates what is open, at the marshal's own end.
-func (c *Core) TerminateAll() (open int) {
-	for id, inv := range c.invs { // in any order: nothing is decided any more
-		if !inv.done {
-			inv.done = true
-			open++
-			c.record.Terminated++
-			inv.x.Abort()
+// TerminateAll terminates every open invocation when the instance ends, and returns how many had no answer.
+func (c *Core) TerminateAll() (unanswered int) {
+	for id, inv := range c.invocations { // the order doesn't matter: no decisions follow
+		if !inv.answered {
+			inv.answered = true
+			unanswered++
+			c.stats.Terminated++
+			inv.exchange.Abort()
 		}
-		delete(c.invs, id)
+		delete(c.invocations, id)
 	}
-	return open
+	return unanswered
 }
 
-// Now and the methods below make a Core the module's Host.
-func (c *Core) Now() float64 { return c.out.Now() }
+// Now returns the clock time in ms. It and the methods below implement balance.Host.
+func (c *Core) Now() float64 { return c.env.Now() }
 
-func (c *Core) Dispatch(id string, node uint32, within float64) {
-	inv, to := c.invs[id], c.nodes[node]
+// Dispatch sends an invocation to a node. A dispatch that must not be sent is suppressed, and ends as Ignored in a
+// call of its own.
+func (c *Core) Dispatch(id string, node uint32, limitMs float64) {
+	inv, to := c.invocations[id], c.nodes[node]
 	if inv == nil {
-		c.log.Error("a dispatch of an invocation that is not open", "inv", id, "node", node)
+		c.log.Error("dispatch of an invocation that is not open", "inv", id, "node", node)
 		return
 	}
-	no := inv.sent
-	inv.sent++
-	inv.open++
-	if why := c.heldBack(inv, to, within); why != "" {
-		c.log.Debug("dispatch held back", "inv", id, "no", no, "node", node, "why", why)
-		c.out.After(0, func() { c.DispatchEnded(id, no, balance.Ignored, 0, false, nil) })
+	no := inv.dispatches
+	inv.dispatches++
+	inv.inFlight++
+	if why := c.suppressReason(inv, to, limitMs); why != "" {
+		c.log.Debug("dispatch suppressed", "inv", id, "no", no, "node", node, "why", why)
+		c.env.After(0, func() { c.DispatchEnded(id, no, balance.Ignored, 0, false, nil) })
 		return
 	}
 	if no > 0 {
-		c.log.Debug("dispatch repeated", "inv", id, "no", no, "node", node, "may_have_run", len(inv.ran))
+		c.log.Debug("dispatch repeated", "inv", id, "no", no, "node", node, "may_have_run", len(inv.mayHaveRun))
 	}
-	inv.node, inv.lastNo, inv.last = node, no, attempt{to.Zone, to.Cell, c.out.Now()}
-	c.record.Dispatches++
+	inv.node, inv.lastNo, inv.last = node, no, attempt{to.Zone, to.Cell, c.env.Now()}
+	c.stats.Dispatches++
 	to.Sent++
-	to.LastSentMs = c.out.Now()
-	inv.x.Dispatch(no, node, to.Address, within)
+	to.LastSentMs = c.env.Now()
+	inv.exchange.Dispatch(no, node, to.Address, limitMs)
 }
 
-// heldBack says why a dispatch must not be sent, empty where it may: an answered invocation, what has no time and what has no address;
-// and against the rules, which is counted, a second copy beside one that is out and a repeat that may have its effect again.
-func (c *Core) heldBack(inv *invocation, to *NodeStats, within float64) (why string) {
-	violations := &c.record.Violations
+// suppressReason says why a dispatch must not be sent; it is empty where the dispatch may be sent. Three reasons are
+// normal: the invocation is answered, no time is left, or the node has no address. Two are counted as violations:
+// another attempt is in flight, or the repeat may take effect a second time.
+func (c *Core) suppressReason(inv *invocation, to *NodeStats, limitMs float64) (why string) {
+	violations := &c.stats.Violations
 	switch {
-	case inv.done:
+	case inv.answered:
 		return "answered"
-	case within <= 0:
+	case limitMs <= 0:
 		return "no time"
 	case to == nil || to.Address == "":
 		return "no address"
-	case inv.open > 1:
+	case inv.inFlight > 1:
 		violations.Copies++
-		c.log.Warn("a second copy was held back", "node", to.ID)
-		return "a copy is out"
+		c.log.Warn("suppressed a dispatch while another one of the invocation is in flight", "node", to.ID)
+		return "another dispatch is in flight"
 	case !c.mayRepeat(inv, to.Node):
 		violations.Repeats++
-		c.log.Error("a repeat that may have its effect again was held back", "node", to.ID)
+		c.log.Error("suppressed a repeat that may take effect a second time", "node", to.ID)
 		return "it may have run"
 	}
 	return ""
 }
 
+// Cancel stops waiting for a dispatch.
 func (c *Core) Cancel(id string, no int) {
-	if inv := c.invs[id]; inv != nil {
-		c.record.Cancels++
-		inv.x.Cancel(no)
+	if inv := c.invocations[id]; inv != nil {
+		c.stats.Cancels++
+		inv.exchange.Cancel(no)
 	}
 }
 
-func (c *Core) Throttle(id string, comeBack float64) {
-	inv := c.invs[id]
-	if inv != nil && !inv.done && !c.mayRefuse(inv) {
-		c.record.Violations.Refusals++
-		c.log.Error("a refusal of what may have run was held back", "inv", id)
+// Throttle answers that the invocation did not run and that a retry is harmless. Where that may be untrue, the
+// invocation is terminated instead.
+func (c *Core) Throttle(id string, retryAfterMs float64) {
+	inv := c.invocations[id]
+	if inv != nil && !inv.answered && !c.mayRefuse(inv) {
+		c.stats.Violations.Refusals++
+		c.log.Error("suppressed a refusal of an invocation that may have run", "inv", id)
 		c.Terminate(id)
 		return
 	}
-	if inv != nil && !inv.done {
-		inv.done = true
-		c.record.Throttled++
-		inv.x.Throttle(comeBack)
-		c.forget(id, inv)
+	if inv != nil && !inv.answered {
+		inv.answered = true
+		c.stats.Throttled++
+		inv.exchange.Throttle(retryAfterMs)
+		c.deleteIfDone(id, inv)
 	}
 }
 
+// Terminate answers that the invocation failed, with no promise about its effects.
 func (c *Core) Terminate(id string) {
-	if inv := c.invs[id]; inv != nil && !inv.done {
-		inv.done = true
-		c.record.Terminated++
-		inv.x.Terminate()
-		c.forget(id, inv)
+	if inv := c.invocations[id]; inv != nil && !inv.answered {
+		inv.answered = true
+		c.stats.Terminated++
+		inv.exchange.Terminate()
+		c.deleteIfDone(id, inv)
 	}
 }
 
+// Probe probes a node.
 func (c *Core) Probe(node uint32) {
 	if n := c.nodes[node]; n != nil {
-		c.out.Probe(node, n.Address)
+		c.env.Probe(node, n.Address)
 	}
 }
 
-func (c *Core) Fetch()        { c.out.FetchNodes() }
-func (c *Core) Watch(on bool) { c.out.WatchNodes(on) }
+// Fetch requests the whole list of nodes once.
+func (c *Core) Fetch() { c.env.FetchNodes() }
 
+// Watch turns notifications of changes to the list of nodes on or off.
+func (c *Core) Watch(on bool) { c.env.WatchNodes(on) }
+
+// Vote sends a vote on the stage of a build.
 func (c *Core) Vote(ver, stage int, verdict balance.Verdict) {
-	c.record.Votes++
-	c.out.Vote(ver, stage, verdict)
+	c.stats.Votes++
+	c.env.Vote(ver, stage, verdict)
 }
 
-func (c *Core) Wake(after float64, handle int64) {
-	c.out.After(after, func() { c.module.Woke(handle) })
+// Wake sets a timer of the module.
+func (c *Core) Wake(afterMs float64, handle int64) {
+	c.env.After(afterMs, func() { c.module.Woke(handle) })
 }
 
-func (c *Core) Tell(peer int, text string) { c.out.SendToPeer(peer, text) }
+// Tell sends a message to another marshal.
+func (c *Core) Tell(peer int, text string) { c.env.SendToPeer(peer, text) }
 
+// Log logs a line of the module and keeps it in the statistics.
 func (c *Core) Log(text string) {
-	c.log.Info(text, "ver", c.record.Ver)
-	c.record.LogLines = append(c.record.LogLines, fmt.Sprintf("%.0f %s", c.out.Now(), text))
-	if len(c.record.LogLines) > lastLines {
-		c.record.LogLines = c.record.LogLines[len(c.record.LogLines)-lastLines:]
+	c.log.Info(text, "ver", c.stats.Ver)
+	c.stats.LogLines = append(c.stats.LogLines, fmt.Sprintf("%.0f %s", c.env.Now(), text))
+	if len(c.stats.LogLines) > maxLogLines {
+		c.stats.LogLines = c.stats.LogLines[len(c.stats.LogLines)-maxLogLines:]
 	}
 }
--- a/internal/marshal/marshal_test.go
+++ b/internal/marshal/marshal_test.go
@@ -7,134 +7,139 @@
 	"arrowcleat/balance"
 )
 
-// world drives a Core in virtual time, without sockets, and prints what it asks for.
-type world struct {
+// simulator drives a Core in virtual time, without sockets. It prints probes.
+type simulator struct {
 	now   float64
 	core  *Core
-	calls []func()
-	due   []float64
+	calls []func()  // of timers
+	dueAt []float64 // of calls, by index
 }
 
-func (w *world) Now() float64 { return w.now }
-func (w *world) After(ms float64, f func()) {
-	w.calls, w.due = append(w.calls, f), append(w.due, w.now+ms)
+func (s *simulator) Now() float64 { return s.now }
+func (s *simulator) After(ms float64, f func()) {
+	s.calls, s.dueAt = append(s.calls, f), append(s.dueAt, s.now+ms)
 }
-func (w *world) Probe(node uint32, address string) { fmt.Println("probe", node, "at", address) }
-func (w *world) FetchNodes()                            {}
-func (w *world) WatchNodes(bool)                        {}
-func (w *world) Vote(int, int, balance.Verdict)    {}
-func (w *world) SendToPeer(peer int, text string)        {}
+func (s *simulator) Probe(node uint32, address string) { fmt.Println("probe", node, "at", address) }
+func (s *simulator) FetchNodes()                       {}
+func (s *simulator) WatchNodes(bool)                   {}
+func (s *simulator) Vote(int, int, balance.Verdict)    {}
+func (s *simulator) SendToPeer(peer int, text string)  {}
 
-// until runs what falls due.
-func (w *world) until(t float64) {
-	for i := 0; i < len(w.due); i++ {
-		if w.due[i] <= t {
-			f := w.calls[i]
-			w.now = max(w.now, w.due[i])
-			w.calls, w.due = append(w.calls[:i], w.calls[i+1:]...), append(w.due[:i], w.due[i+1:]...)
+// runUntil runs the timers that are due by t, and advances the clock to t.
+func (s *simulator) runUntil(t float64) {
+	for i := 0; i < len(s.dueAt); i++ {
+		if s.dueAt[i] <= t {
+			f := s.calls[i]
+			s.now = max(s.now, s.dueAt[i])
+			s.calls, s.dueAt = append(s.calls[:i], s.calls[i+1:]...), append(s.dueAt[:i], s.dueAt[i+1:]...)
 			f()
 			i = -1
 		}
 	}
-	w.now = t
+	s.now = t
 }
 
-// client is an exchange that prints.
-type client string
+// printingExchange is an exchange that prints its calls.
+type printingExchange string
 
-func (c client) Dispatch(no int, node uint32, address string, within float64) {
-	fmt.Printf("%s: dispatch %d to node %d at %s\n", c, no, node, address)
+func (x printingExchange) Dispatch(no int, node uint32, address string, limitMs float64) {
+	fmt.Printf("%s: dispatch %d to node %d at %s\n", x, no, node, address)
 }
-func (c client) Cancel(no int)    { fmt.Printf("%s: cancel %d\n", c, no) }
-func (c client) Throttle(float64) { fmt.Printf("%s: throttled\n", c) }
-func (c client) Terminate()       { fmt.Printf("%s: terminated\n", c) }
-func (c client) Discard()             { fmt.Printf("%s: let go\n", c) }
-func (c client) Abort()          { fmt.Printf("%s: ended with the marshal\n", c) }
+func (x printingExchange) Cancel(no int)    { fmt.Printf("%s: cancel %d\n", x, no) }
+func (x printingExchange) Throttle(float64) { fmt.Printf("%s: throttled\n", x) }
+func (x printingExchange) Terminate()       { fmt.Printf("%s: terminated\n", x) }
+func (x printingExchange) Discard()         { fmt.Printf("%s: discarded\n", x) }
+func (x printingExchange) Abort()           { fmt.Printf("%s: aborted\n", x) }
 
-// scripted is a module that asks for what no module of ours does.
-type scripted struct {
+// forbiddenModule makes requests that the real module never makes, by the operation of the invocation.
+type forbiddenModule struct {
 	Module
 	h balance.Host
 }
 
-func (s scripted) Arrived(id string, op, _ int, _ string, _, _ float64, _, _ bool) {
+func (m forbiddenModule) Arrived(id string, op, _ int, _ string, _, _ float64, _, _ bool) {
 	switch op {
 	case 0:
-		s.h.Dispatch(id, 1, 100)
-		s.h.Dispatch(id, 2, 100) // a second copy
+		m.h.Dispatch(id, 1, 100)
+		m.h.Dispatch(id, 2, 100) // while the first one is in flight
 	case 1:
-		s.h.Dispatch(id, 9, 100) // a node nobody listed
+		m.h.Dispatch(id, 9, 100) // a node that is not listed
 	case 2:
-		s.h.Throttle(id, 5)
-		s.h.Terminate(id) // two final answers
-		s.h.Dispatch(id, 1, 100)
+		m.h.Throttle(id, 5)
+		m.h.Terminate(id) // a second final answer
+		m.h.Dispatch(id, 1, 100)
 	}
 }
-func (s scripted) Ended(id string, no int, _ uint32, how balance.Ending, _ float64, done bool, _ map[string]float64) {
-	fmt.Printf("the module hears that dispatch %d ended with %d, done %v\n", no, how, done)
+func (m forbiddenModule) Ended(id string, no int, _ uint32, outcome balance.Ending, _ float64, answered bool, _ map[string]float64) {
+	fmt.Printf("module: dispatch %d ended with outcome %d, answered %v\n", no, outcome, answered)
 }
-func (s scripted) Lapsed(string)               { fmt.Println("the module hears that the client is gone") }
-func (s scripted) Listed(bool, []balance.Node) {}
+func (m forbiddenModule) Lapsed(string)               { fmt.Println("module: client timed out") }
+func (m forbiddenModule) Listed(bool, []balance.Node) {}
 
-func begin(make func(h balance.Host) Module) *world {
-	w := &world{now: 1e6}
-	w.core = New(w, slog.New(slog.DiscardHandler), "m-")
-	w.core.Start(make)
-	w.core.NodesListed(true, []balance.Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}}, []string{"a:1", "b:2"})
-	return w
+// start makes a Core with two nodes.
+func start(newModule func(h balance.Host) Module) *simulator {
+	s := &simulator{now: 1e6}
+	s.core = New(s, slog.New(slog.DiscardHandler), "m-")
+	s.core.Start(newModule)
+	s.core.NodesListed(true, []balance.Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}}, []string{"a:1", "b:2"})
+	return s
 }
 
-// What a module must not do is never sent: a second copy, a node without address, a dispatch after the final answer.
+// A second dispatch while one is in flight, a dispatch to a node without an address, and a dispatch after the final
+// answer are suppressed.
 func Example_refused() {
-	w := begin(func(h balance.Host) Module { return scripted{h: h} })
-	id := w.core.InvocationArrived(client("first"), 0, 0, "", 500, 0, false, false)
-	w.until(w.now + 1)
-	w.core.DispatchEnded(id, 0, balance.Succeeded, 7, true, nil)
-	w.core.InvocationArrived(client("second"), 1, 0, "", 500, 0, false, false)
-	w.until(w.now + 1)
-	w.core.InvocationArrived(client("third"), 2, 0, "", 500, 0, false, false)
-	r := w.core.Snapshot()
-	fmt.Println("taken", r.Accepted, "succeeded", r.Succeeded, "throttled", r.Throttled, "terminated", r.Terminated, "open", r.Open)
+	s := start(func(h balance.Host) Module { return forbiddenModule{h: h} })
+	id := s.core.InvocationArrived(printingExchange("first"), 0, 0, "", 500, 0, false, false)
+	s.runUntil(s.now + 1)
+	s.core.DispatchEnded(id, 0, balance.Succeeded, 7, true, nil)
+	s.core.InvocationArrived(printingExchange("second"), 1, 0, "", 500, 0, false, false)
+	s.runUntil(s.now + 1)
+	s.core.InvocationArrived(printingExchange("third"), 2, 0, "", 500, 0, false, false)
+	r := s.core.Snapshot()
+	fmt.Println("accepted", r.Accepted, "succeeded", r.Succeeded, "throttled", r.Throttled, "terminated", r.Terminated, "open", r.Open)
 	// Output:
 	// first: dispatch 0 to node 1 at a:1
-	// the module hears that dispatch 1 ended with 7, done false
-	// the module hears that dispatch 0 ended with 0, done true
-	// the module hears that dispatch 0 ended with 7, done false
+	// module: dispatch 1 ended with outcome 7, answered false
+	// module: dispatch 0 ended with outcome 0, answered true
+	// module: dispatch 0 ended with outcome 7, answered false
 	// third: throttled
-	// taken 3 succeeded 1 throttled 1 terminated 0 open 1
+	// accepted 3 succeeded 1 throttled 1 terminated 0 open 1
 }
 
-// The real module in virtual time: answered, answered by the connection itself, gone, and at the marshal's end.
+// The real module in virtual time: an invocation that succeeds, one that fails, one whose client disconnects, one that
+// the exchange terminates itself, and one that is open when the marshal ends.
 func Example_virtualTime() {
 	set := balance.Settings{"limits.most-tries": 2.0, "discovery": "automatic",
 		"operations": []balance.Settings{{"repeat": "side-effecting", "slo-ms": 200.0}}}
-	w := begin(func(h balance.Host) Module { return balance.New(h, set, 3) })
-	w.core.StageUpdate(1, 0, balance.Released, 1, 0, false)
-	arrive := func(name string) string { return w.core.InvocationArrived(client(name), 0, 0, "", 400, 0, false, false) }
-	a := arrive("answered")
-	w.until(w.now + 20)
-	w.core.DispatchEnded(a, 0, balance.Succeeded, 20, true, nil)
+	s := start(func(h balance.Host) Module { return balance.New(h, set, 3) })
+	s.core.StageUpdate(1, 0, balance.Released, 1, 0, false)
+	arrive := func(name string) string {
+		return s.core.InvocationArrived(printingExchange(name), 0, 0, "", 400, 0, false, false)
+	}
+	a := arrive("succeeded")
+	s.runUntil(s.now + 20)
+	s.core.DispatchEnded(a, 0, balance.Succeeded, 20, true, nil)
 	b := arrive("failed")
-	w.core.DispatchEnded(b, 0, balance.Reset, 5, false, nil)
-	c := arrive("gone")
-	w.core.ClientTimedOut(c)
-	w.core.DispatchEnded(c, 0, balance.Succeeded, 30, false, nil)
-	d := arrive("overtaken")
-	w.core.TerminatedByExchange(d)
-	w.core.DispatchEnded(d, 0, balance.TimedOut, 400, false, nil)
-	arrive("last")
-	fmt.Println("open at the end:", w.core.TerminateAll())
-	r := w.core.Snapshot()
-	fmt.Println("taken", r.Accepted, "succeeded", r.Succeeded, "terminated", r.Terminated, "lapsed", r.ClientTimeouts, "dispatches", r.Dispatches)
+	s.core.DispatchEnded(b, 0, balance.Reset, 5, false, nil)
+	c := arrive("disconnected")
+	s.core.ClientTimedOut(c)
+	s.core.DispatchEnded(c, 0, balance.Succeeded, 30, false, nil)
+	d := arrive("terminated by exchange")
+	s.core.TerminatedByExchange(d)
+	s.core.DispatchEnded(d, 0, balance.TimedOut, 400, false, nil)
+	arrive("open at the end")
+	fmt.Println("unanswered at the end:", s.core.TerminateAll())
+	r := s.core.Snapshot()
+	fmt.Println("accepted", r.Accepted, "succeeded", r.Succeeded, "terminated", r.Terminated, "client timeouts", r.ClientTimeouts, "dispatches", r.Dispatches)
 	// Output:
-	// answered: dispatch 0 to node 1 at a:1
+	// succeeded: dispatch 0 to node 1 at a:1
 	// failed: dispatch 0 to node 2 at b:2
 	// failed: terminated
-	// gone: dispatch 0 to node 1 at a:1
-	// gone: let go
-	// overtaken: dispatch 0 to node 1 at a:1
-	// last: dispatch 0 to node 1 at a:1
-	// last: ended with the marshal
-	// open at the end: 1
-	// taken 5 succeeded 1 terminated 3 lapsed 1 dispatches 5
+	// disconnected: dispatch 0 to node 1 at a:1
+	// disconnected: discarded
+	// terminated by exchange: dispatch 0 to node 1 at a:1
+	// open at the end: dispatch 0 to node 1 at a:1
+	// open at the end: aborted
+	// unanswered at the end: 1
+	// accepted 5 succeeded 1 terminated 3 client timeouts 1 dispatches 5
 }
