--- a/divide/account.go
+++ b/divide/account.go
@@ -1,8 +1,8 @@
-// Package divide decides how one marshal is divided over several instances of its decision module: how much of a build
-// on trial each may expose, who votes, what the instances tell each other, and which of them takes an invocation.
+// Package divide shares one marshal among several instances of its decision module: how much of a trial build each
+// instance may expose, which instance votes, what the instances report to each other, and which one accepts an invocation.
 //
-// An Account is what the instances share; a Part is one instance's end of it, between the marshal and the module.
-// Neither does I/O, and both are handed their clock. docs/cores.md weighs the ways there are.
+// An Account is the state that the instances share. A Shard belongs to one instance and stands between the marshal and
+// the module. Neither does I/O, and both are given their clock. docs/cores.md compares this design with others.
 package divide
 
 import (
@@ -14,93 +14,98 @@
 )
 
 const (
-	margin    = 10.0   // ms by which what is taken is counted for less long, and what is exposed for longer
-	steps     = 1000   // in which a window slides
-	lifePart  = 160.0  // of the window: how long a lease lasts
-	mostLife  = 50.0   // ms, and at most
-	mostLease = 64     // exposures of one lease
-	deadAfter = 1000.0 // ms without a beat after which an instance stands still
+	windowMarginMs   = 10.0   // accepted invocations leave the window this much earlier, exposures this much later
+	windowSteps      = 1000   // in which a window slides
+	leasesPerWindow  = 160.0  // a lease lasts the window's length divided by this
+	maxLeaseMs       = 50.0   // the longest that a lease lasts
+	maxLeaseSize     = 64     // exposures
+	heartbeatLimitMs = 1000.0 // without a heartbeat, after which an instance counts as stalled
 )
 
-// Scope is what is counted together: a build and, where each operation counts for itself, an operation, else -1.
+// Scope is what exposures are counted by: a build and, where each operation is counted on its own, an operation.
+// Otherwise Op is -1.
 type Scope struct{ Ver, Op int }
 
-// Lease is what one instance may expose until a time.
+// Lease is the number of exposures that one instance may make until a time.
 type Lease struct {
-	Size       int
-	UntilMs   float64
-	version uint64
+	Size         int
+	UntilMs      float64
+	buildVersion uint64 // of the account when the lease was drawn
 }
 
-// Account is what the instances of a marshal share. Its methods may be called from any goroutine; none takes long.
-// The rule on exposure is the marshal's: within the window, no more may be exposed than the allowance and the cap's
-// part of what all instances took. Each draws leases on it. A lease counts as exposed in full from when it is drawn
-// until the instance settles it, or until nothing exposed by it can be in the window any more.
+// Account is the state that the instances of a marshal share. Its methods may be called from any goroutine; none
+// blocks for long. The rule on exposure applies to the marshal as a whole: within the window, no more may be exposed
+// than the allowance plus the cap's share of the invocations that all instances accepted. The instances draw leases on
+// that amount. A lease counts as exposed in full from when it is drawn until the instance settles it, or until nothing
+// exposed under it can be in the window any more.
 type Account struct {
-	now       func() float64
-	over      float64
-	allowance float64
-	firstCap  float64
-	each      bool
-	life      float64
-	steps     float64 // in which windows slide
-	apart     float64 // ms between the votes of two chairs
-	begun     float64
-
-	version atomic.Uint64 // of what is known of builds; leases of an earlier one are void
-	beats   []atomic.Uint64
-	chair   atomic.Int64
-
-	mu        sync.Mutex
-	ver       int
-	cap       float64
-	phase     balance.Phase
-	announced bool
-	taken     map[int]*window // by operation, or -1
-	exposed   map[Scope]*window
-	out       map[Scope][]drawn
-	lives     []int // of each instance: how often it has begun
-	voteOut   bool
-	voter     int // who voted last
-	voted     float64
-	watched   bool
-	refused   int64
+	now            func() float64
+	windowMs       float64
+	allowance      float64
+	firstCap       float64 // of the first stage
+	perOperation   bool    // each operation is counted on its own
+	leaseMs        float64
+	windowSteps    float64 // in which windows slide
+	voteIntervalMs float64 // between the votes of two coordinators
+	startMs        float64
+
+	buildVersion atomic.Uint64   // grows with each change to the newest build's state; leases of an older version are void
+	heartbeats   []atomic.Uint64 // bits of the time in ms of each instance's last one
+	coordinator  atomic.Int64
+
+	mu           sync.Mutex
+	ver          int
+	cap          float64
+	phase        balance.Phase
+	announced    bool            // ver, cap and phase have been reported
+	accepted     map[int]*window // by operation; -1 holds all
+	exposed      map[Scope]*window
+	unsettled    map[Scope][]unsettledLease
+	incarnations []int // of each instance: how often it has started
+	voteInFlight bool
+	lastVoter    int
+	lastVoteMs   float64
+	watching     bool
+	refusedDraws int64
 }
 
-// drawn is a lease that is not settled.
-type drawn struct {
-	instance, life, n int
-	until             float64
+// unsettledLease is a lease that has been drawn and not settled.
+type unsettledLease struct {
+	instance, incarnation, size int
+	untilMs                     float64
 }
 
-// NewAccount begins the account of a marshal's instances. What the rules count comes from the module's settings.
+// NewAccount makes the account of a marshal's instances. The window, the allowance and the caps come from the module's
+// settings.
 func NewAccount(now func() float64, set balance.Settings, instances int) *Account {
 	num := func(name string) float64 { v, _ := set[name].(float64); return v }
-	by, given := set["rollout.cap-scope"].(string)
-	a := &Account{now: now, over: num("rollout.counted-over-ms"), allowance: num("rollout.allowance"), begun: now(),
-		each: by == "each_class" || !given, beats: make([]atomic.Uint64, instances),
-		taken: map[int]*window{}, exposed: map[Scope]*window{}, out: map[Scope][]drawn{}, lives: make([]int, instances)}
+	capScope, given := set["rollout.cap-scope"].(string)
+	a := &Account{now: now, windowMs: num("rollout.counted-over-ms"), allowance: num("rollout.allowance"), startMs: now(),
+		perOperation: capScope == "each_class" || !given, heartbeats: make([]atomic.Uint64, instances),
+		accepted: map[int]*window{}, exposed: map[Scope]*window{}, unsettled: map[Scope][]unsettledLease{},
+		incarnations: make([]int, instances)}
 	if caps, _ := set["rollout.most-shares"].([]float64); len(caps) > 0 {
 		a.firstCap = caps[0]
 	}
-	a.life, a.steps = min(mostLife, a.over/lifePart), steps
-	a.apart = 1000 * max(1, num("marshals")) / max(0.1, num("rollout.api-rate"))
-	for i := range a.beats {
-		a.beats[i].Store(math.Float64bits(a.begun))
+	a.leaseMs, a.windowSteps = min(maxLeaseMs, a.windowMs/leasesPerWindow), windowSteps
+	a.voteIntervalMs = 1000 * max(1, num("marshals")) / max(0.1, num("rollout.api-rate"))
+	for i := range a.heartbeats {
+		a.heartbeats[i].Store(math.Float64bits(a.startMs))
 	}
 	return a
 }
 
-// Join begins an instance, anew if it has been there before: what it had drawn then counts until it can't matter.
-func (a *Account) Join(instance int) (life int) {
+// Join registers an instance that starts or restarts, and returns the number of its incarnation. Leases of its earlier
+// incarnations count until nothing exposed under them can be in the window.
+func (a *Account) Join(instance int) (incarnation int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.lives[instance]++
-	return a.lives[instance]
+	a.incarnations[instance]++
+	return a.incarnations[instance]
 }
 
-// StageUpdate tells where the newest build stands. It is to be called before any instance is told: leases drawn on
-// another cap are void from then on.
+// StageUpdate sets the phase and cap of the newest build. It must be called before any instance receives the update:
+// from then on, leases drawn under another cap are void.
 func (a *Account) StageUpdate(ver int, phase balance.Phase, cap float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -108,42 +113,42 @@
 		return
 	}
 	a.ver, a.phase, a.cap, a.announced = ver, phase, cap, true
-	a.version.Add(1)
+	a.buildVersion.Add(1)
 }
 
-// Scope is what an operation at a build is counted by.
+// Scope returns the scope that an operation at a build is counted by.
 func (a *Account) Scope(ver, op int) Scope {
-	if a.each {
+	if a.perOperation {
 		return Scope{ver, op}
 	}
 	return Scope{ver, -1}
 }
 
-// RecordAccepted counts invocations of an operation that an instance took no earlier than at a time.
-func (a *Account) RecordAccepted(op, n int, at float64) {
+// RecordAccepted counts n invocations of an operation, which an instance accepted at atMs or later.
+func (a *Account) RecordAccepted(op, n int, atMs float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.window(op).add(at, float64(n))
-	a.window(-1).add(at, float64(n))
+	a.acceptedWindow(op).add(atMs, float64(n))
+	a.acceptedWindow(-1).add(atMs, float64(n))
 }
 
-func (a *Account) window(op int) *window {
-	if a.taken[op] == nil {
-		a.taken[op] = newWindow(a.over, a.steps)
+func (a *Account) acceptedWindow(op int) *window {
+	if a.accepted[op] == nil {
+		a.accepted[op] = newWindow(a.windowMs, a.windowSteps)
 	}
-	return a.taken[op]
+	return a.accepted[op]
 }
 
-func (a *Account) exposedIn(s Scope) *window {
+func (a *Account) exposedWindow(s Scope) *window {
 	if a.exposed[s] == nil {
-		a.exposed[s] = newWindow(a.over, a.steps)
+		a.exposed[s] = newWindow(a.windowMs, a.windowSteps)
 	}
 	return a.exposed[s]
 }
 
-// Draw gives an instance a lease, or one of nothing where the rule leaves no room. While a lease lasts, what was
-// taken early in the window leaves it; so only what is still in it when the lease ends counts.
-func (a *Account) Draw(instance, life int, s Scope) Lease {
+// Draw gives an instance a lease, of size 0 where the rule leaves no room. While the lease lasts, invocations accepted
+// early in the window leave it, so only those that are still in it when the lease ends count.
+func (a *Account) Draw(instance, incarnation int, s Scope) Lease {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
@@ -151,200 +156,208 @@
 	if !a.announced || s.Ver != a.ver {
 		cap = a.firstCap
 	}
-	l := Lease{UntilMs: now + a.life, version: a.version.Load()}
+	l := Lease{UntilMs: now + a.leaseMs, buildVersion: a.buildVersion.Load()}
 	if cap <= 0 {
 		return l
 	}
-	free := a.allowance
-	if now-a.begun < a.over { // a marshal that was here before may have used its allowance up
-		free = 0
+	allowance := a.allowance
+	if now-a.startMs < a.windowMs { // the previous run of this marshal may have used up the allowance
+		allowance = 0
 	}
-	room := free + cap*a.window(s.Op).since(l.UntilMs-a.over+margin, false) - a.used(s, now)
+	room := allowance + cap*a.acceptedWindow(s.Op).sumSince(l.UntilMs-a.windowMs+windowMarginMs, false) - a.used(s, now)
 	if room < 1 {
-		a.refused++
+		a.refusedDraws++
 		return l
 	}
-	l.Size = min(int(room), max(1, int(room)/(2*len(a.lives))), mostLease)
-	a.out[s] = append(a.out[s], drawn{instance, life, l.Size, l.UntilMs})
+	l.Size = min(int(room), max(1, int(room)/(2*len(a.incarnations))), maxLeaseSize)
+	a.unsettled[s] = append(a.unsettled[s], unsettledLease{instance, incarnation, l.Size, l.UntilMs})
 	return l
 }
 
-// used is what was exposed in the window, with what may be by leases that are out.
+// used returns the number of exposures in the window, with every unsettled lease counted in full.
 func (a *Account) used(s Scope, now float64) (sum float64) {
-	sum = a.exposedIn(s).since(now-a.over-margin, true)
-	kept := a.out[s][:0]
-	for _, d := range a.out[s] {
-		if now < d.until+a.over+margin {
-			kept = append(kept, d)
-			sum += float64(d.n)
+	sum = a.exposedWindow(s).sumSince(now-a.windowMs-windowMarginMs, true)
+	kept := a.unsettled[s][:0]
+	for _, l := range a.unsettled[s] {
+		if now < l.untilMs+a.windowMs+windowMarginMs {
+			kept = append(kept, l)
+			sum += float64(l.size)
 		}
 	}
-	a.out[s] = kept
+	a.unsettled[s] = kept
 	return sum
 }
 
-// Settle gives back what an instance has drawn for a scope and says how much of it was exposed. That counts from now
-// on, which is no earlier than it was.
-func (a *Account) Settle(instance, life int, s Scope, exposed int) {
+// Settle returns an instance's lease on a scope and reports how much of it was exposed. The exposures count from now
+// on, which is no earlier than they were made.
+func (a *Account) Settle(instance, incarnation int, s Scope, exposed int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	kept, found := a.out[s][:0], false
-	for _, d := range a.out[s] {
-		if d.instance == instance && d.life == life {
+	kept, found := a.unsettled[s][:0], false
+	for _, l := range a.unsettled[s] {
+		if l.instance == instance && l.incarnation == incarnation {
 			found = true
-			exposed = min(exposed, d.n)
+			exposed = min(exposed, l.size)
 		} else {
-			kept = append(kept, d)
+			kept = append(kept, l)
 		}
 	}
-	a.out[s] = kept
+	a.unsettled[s] = kept
 	if found && exposed > 0 {
-		a.exposedIn(s).add(now, float64(exposed))
+		a.exposedWindow(s).add(now, float64(exposed))
 	}
 }
 
-// Invalid says that a lease is not to be used any more: its time is up, or the cap is another.
-func (a *Account) Invalid(l Lease) bool { return l.version != a.version.Load() || a.now() >= l.UntilMs }
+// Invalid reports whether a lease must not be used any more: it has expired, or the build's state has changed.
+func (a *Account) Invalid(l Lease) bool {
+	return l.buildVersion != a.buildVersion.Load() || a.now() >= l.UntilMs
+}
 
-// Heartbeat says that an instance does its work, and gives back whether it is the one that votes. The chair passes on when
-// the one that has it stands still, to the first that does not.
-func (a *Account) Heartbeat(instance int) (chair bool) {
+// Heartbeat records that an instance is running and reports whether it is the coordinator, which votes for the
+// marshal. When the coordinator stalls, the first instance that is alive replaces it.
+func (a *Account) Heartbeat(instance int) (coordinator bool) {
 	now := a.now()
-	a.beats[instance].Store(math.Float64bits(now))
-	if at := int(a.chair.Load()); at != instance && !a.Alive(at) {
-		for i := range a.beats {
+	a.heartbeats[instance].Store(math.Float64bits(now))
+	if current := int(a.coordinator.Load()); current != instance && !a.Alive(current) {
+		for i := range a.heartbeats {
 			if a.Alive(i) {
-				a.chair.CompareAndSwap(int64(at), int64(i))
+				a.coordinator.CompareAndSwap(int64(current), int64(i))
 				break
 			}
 		}
 	}
-	return a.chair.Load() == int64(instance)
+	return a.coordinator.Load() == int64(instance)
 }
 
-// Alive says that an instance has not stood still for long.
+// Alive reports whether an instance has sent a heartbeat recently.
 func (a *Account) Alive(instance int) bool {
-	return a.now()-math.Float64frombits(a.beats[instance].Load()) < deadAfter
+	return a.now()-math.Float64frombits(a.heartbeats[instance].Load()) < heartbeatLimitMs
 }
 
-// Coordinator is the instance that votes.
-func (a *Account) Coordinator() int { return int(a.chair.Load()) }
+// Coordinator returns the instance that votes.
+func (a *Account) Coordinator() int { return int(a.coordinator.Load()) }
 
-// StartVote says whether an instance may vote now: it has the chair, no vote is out, and the votes of two chairs are as
-// far apart as the platform allows a marshal's.
+// StartVote reports whether an instance may vote now, and if so notes its vote as in flight. It may where it is the
+// coordinator, no vote is in flight, and another coordinator's last vote is as long ago as the platform demands
+// between votes of a marshal.
 func (a *Account) StartVote(instance int) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	if a.Coordinator() != instance || a.voteOut || a.voter != instance && a.voted > 0 && now-a.voted < a.apart {
+	if a.Coordinator() != instance || a.voteInFlight ||
+		a.lastVoter != instance && a.lastVoteMs > 0 && now-a.lastVoteMs < a.voteIntervalMs {
 		return false
 	}
-	a.voteOut, a.voter, a.voted = true, instance, now
+	a.voteInFlight, a.lastVoter, a.lastVoteMs = true, instance, now
 	return true
 }
 
-// FinishVote says that the last vote was answered or has failed, and gives the instance whose it was.
+// FinishVote notes that the last vote was answered or has failed, and returns the instance that sent it.
 func (a *Account) FinishVote() (instance int) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.voteOut = false
-	return a.voter
+	a.voteInFlight = false
+	return a.lastVoter
 }
 
-// SetWatching says whether the list is to be asked for: once, though each instance wants it.
+// SetWatching notes whether changes to the list of nodes are requested. It reports whether that is a change, so that
+// one request is made for all instances.
 func (a *Account) SetWatching(on bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	changed := a.watched != on
-	a.watched = on
+	changed := a.watching != on
+	a.watching = on
 	return changed
 }
 
-// NodeListFailed says that the list has to be asked for again.
+// NodeListFailed notes that the list of nodes has to be requested again.
 func (a *Account) NodeListFailed() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.watched = false
+	a.watching = false
 }
 
-// State is an account as people look at it.
+// State is a copy of an account's state, for metrics.
 type State struct {
-	Coordinator   int
-	Ver     int
-	Cap     float64
+	Coordinator  int
+	Ver          int
+	Cap          float64
 	RefusedDraws int64 // draws that the rule left no room for
-	Scopes  []ScopeState
+	Scopes       []ScopeState
 }
 
-// ScopeState is one scope of it.
+// ScopeState is the state of one scope. The counts are those within the window.
 type ScopeState struct {
 	Scope
-	Accepted, Exposed float64 // in the window
-	Leased         int     // of Exposed, out
+	Accepted, Exposed float64 // Exposed includes Leased
+	Leased            int     // the sizes of unsettled leases
 }
 
-// Snapshot gives the account's state.
+// Snapshot returns a copy of the account's state.
 func (a *Account) Snapshot() State {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	now := a.now()
-	st := State{Coordinator: a.Coordinator(), Ver: a.ver, Cap: a.cap, RefusedDraws: a.refused}
+	st := State{Coordinator: a.Coordinator(), Ver: a.ver, Cap: a.cap, RefusedDraws: a.refusedDraws}
 	for s := range a.exposed {
-		c := ScopeState{Scope: s, Accepted: a.window(s.Op).since(now+a.life-a.over+margin, false), Exposed: a.used(s, now)}
-		for _, d := range a.out[s] {
-			c.Leased += d.n
+		c := ScopeState{Scope: s, Accepted: a.acceptedWindow(s.Op).sumSince(now+a.leaseMs-a.windowMs+windowMarginMs, false),
+			Exposed: a.used(s, now)}
+		for _, l := range a.unsettled[s] {
+			c.Leased += l.size
 		}
 		st.Scopes = append(st.Scopes, c)
 	}
 	return st
 }
 
-// window adds up what happened within a time that slides, in steps. What comes may be older than what came before.
+// window is a sum over a sliding window of time, kept in steps. Values need not be added in the order of their times.
 type window struct {
-	width float64
-	of    []float64
-	first int64 // the oldest step that is kept
-	sum   float64
+	stepMs    float64
+	steps     []float64 // a ring of the sums of each step
+	firstStep int64     // the oldest one that is kept
+	sum       float64
 }
 
-func newWindow(over, steps float64) *window {
-	return &window{width: max(over/steps, 0.001), of: make([]float64, 2*int(steps))}
+// newWindow makes a window of so many steps. Its ring holds twice as many.
+func newWindow(lengthMs, steps float64) *window {
+	return &window{stepMs: max(lengthMs/steps, 0.001), steps: make([]float64, 2*int(steps))}
 }
 
-func (w *window) slot(k int64) *float64 { return &w.of[k%int64(len(w.of))] }
+func (w *window) at(step int64) *float64 { return &w.steps[step%int64(len(w.steps))] }
 
-func (w *window) add(at, what float64) {
-	k := int64(at / w.width)
-	if k < w.first {
-		return // out of the window already
+func (w *window) add(atMs, value float64) {
+	step := int64(atMs / w.stepMs)
+	if step < w.firstStep {
+		return // older than the window
 	}
-	if last := w.first + int64(len(w.of)); k >= last { // never asked for this long
-		w.drop(k - int64(len(w.of)) + 1)
+	if end := w.firstStep + int64(len(w.steps)); step >= end { // the sum was not requested for long
+		w.dropBefore(step - int64(len(w.steps)) + 1)
 	}
-	*w.slot(k) += what
-	w.sum += what
+	*w.at(step) += value
+	w.sum += value
 }
 
-func (w *window) drop(to int64) {
-	if to-w.first >= int64(len(w.of)) {
-		clear(w.of)
-		w.first, w.sum = to, 0
+func (w *window) dropBefore(step int64) {
+	if step-w.firstStep >= int64(len(w.steps)) {
+		clear(w.steps)
+		w.firstStep, w.sum = step, 0
 		return
 	}
-	for ; w.first < to; w.first++ {
-		s := w.slot(w.first)
+	for ; w.firstStep < step; w.firstStep++ {
+		s := w.at(w.firstStep)
 		w.sum -= *s
 		*s = 0
 	}
 }
 
-// since drops what is older and gives the sum of the rest. Of the step that is in part older it keeps all, or nothing.
-func (w *window) since(from float64, all bool) float64 {
-	k := int64(math.Floor(from / w.width))
-	if !all && from > float64(k)*w.width {
-		k++
+// sumSince drops the steps before a time and returns the sum of the rest. A step that the time falls into is kept in
+// full with partial, and else dropped.
+func (w *window) sumSince(fromMs float64, partial bool) float64 {
+	step := int64(math.Floor(fromMs / w.stepMs))
+	if !partial && fromMs > float64(step)*w.stepMs {
+		step++
 	}
-	w.drop(max(k, w.first))
+	w.dropBefore(max(step, w.firstStep))
 	return w.sum
 }
--- a/divide/model_test.go
+++ b/divide/model_test.go
@@ -10,9 +10,9 @@
 	"arrowcleat/balance"
 )
 
-// A model of three instances on one account, every interleaving of which is gone through: what they do in between two
-// steps of the clock, in any order, up to the bounds below. What was really taken and exposed is kept beside it, and
-// the rule is checked at every exposure.
+// A model of three instances that share one account. All interleavings of their actions between two steps of the clock
+// are explored, up to the bounds below. The model keeps its own list of accepted invocations and exposures and checks
+// the rule at every exposure.
 
 const (
 	tickMs    = 20.0
@@ -20,275 +20,282 @@
 	instances = 3
 )
 
-// The bounds; -deep goes through more, in some minutes.
-var mostTakes, mostTicks = 2, 3
+// The bounds. With -deep they are larger, and the test takes some minutes.
+var maxAccepted, maxTicks = 2, 3
 
-var deep = flag.Bool("deep", false, "let TestModel go through more states")
+var deep = flag.Bool("deep", false, "let TestModel explore more states")
 
-var scope = Scope{2, -1}
+var modelScope = Scope{2, -1}
 
-type core struct {
-	life, pending int
-	since         float64
-	open          bool
-	l             Lease
-	spent         int
+// instanceModel is the state of one instance.
+type instanceModel struct {
+	incarnation, unreported int
+	unreportedSince         float64
+	outstanding             bool // a lease is drawn and not settled
+	lease                   Lease
+	used                    int // of the lease
 }
 
 type model struct {
-	now            float64
-	a              *Account
-	cores          [instances]core
-	taken, exposed []float64               // truly, and when
-	own            [instances][2][]float64 // the same by instance, where that is looked at
-	ticks, caps    int
-	begun          bool // an instance has begun anew
+	now               float64
+	account           *Account
+	instances         [instances]instanceModel
+	accepted, exposed []float64               // the times at which they really were
+	perInstance       [instances][2][]float64 // accepted and exposed by instance, kept for the fault ownShares only
+	ticks, capChanges int
+	restarted         bool // an instance has restarted
 }
 
-// fault is a way in which an account or its user is wrong.
+// fault is an error of an account or its user that the model must find.
 type fault string
 
 const (
-	sound       fault = ""
-	countedLate fault = "a lease counts only once it is settled"
-	twiceBack   fault = "what was not exposed is given back twice"
-	pastEnd     fault = "a lease is used past its end"
-	oldCap      fault = "a lease is used though the cap has fallen"
-	divided     fault = "each instance keeps to the cap of what it took itself"
-	forgotten   fault = "what an instance had drawn is forgotten when it begins anew"
+	noFault              fault = ""
+	countedWhenSettled   fault = "a lease counts only once it is settled"
+	returnedTwice        fault = "unused exposures are returned twice"
+	usedAfterExpiry      fault = "a lease is used after it has expired"
+	usedAfterCapFell     fault = "a lease is used although the cap has fallen"
+	ownShares            fault = "each instance applies the cap to the invocations that it accepted itself"
+	forgottenWithRestart fault = "the lease of an instance is forgotten when it restarts"
 )
 
-func begin() *model {
+func newModel() *model {
 	m := &model{now: 1000}
-	m.a = NewAccount(func() float64 { return m.now }, balance.Settings{"rollout.counted-over-ms": windowMs, "rollout.allowance": 1.0,
-		"rollout.cap-scope": "all"}, instances)
+	m.account = NewAccount(func() float64 { return m.now }, balance.Settings{"rollout.counted-over-ms": windowMs,
+		"rollout.allowance": 1.0, "rollout.cap-scope": "all"}, instances)
 	return m
 }
 
 func (w *window) copy() *window {
 	c := *w
-	c.of = slices.Clone(w.of)
+	c.steps = slices.Clone(w.steps)
 	return &c
 }
 
 func (m *model) copy() *model {
 	c := *m
-	c.taken, c.exposed = slices.Clone(m.taken), slices.Clone(m.exposed)
-	for i := range c.own {
-		c.own[i] = [2][]float64{slices.Clone(m.own[i][0]), slices.Clone(m.own[i][1])}
+	c.accepted, c.exposed = slices.Clone(m.accepted), slices.Clone(m.exposed)
+	for i := range c.perInstance {
+		c.perInstance[i] = [2][]float64{slices.Clone(m.perInstance[i][0]), slices.Clone(m.perInstance[i][1])}
 	}
-	a := m.a
-	c.a = &Account{over: a.over, allowance: a.allowance, firstCap: a.firstCap, life: a.life, steps: a.steps, begun: a.begun,
-		beats: a.beats, ver: a.ver, cap: a.cap, phase: a.phase, announced: a.announced, taken: map[int]*window{},
-		exposed: map[Scope]*window{}, out: map[Scope][]drawn{}, lives: slices.Clone(a.lives)}
-	c.a.now = func() float64 { return c.now }
-	c.a.version.Store(a.version.Load())
-	for k, w := range a.taken {
-		c.a.taken[k] = w.copy()
+	a := m.account
+	c.account = &Account{windowMs: a.windowMs, allowance: a.allowance, firstCap: a.firstCap, leaseMs: a.leaseMs,
+		windowSteps: a.windowSteps, startMs: a.startMs, heartbeats: a.heartbeats, ver: a.ver, cap: a.cap, phase: a.phase, announced: a.announced,
+		accepted: map[int]*window{}, exposed: map[Scope]*window{}, unsettled: map[Scope][]unsettledLease{}, incarnations: slices.Clone(a.incarnations)}
+	c.account.now = func() float64 { return c.now }
+	c.account.buildVersion.Store(a.buildVersion.Load())
+	for k, w := range a.accepted {
+		c.account.accepted[k] = w.copy()
 	}
 	for k, w := range a.exposed {
-		c.a.exposed[k] = w.copy()
+		c.account.exposed[k] = w.copy()
 	}
-	for k, d := range a.out {
-		c.a.out[k] = slices.Clone(d)
+	for k, l := range a.unsettled {
+		c.account.unsettled[k] = slices.Clone(l)
 	}
 	return &c
 }
 
-// key is what of a state the future hangs on.
+// key identifies a state: two states with the same key have the same possible futures.
 func (m *model) key() string {
-	b := fmt.Appendf(nil, "%v %v %v|", m.ticks, m.caps, m.begun)
-	var each []string // which of them is which does not matter
-	for i, c := range m.cores {
-		if m.own[i][0] != nil || m.own[i][1] != nil {
-			each = append(each, fmt.Sprint(i, m.recent(m.own[i][0]), m.recent(m.own[i][1])))
+	b := fmt.Appendf(nil, "%v %v %v|", m.ticks, m.capChanges, m.restarted)
+	var parts []string // sorted below, as the instances are interchangeable
+	for i, in := range m.instances {
+		if m.perInstance[i][0] != nil || m.perInstance[i][1] != nil {
+			parts = append(parts, fmt.Sprint(i, m.recent(m.perInstance[i][0]), m.recent(m.perInstance[i][1])))
 		}
-		k := fmt.Appendf(nil, "%d %v %v|", c.pending, c.since, c.open)
-		if c.open {
-			k = fmt.Appendf(k, "%d %v %v %d|", c.l.Size, c.l.UntilMs, c.l.version == m.a.version.Load(), c.spent)
+		k := fmt.Appendf(nil, "%d %v %v|", in.unreported, in.unreportedSince, in.outstanding)
+		if in.outstanding {
+			k = fmt.Appendf(k, "%d %v %v %d|", in.lease.Size, in.lease.UntilMs,
+				in.lease.buildVersion == m.account.buildVersion.Load(), in.used)
 		}
-		for _, d := range m.a.out[scope] {
-			if d.instance == i {
-				k = fmt.Appendf(k, "%d %v %v|", d.n, d.until, d.life == c.life)
+		for _, l := range m.account.unsettled[modelScope] {
+			if l.instance == i {
+				k = fmt.Appendf(k, "%d %v %v|", l.size, l.untilMs, l.incarnation == in.incarnation)
 			}
 		}
-		each = append(each, string(k))
+		parts = append(parts, string(k))
 	}
-	slices.Sort(each)
-	b = fmt.Appendf(b, "%v %v %v %v|", each, m.recent(m.taken), m.recent(m.exposed), m.a.cap)
-	for _, w := range []*window{m.a.taken[-1], m.a.exposed[scope]} {
+	slices.Sort(parts)
+	b = fmt.Appendf(b, "%v %v %v %v|", parts, m.recent(m.accepted), m.recent(m.exposed), m.account.cap)
+	for _, w := range []*window{m.account.accepted[-1], m.account.exposed[modelScope]} {
 		if w != nil {
-			b = fmt.Appendf(b, "%v %v|", w.first, w.of)
+			b = fmt.Appendf(b, "%v %v|", w.firstStep, w.steps)
 		}
 	}
 	return string(b)
 }
 
-func (m *model) recent(at []float64) []float64 {
+// recent returns the times that are in the window.
+func (m *model) recent(times []float64) []float64 {
 	i := 0
-	for i < len(at) && at[i] <= m.now-windowMs {
+	for i < len(times) && times[i] <= m.now-windowMs {
 		i++
 	}
-	return at[i:]
+	return times[i:]
 }
 
-// next gives the states that may follow, with what leads there; wrong is one in which the rule is broken.
-func (m *model) next(f fault) (all map[string]*model, wrong string) {
+// next returns the states that may follow, by the action that leads there. violation describes an exposure that breaks
+// the rule.
+func (m *model) next(f fault) (all map[string]*model, violation string) {
 	all = map[string]*model{}
-	can := func(what string, do func(*model)) {
+	add := func(action string, do func(*model)) {
 		c := m.copy()
 		do(c)
-		all[what] = c
+		all[action] = c
 	}
-	if m.ticks < mostTicks {
-		can("tick", func(c *model) { c.now, c.ticks = c.now+tickMs, c.ticks+1 })
+	if m.ticks < maxTicks {
+		add("tick", func(c *model) { c.now, c.ticks = c.now+tickMs, c.ticks+1 })
 	}
-	if m.caps == 0 && !m.begun {
-		can("the cap falls", func(c *model) { c.caps++; c.a.StageUpdate(2, balance.GoingBack, 0) })
-		can("the cap rises", func(c *model) { c.caps++; c.a.StageUpdate(2, balance.OnTrial, 1) })
+	if m.capChanges == 0 && !m.restarted {
+		add("the cap falls", func(c *model) { c.capChanges++; c.account.StageUpdate(2, balance.GoingBack, 0) })
+		add("the cap rises", func(c *model) { c.capChanges++; c.account.StageUpdate(2, balance.OnTrial, 1) })
 	}
 	for i := range instances {
-		who := fmt.Sprint(i, " ")
-		mine := m.cores[i]
-		if len(m.taken) < mostTakes {
-			can(who+"takes", func(c *model) {
-				k := &c.cores[i]
-				if k.pending == 0 {
-					k.since = c.now
+		prefix := fmt.Sprint(i, " ")
+		own := m.instances[i]
+		if len(m.accepted) < maxAccepted {
+			add(prefix+"starts an invocation", func(c *model) {
+				in := &c.instances[i]
+				if in.unreported == 0 {
+					in.unreportedSince = c.now
 				}
-				k.pending++
-				c.taken = append(c.taken, c.now)
-				if f == divided {
-					c.own[i][0] = append(c.own[i][0], c.now)
+				in.unreported++
+				c.accepted = append(c.accepted, c.now)
+				if f == ownShares {
+					c.perInstance[i][0] = append(c.perInstance[i][0], c.now)
 				}
 			})
 		}
-		if !mine.open || mine.spent == mine.l.Size || m.a.Invalid(mine.l) {
-			can(who+"draws", func(c *model) { c.draw(i, f) })
+		if !own.outstanding || own.used == own.lease.Size || m.account.Invalid(own.lease) {
+			add(prefix+"draws", func(c *model) { c.draw(i, f) })
 		}
-		if mine.open {
-			can(who+"settles", func(c *model) { c.settle(i, f) })
+		if own.outstanding {
+			add(prefix+"settles", func(c *model) { c.settle(i, f) })
 		}
-		void := m.a.Invalid(mine.l)
-		if f == pastEnd {
-			void = mine.l.version != m.a.version.Load()
-		} else if f == oldCap {
-			void = m.now >= mine.l.UntilMs
+		invalid := m.account.Invalid(own.lease)
+		if f == usedAfterExpiry {
+			invalid = own.lease.buildVersion != m.account.buildVersion.Load()
+		} else if f == usedAfterCapFell {
+			invalid = m.now >= own.lease.UntilMs
 		}
-		may := mine.open && mine.spent < mine.l.Size && !void
-		if f == divided { // the allowance is the first one's
-			share := m.a.cap*float64(len(m.recent(m.own[i][0]))) - float64(len(m.recent(m.own[i][1])))
+		may := own.outstanding && own.used < own.lease.Size && !invalid
+		if f == ownShares { // the first instance has the allowance
+			share := m.account.cap*float64(len(m.recent(m.perInstance[i][0]))) - float64(len(m.recent(m.perInstance[i][1])))
 			may = share >= 1 || i == 0 && share >= 0
 		}
 		if may {
-			can(who+"exposes", func(c *model) {
-				c.cores[i].spent++
+			add(prefix+"exposes", func(c *model) {
+				c.instances[i].used++
 				c.exposed = append(c.exposed, c.now)
-				if f == divided {
-					c.own[i][1] = append(c.own[i][1], c.now)
+				if f == ownShares {
+					c.perInstance[i][1] = append(c.perInstance[i][1], c.now)
 				}
-				allowed := 1 + c.a.cap*float64(len(c.recent(c.taken)))
+				allowed := 1 + c.account.cap*float64(len(c.recent(c.accepted)))
 				if n := len(c.recent(c.exposed)); float64(n) > allowed {
-					wrong = fmt.Sprintf("instance %d: %d exposed where %g may be", i, n, allowed)
+					violation = fmt.Sprintf("instance %d: %d exposures, %g allowed", i, n, allowed)
 				}
 			})
 		}
-		if !m.begun && m.caps == 0 {
-			can(who+"begins anew", func(c *model) {
-				c.begun = true
-				c.cores[i] = core{life: c.a.Join(i)}
-				if f == forgotten {
-					c.a.out[scope] = slices.DeleteFunc(c.a.out[scope], func(d drawn) bool { return d.instance == i })
+		if !m.restarted && m.capChanges == 0 {
+			add(prefix+"crashes and restarts", func(c *model) {
+				c.restarted = true
+				c.instances[i] = instanceModel{incarnation: c.account.Join(i)}
+				if f == forgottenWithRestart {
+					c.account.unsettled[modelScope] = slices.DeleteFunc(c.account.unsettled[modelScope],
+						func(l unsettledLease) bool { return l.instance == i })
 				}
 			})
 		}
-		if wrong != "" {
-			return all, wrong
+		if violation != "" {
+			return all, violation
 		}
 	}
 	return all, ""
 }
 
 func (m *model) settle(i int, f fault) {
-	k := &m.cores[i]
-	m.a.Settle(i, k.life, scope, k.spent)
-	if f == countedLate && k.spent > 0 { // it was not there to be settled
-		m.a.exposed[scope].add(m.now, float64(k.spent))
+	in := &m.instances[i]
+	m.account.Settle(i, in.incarnation, modelScope, in.used)
+	if f == countedWhenSettled && in.used > 0 { // Settle found no lease to count them for
+		m.account.exposed[modelScope].add(m.now, float64(in.used))
 	}
-	if f == twiceBack && k.spent < k.l.Size {
-		m.a.exposed[scope].add(m.now, -float64(k.l.Size-k.spent))
+	if f == returnedTwice && in.used < in.lease.Size {
+		m.account.exposed[modelScope].add(m.now, -float64(in.lease.Size-in.used))
 	}
-	k.open = false
+	in.outstanding = false
 }
 
 func (m *model) draw(i int, f fault) {
-	k := &m.cores[i]
-	if k.open {
+	in := &m.instances[i]
+	if in.outstanding {
 		m.settle(i, f)
 	}
-	if k.pending > 0 {
-		m.a.RecordAccepted(0, k.pending, k.since)
-		k.pending = 0
+	if in.unreported > 0 {
+		m.account.RecordAccepted(0, in.unreported, in.unreportedSince)
+		in.unreported = 0
 	}
-	k.l, k.spent = m.a.Draw(i, k.life, scope), 0
-	if k.open = k.l.Size > 0; k.open && f == countedLate {
-		m.a.out[scope] = nil
+	in.lease, in.used = m.account.Draw(i, in.incarnation, modelScope), 0
+	if in.outstanding = in.lease.Size > 0; in.outstanding && f == countedWhenSettled {
+		m.account.unsettled[modelScope] = nil
 	}
 }
 
-// explore goes through all states, breadth first, and gives the way to the first in which the rule is broken.
-func explore(f fault, most int) (states int, broken string) {
-	start := begin()
-	start.a.life, start.a.steps, start.a.begun = 1.5*tickMs, windowMs/10, 0
-	start.a.StageUpdate(2, balance.OnTrial, 0.5)
-	for i := range start.cores {
-		start.cores[i].life = start.a.Join(i)
+// explore visits all states, breadth first. It returns the actions that lead to the first violation of the rule, or why
+// it could not visit all states.
+func explore(f fault, maxStates int) (states int, failure string) {
+	start := newModel()
+	start.account.leaseMs, start.account.windowSteps, start.account.startMs = 1.5*tickMs, windowMs/10, 0
+	start.account.StageUpdate(2, balance.OnTrial, 0.5)
+	for i := range start.instances {
+		start.instances[i].incarnation = start.account.Join(i)
 	}
 	type step struct {
-		m    *model
-		from *step
-		what string
+		m      *model
+		from   *step
+		action string
 	}
 	seen := map[string]bool{start.key(): true}
 	queue := []*step{{m: start}}
-	for ; len(queue) > 0 && len(seen) < most; queue = queue[1:] {
+	for ; len(queue) > 0 && len(seen) < maxStates; queue = queue[1:] {
 		s := queue[0]
-		next, wrong := s.m.next(f)
-		if wrong != "" {
-			way := ""
+		next, violation := s.m.next(f)
+		if violation != "" {
+			path := ""
 			for ; s != nil; s = s.from {
-				way = s.what + "; " + way
+				path = s.action + "; " + path
 			}
-			return len(seen), way + wrong
+			return len(seen), path + violation
 		}
-		for _, what := range slices.Sorted(maps.Keys(next)) {
-			if k := next[what].key(); !seen[k] {
+		for _, action := range slices.Sorted(maps.Keys(next)) {
+			if k := next[action].key(); !seen[k] {
 				seen[k] = true
-				queue = append(queue, &step{next[what], s, what})
+				queue = append(queue, &step{next[action], s, action})
 			}
 		}
 		s.m = nil
 	}
 	if len(queue) > 0 {
-		return len(seen), "there were more states than could be gone through"
+		return len(seen), "not all states were visited: the limit was reached"
 	}
 	return len(seen), ""
 }
 
+// The rule holds in all states of the model, and the model finds each injected fault.
 func TestModel(t *testing.T) {
 	if *deep {
-		mostTakes, mostTicks = 3, 4
+		maxAccepted, maxTicks = 3, 4
 	}
-	n, broken := explore(sound, 3_000_000)
+	n, failure := explore(noFault, 3_000_000)
 	t.Logf("%d states", n)
-	if broken != "" {
-		t.Errorf("after %d states: %s", n, broken)
+	if failure != "" {
+		t.Errorf("after %d states: %s", n, failure)
 	}
-	for _, f := range []fault{countedLate, twiceBack, pastEnd, oldCap, forgotten, divided} {
-		n, broken := explore(f, 3_000_000)
-		if broken == "" {
+	for _, f := range []fault{countedWhenSettled, returnedTwice, usedAfterExpiry, usedAfterCapFell, forgottenWithRestart, ownShares} {
+		n, failure := explore(f, 3_000_000)
+		if failure == "" {
 			t.Errorf("%s: not found in %d states", f, n)
 		}
-		t.Logf("%s: found after %d states: %s", f, n, broken)
+		t.Logf("%s: found after %d states: %s", f, n, failure)
 	}
 }
--- a/divide/part.go
+++ b/divide/part.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	tick     = 20.0 // ms between two times at which a part tells what it has
-	askAgain = 5.0  // ms after a lease of nothing
-	batch    = 64   // outcomes that are told at once
+	tickIntervalMs = 20.0 // between two reports of a shard
+	drawRetryMs    = 5.0  // until the next draw after one that gave no lease
+	maxOutcomes    = 64   // that wait to be shared
 )
 
-// Module is the instance that a part stands before: balance.Balancer's methods.
+// Module is the instance of the decision module that a shard belongs to: balance.Balancer's methods.
 type Module interface {
 	balance.Module
 	OnTrial(ver int) bool
@@ -21,319 +21,328 @@
 	Elsewhere(node uint32, ver, op int, how balance.Ending, took float64, short bool, report map[string]float64)
 }
 
-// DispatchOutcome is one dispatch's, as the other instances are told of it.
+// DispatchOutcome is how one dispatch ended, as the instances report it to each other.
 type DispatchOutcome struct {
-	Node    uint32
-	Ver, Op int
-	Outcome     balance.Ending
-	TookMs    float64
-	ShortLimit   bool // its time limit was under the SLO time
-	Report  map[string]float64
+	Node       uint32
+	Ver, Op    int
+	Outcome    balance.Ending
+	TookMs     float64
+	ShortLimit bool // its time limit was under the SLO time
+	Report     map[string]float64
 }
 
-// Siblings are the other instances.
+// Siblings are the other instances of the marshal.
 type Siblings interface {
-	ShareOutcomes(to int, outcomes []DispatchOutcome) // by and by; the slice is not changed any more
+	ShareOutcomes(to int, outcomes []DispatchOutcome) // asynchronously; the slice is not changed afterwards
 }
 
-// Shard is one instance's end of the account: the Host that the module gets and the Module that the marshal calls. All
-// its methods are called on the instance's own loop.
+// Shard is one instance's part in the account. It is the Host of the instance's module and the Module of the marshal,
+// and passes calls on in both directions. All its methods are called on the instance's own event loop.
 type Shard struct {
 	balance.Host
 	Module
-	account  *Account
-	others   Siblings
-	instance int
-	life     int
-	slo      []float64
-
-	nodes   map[uint32]balance.Node
-	trials  []int // builds on trial, oldest first
-	leases  map[Scope]*lease
-	took    []int   // by operation, since
-	since   float64 // the first of them came
-	invs    map[string]*invocation
-	free    []*invocation // to be used again
-	seen    []DispatchOutcome
-	chairs  bool
-	members int
+	account     *Account
+	siblings    Siblings
+	instance    int
+	incarnation int
+	sloMs       []float64 // by operation
+
+	nodes         map[uint32]balance.Node
+	trialBuilds   []int // in ascending order
+	leases        map[Scope]*lease
+	accepted      []int   // invocations not yet reported, by operation
+	acceptedSince float64 // when the first of them arrived
+	invocations   map[string]*invocation
+	reusable      []*invocation // finished ones, kept to save allocations
+	outcomes      []DispatchOutcome
+	isCoordinator bool
+	instances     int
 }
 
-// lease is one that is being used.
+// lease is what the shard knows of its lease on a scope.
 type lease struct {
 	Lease
-	spent int
-	ask   float64 // not before
-	open  bool    // drawn and not settled
+	exposed     int     // under it
+	nextDrawMs  float64 // no draw before this time
+	outstanding bool    // drawn and not settled
 }
 
 // invocation is one that is open.
 type invocation struct {
-	op    int
-	node  uint32 // of the last dispatch
-	ver   int    // that it ran
-	short bool
-	out   bool
-	over  bool // it has its final answer
+	op         int
+	node       uint32 // of the last dispatch
+	ver        int    // the build that node ran
+	shortLimit bool
+	inFlight   bool // a dispatch
+	answered   bool // it has its final answer
 }
 
-// wakeTick is the handle of a part's own timer; the module's are not negative.
-const wakeTick = -1
+// tickHandle is the handle of the shard's own timer. Those of the module are not negative.
+const tickHandle = -1
 
-// NewShard stands between a host and the module that Before is given.
-func NewShard(a *Account, instance, instances int, h balance.Host, others Siblings, set balance.Settings) *Shard {
-	p := &Shard{Host: h, account: a, others: others, instance: instance, members: instances, life: a.Join(instance),
-		nodes: map[uint32]balance.Node{}, leases: map[Scope]*lease{}, invs: map[string]*invocation{}, chairs: true}
+// NewShard makes the shard of an instance. Attach gives it its module.
+func NewShard(a *Account, instance, instances int, h balance.Host, siblings Siblings, set balance.Settings) *Shard {
+	s := &Shard{Host: h, account: a, siblings: siblings, instance: instance, instances: instances, incarnation: a.Join(instance),
+		nodes: map[uint32]balance.Node{}, leases: map[Scope]*lease{}, invocations: map[string]*invocation{}, isCoordinator: true}
 	ops, _ := set["operations"].([]balance.Settings)
 	for _, o := range ops {
 		slo, _ := o["slo-ms"].(float64)
-		p.slo = append(p.slo, slo)
+		s.sloMs = append(s.sloMs, slo)
 	}
-	p.took = make([]int, len(p.slo))
-	return p
+	s.accepted = make([]int, len(s.sloMs))
+	return s
 }
 
-// Attach gives the module that the part stands before.
-func (p *Shard) Attach(m Module) *Shard {
-	p.Module = m
-	p.beat()
-	p.Host.Wake(tick, wakeTick)
-	return p
+// Attach sets the module that the shard belongs to, and starts the shard's timer.
+func (s *Shard) Attach(m Module) *Shard {
+	s.Module = m
+	s.heartbeat()
+	s.Host.Wake(tickIntervalMs, tickHandle)
+	return s
 }
 
-// Arrived counts an invocation as taken and sees to it that the module has a lease on what it may want to expose.
-func (p *Shard) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
-	if !slices.ContainsFunc(p.took, func(n int) bool { return n > 0 }) {
-		p.since = p.Host.Now()
+// Arrived counts an invocation as accepted and draws the leases that the module may need for it.
+func (s *Shard) Arrived(id string, op, tenant int, key string, budgetMs, cost float64, retry, write bool) {
+	if !slices.ContainsFunc(s.accepted, func(n int) bool { return n > 0 }) {
+		s.acceptedSince = s.Host.Now()
 	}
-	p.took[op]++
+	s.accepted[op]++
 	inv := &invocation{}
-	if last := len(p.free) - 1; last >= 0 {
-		inv, p.free = p.free[last], p.free[:last]
+	if last := len(s.reusable) - 1; last >= 0 {
+		inv, s.reusable = s.reusable[last], s.reusable[:last]
 	}
 	*inv = invocation{op: op}
-	p.invs[id] = inv
-	p.ready(op)
-	p.Module.Arrived(id, op, tenant, key, budget, cost, retry, write)
+	s.invocations[id] = inv
+	s.ensureLeases(op)
+	s.Module.Arrived(id, op, tenant, key, budgetMs, cost, retry, write)
 }
 
-// ready draws on the account for what the module has no lease on.
-func (p *Shard) ready(op int) {
-	for _, ver := range p.trials {
-		s := p.account.Scope(ver, op)
-		l := p.leases[s]
+// ensureLeases draws a lease on each trial build for which the module has no usable one.
+func (s *Shard) ensureLeases(op int) {
+	for _, ver := range s.trialBuilds {
+		scope := s.account.Scope(ver, op)
+		l := s.leases[scope]
 		if l == nil {
 			l = &lease{}
-			p.leases[s] = l
+			s.leases[scope] = l
 		}
-		if l.open && l.spent < l.Size && !p.account.Invalid(l.Lease) {
+		if l.outstanding && l.exposed < l.Size && !s.account.Invalid(l.Lease) {
 			continue
 		}
-		if l.open {
-			p.settle(s, l)
+		if l.outstanding {
+			s.settle(scope, l)
 		}
-		now := p.Host.Now()
-		if now < l.ask {
+		now := s.Host.Now()
+		if now < l.nextDrawMs {
 			continue
 		}
-		p.tell()
-		l.Lease, l.spent = p.account.Draw(p.instance, p.life, s), 0
-		l.open = l.Size > 0
-		if !l.open {
-			l.ask = now + askAgain
+		s.reportAccepted()
+		l.Lease, l.exposed = s.account.Draw(s.instance, s.incarnation, scope), 0
+		l.outstanding = l.Size > 0
+		if !l.outstanding {
+			l.nextDrawMs = now + drawRetryMs
 		}
-		p.Module.Leased(s.Ver, s.Op, l.Size, l.UntilMs)
+		s.Module.Leased(scope.Ver, scope.Op, l.Size, l.UntilMs)
 	}
 }
 
-func (p *Shard) settle(s Scope, l *lease) {
-	p.account.Settle(p.instance, p.life, s, l.spent)
-	l.open = false
-	p.Module.Leased(s.Ver, s.Op, 0, 0)
+// settle returns a lease to the account and tells the module that it has none.
+func (s *Shard) settle(scope Scope, l *lease) {
+	s.account.Settle(s.instance, s.incarnation, scope, l.exposed)
+	l.outstanding = false
+	s.Module.Leased(scope.Ver, scope.Op, 0, 0)
 }
 
-// tell brings what was taken to the account.
-func (p *Shard) tell() {
-	for op, n := range p.took {
+// reportAccepted adds the accepted invocations to the account.
+func (s *Shard) reportAccepted() {
+	for op, n := range s.accepted {
 		if n > 0 {
-			p.account.RecordAccepted(op, n, p.since)
-			p.took[op] = 0
+			s.account.RecordAccepted(op, n, s.acceptedSince)
+			s.accepted[op] = 0
 		}
 	}
 }
 
-// Dispatch notes what is exposed. What would be exposed by a lease that ran out meanwhile, as this instance stood
-// still, is given no time, so that it is never sent.
-func (p *Shard) Dispatch(id string, node uint32, within float64) {
-	ver := p.nodes[node].Ver
-	inv := p.invs[id]
+// Dispatch counts exposures. An exposure without a valid lease, for example because the lease expired while this
+// instance was stalled, is given a time limit of 0, so that it is never sent.
+func (s *Shard) Dispatch(id string, node uint32, limitMs float64) {
+	ver := s.nodes[node].Ver
+	inv := s.invocations[id]
 	if inv == nil {
-		p.Host.Dispatch(id, node, within)
+		s.Host.Dispatch(id, node, limitMs)
 		return
 	}
-	inv.node, inv.ver, inv.short, inv.out = node, ver, within < p.slo[inv.op], true
-	if slices.Contains(p.trials, ver) {
-		l := p.leases[p.account.Scope(ver, inv.op)]
-		if l == nil || !l.open || l.spent >= l.Size || p.account.Invalid(l.Lease) {
-			within = 0
+	inv.node, inv.ver, inv.shortLimit, inv.inFlight = node, ver, limitMs < s.sloMs[inv.op], true
+	if slices.Contains(s.trialBuilds, ver) {
+		l := s.leases[s.account.Scope(ver, inv.op)]
+		if l == nil || !l.outstanding || l.exposed >= l.Size || s.account.Invalid(l.Lease) {
+			limitMs = 0
 		} else {
-			l.spent++
+			l.exposed++
 		}
 	}
-	p.Host.Dispatch(id, node, within)
+	s.Host.Dispatch(id, node, limitMs)
 }
 
-// Ended keeps an outcome for the others. A repeat may want a lease.
-func (p *Shard) Ended(id string, no int, node uint32, how balance.Ending, took float64, done bool,
+// Ended keeps the outcome for the other instances. Unless the invocation is answered, it draws leases for a repeat.
+func (s *Shard) Ended(id string, no int, node uint32, outcome balance.Ending, tookMs float64, answered bool,
 	report map[string]float64) {
-	inv := p.invs[id]
+	inv := s.invocations[id]
 	if inv != nil {
-		inv.out = false
-		inv.over = inv.over || done
-		if how != balance.Ignored {
-			p.seen = append(p.seen, DispatchOutcome{inv.node, inv.ver, inv.op, how, took, inv.short, report})
+		inv.inFlight = false
+		inv.answered = inv.answered || answered
+		if outcome != balance.Ignored {
+			s.outcomes = append(s.outcomes, DispatchOutcome{inv.node, inv.ver, inv.op, outcome, tookMs, inv.shortLimit, report})
 		}
-		if !inv.over && how != balance.Succeeded {
-			p.ready(inv.op)
+		if !inv.answered && outcome != balance.Succeeded {
+			s.ensureLeases(inv.op)
 		}
 	}
-	p.Module.Ended(id, no, node, how, took, done, report)
-	p.forget(id)
-	if len(p.seen) >= batch {
-		p.share()
+	s.Module.Ended(id, no, node, outcome, tookMs, answered, report)
+	s.deleteIfDone(id)
+	if len(s.outcomes) >= maxOutcomes {
+		s.shareOutcomes()
 	}
 }
 
-func (p *Shard) forget(id string) {
-	if inv := p.invs[id]; inv != nil && inv.over && !inv.out {
-		delete(p.invs, id)
-		p.free = append(p.free, inv)
+// deleteIfDone deletes an invocation that has its answer and no dispatch in flight.
+func (s *Shard) deleteIfDone(id string) {
+	if inv := s.invocations[id]; inv != nil && inv.answered && !inv.inFlight {
+		delete(s.invocations, id)
+		s.reusable = append(s.reusable, inv)
 	}
 }
 
-func (p *Shard) over(id string) {
-	if inv := p.invs[id]; inv != nil {
-		inv.over = true
-		p.forget(id)
+func (s *Shard) setAnswered(id string) {
+	if inv := s.invocations[id]; inv != nil {
+		inv.answered = true
+		s.deleteIfDone(id)
 	}
 }
 
-// Lapsed and the two after it end an invocation that nothing of is out.
-func (p *Shard) Lapsed(id string) {
-	p.Module.Lapsed(id)
-	p.over(id)
+// Lapsed notes that the invocation needs no answer any more.
+func (s *Shard) Lapsed(id string) {
+	s.Module.Lapsed(id)
+	s.setAnswered(id)
 }
 
-func (p *Shard) Throttle(id string, comeBack float64) {
-	p.Host.Throttle(id, comeBack)
-	p.over(id)
+// Throttle notes that the invocation has its final answer.
+func (s *Shard) Throttle(id string, retryAfterMs float64) {
+	s.Host.Throttle(id, retryAfterMs)
+	s.setAnswered(id)
 }
 
-func (p *Shard) Terminate(id string) {
-	p.Host.Terminate(id)
-	p.over(id)
+// Terminate notes that the invocation has its final answer.
+func (s *Shard) Terminate(id string) {
+	s.Host.Terminate(id)
+	s.setAnswered(id)
 }
 
-// share tells the others what this instance has seen; what stands still is not told: it would be late news.
-func (p *Shard) share() {
-	if len(p.seen) == 0 {
+// shareOutcomes sends the collected outcomes to the other instances. Stalled ones are left out: they would receive them
+// too late.
+func (s *Shard) shareOutcomes() {
+	if len(s.outcomes) == 0 {
 		return
 	}
-	outcomes := p.seen
-	p.seen = make([]DispatchOutcome, 0, batch)
-	for i := range p.members {
-		if i != p.instance && p.account.Alive(i) {
-			p.others.ShareOutcomes(i, outcomes)
+	outcomes := s.outcomes
+	s.outcomes = make([]DispatchOutcome, 0, maxOutcomes)
+	for i := range s.instances {
+		if i != s.instance && s.account.Alive(i) {
+			s.siblings.ShareOutcomes(i, outcomes)
 		}
 	}
 }
 
-// ReceiveOutcomes brings what another instance has seen.
-func (p *Shard) ReceiveOutcomes(outcomes []DispatchOutcome) {
+// ReceiveOutcomes passes the outcomes of another instance's dispatches to the module.
+func (s *Shard) ReceiveOutcomes(outcomes []DispatchOutcome) {
 	for _, o := range outcomes {
-		p.Module.Elsewhere(o.Node, o.Ver, o.Op, o.Outcome, o.TookMs, o.ShortLimit, o.Report)
+		s.Module.Elsewhere(o.Node, o.Ver, o.Op, o.Outcome, o.TookMs, o.ShortLimit, o.Report)
 	}
 }
 
-// Listed and Staged keep which builds are on trial.
-func (p *Shard) Listed(whole bool, list []balance.Node) {
+// Listed keeps the list of nodes and updates which builds are on trial.
+func (s *Shard) Listed(whole bool, list []balance.Node) {
 	if whole {
-		clear(p.nodes)
+		clear(s.nodes)
 	}
 	for _, n := range list {
-		if p.nodes[n.ID] = n; n.Health == balance.Gone {
-			delete(p.nodes, n.ID)
+		if s.nodes[n.ID] = n; n.Health == balance.Gone {
+			delete(s.nodes, n.ID)
 		}
 	}
-	p.Module.Listed(whole, list)
-	p.sort()
+	s.Module.Listed(whole, list)
+	s.updateTrialBuilds()
 }
 
-func (p *Shard) Staged(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
-	p.Module.Staged(ver, stage, phase, cap, age, reply)
-	p.sort()
+// Staged updates which builds are on trial.
+func (s *Shard) Staged(ver, stage int, phase balance.Phase, cap, ageMs float64, reply bool) {
+	s.Module.Staged(ver, stage, phase, cap, ageMs, reply)
+	s.updateTrialBuilds()
 }
 
-// sort asks the module which of the builds that serve are on trial.
-func (p *Shard) sort() {
-	p.trials = p.trials[:0]
-	for _, n := range p.nodes {
-		if n.Health == balance.Serving && !slices.Contains(p.trials, n.Ver) && p.Module.OnTrial(n.Ver) {
-			p.trials = append(p.trials, n.Ver)
+// updateTrialBuilds asks the module which builds of serving nodes are on trial.
+func (s *Shard) updateTrialBuilds() {
+	s.trialBuilds = s.trialBuilds[:0]
+	for _, n := range s.nodes {
+		if n.Health == balance.Serving && !slices.Contains(s.trialBuilds, n.Ver) && s.Module.OnTrial(n.Ver) {
+			s.trialBuilds = append(s.trialBuilds, n.Ver)
 		}
 	}
-	slices.Sort(p.trials)
+	slices.Sort(s.trialBuilds)
 }
 
-// Woke beats, tells and draws for what is held.
-func (p *Shard) Woke(handle int64) {
-	if handle != wakeTick {
-		for op := range p.took {
-			p.ready(op)
+// Woke handles a timer. Before one of the module's, it draws leases, as the module may dispatch waiting invocations.
+// On its own, it sends a heartbeat, reports accepted invocations and outcomes, and settles leases that became invalid.
+func (s *Shard) Woke(handle int64) {
+	if handle != tickHandle {
+		for op := range s.accepted {
+			s.ensureLeases(op)
 		}
-		p.Module.Woke(handle)
+		s.Module.Woke(handle)
 		return
 	}
-	p.Host.Wake(tick, wakeTick)
-	p.beat()
-	p.tell()
-	p.share()
-	for s, l := range p.leases { // in any order: each is given back for itself
-		if l.open && p.account.Invalid(l.Lease) {
-			p.settle(s, l)
+	s.Host.Wake(tickIntervalMs, tickHandle)
+	s.heartbeat()
+	s.reportAccepted()
+	s.shareOutcomes()
+	for scope, l := range s.leases { // the order doesn't matter: each lease is settled on its own
+		if l.outstanding && s.account.Invalid(l.Lease) {
+			s.settle(scope, l)
 		}
-		if !l.open && !slices.Contains(p.trials, s.Ver) {
-			delete(p.leases, s)
+		if !l.outstanding && !slices.Contains(s.trialBuilds, scope.Ver) {
+			delete(s.leases, scope)
 		}
 	}
 }
 
-func (p *Shard) beat() {
-	if chairs := p.account.Heartbeat(p.instance); chairs != p.chairs {
-		p.chairs = chairs
-		p.Module.Chair(chairs)
+// heartbeat sends a heartbeat and tells the module when this instance becomes the coordinator or ceases to be it.
+func (s *Shard) heartbeat() {
+	if isCoordinator := s.account.Heartbeat(s.instance); isCoordinator != s.isCoordinator {
+		s.isCoordinator = isCoordinator
+		s.Module.Chair(isCoordinator)
 	}
 }
 
-// Vote passes on what the account allows; else it is as though it had never left.
-func (p *Shard) Vote(ver, stage int, verdict balance.Verdict) {
-	if p.account.StartVote(p.instance) {
-		p.Host.Vote(ver, stage, verdict)
+// Vote sends a vote that the account allows. To the module, any other vote has failed without being sent.
+func (s *Shard) Vote(ver, stage int, verdict balance.Verdict) {
+	if s.account.StartVote(s.instance) {
+		s.Host.Vote(ver, stage, verdict)
 		return
 	}
-	p.Module.VoteFailed(balance.Ignored)
+	s.Module.VoteFailed(balance.Ignored)
 }
 
-// Tell passes on what the chair tells the other marshals: each instance has counted the same.
-func (p *Shard) Tell(peer int, text string) {
-	if p.chairs {
-		p.Host.Tell(peer, text)
+// Tell sends the coordinator's messages to other marshals. Those of the other instances are dropped: all instances have
+// counted the same.
+func (s *Shard) Tell(peer int, text string) {
+	if s.isCoordinator {
+		s.Host.Tell(peer, text)
 	}
 }
 
-// Watch passes on one instance's wish for all.
-func (p *Shard) Watch(on bool) {
-	if p.account.SetWatching(on) {
-		p.Host.Watch(on)
+// Watch requests or cancels notifications of changes to the list of nodes, once for all instances.
+func (s *Shard) Watch(on bool) {
+	if s.account.SetWatching(on) {
+		s.Host.Watch(on)
 	}
 }
--- a/divide/place.go
+++ b/divide/place.go
@@ -3,73 +3,74 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	spillOver = 32 // arrivals that wait at an instance beyond which another may take one
-	spillBy   = 4  // times what waits there at most
+	minSpillQueue = 32 // waiting invocations at an instance before another one may accept a new one
+	spillRatio    = 4  // by which its queue must be longer than the other's
 )
 
 const (
-	mostBegins  = 3       // times that an instance begins anew
-	beginsCount = 10000.0 // ms over which they count
+	maxRecentPanics = 3       // after which an instance still restarts
+	panicWindowMs   = 10000.0 // over which they are counted
 )
 
-// MayRestart says whether an instance that panicked at these times begins anew: what panics time and again would only
-// terminate more.
-func MayRestart(at []float64) bool {
+// MayRestart reports whether an instance that panicked at these times (ms) is restarted. One that panics repeatedly
+// would only terminate more invocations.
+func MayRestart(panicsMs []float64) bool {
 	recent := 0
-	for _, t := range at {
-		if t > at[len(at)-1]-beginsCount {
+	for _, t := range panicsMs {
+		if t > panicsMs[len(panicsMs)-1]-panicWindowMs {
 			recent++
 		}
 	}
-	return recent <= mostBegins
+	return recent <= maxRecentPanics
 }
 
-// AssignConnection is the instance that a new connection belongs to: the one with the fewest.
-func AssignConnection(open func(instance int) int, instances int) (seat int) {
+// AssignConnection returns the instance for a new connection: the one with the fewest open connections.
+func AssignConnection(open func(instance int) int, instances int) (assigned int) {
 	for i := 1; i < instances; i++ {
-		if open(i) < open(seat) {
-			seat = i
+		if open(i) < open(assigned) {
+			assigned = i
 		}
 	}
-	return seat
+	return assigned
 }
 
-// AssignByName is the instance where all of a name go.
+// AssignByName returns the instance for every invocation of a name.
 func AssignByName(name string, instances int) int {
 	return int(xxhash.Sum64String(name) % uint64(instances))
 }
 
-// AssignInvocation is the instance that takes an invocation. What has a key that only goes forward, or a mark against repeats, goes
-// where the like of it went before: name is that, or empty. All else goes to the instance of its connection, unless so
-// much more waits there than at another that waiting would be worse than what the other does not know.
+// AssignInvocation returns the instance for an invocation. A name is given for a forward-only key or an idempotency key:
+// all invocations of one name go to the same instance. Any other invocation goes to home, the instance of its
+// connection, unless home's queue is so much longer than another's that waiting costs more than the other instance's
+// lack of knowledge.
 func AssignInvocation(name string, home int, waiting func(instance int) int, instances int) int {
 	if name != "" {
 		return AssignByName(name, instances)
 	}
-	here := waiting(home)
-	if here < spillOver {
+	atHome := waiting(home)
+	if atHome < minSpillQueue {
 		return home
 	}
-	best, least := home, here
+	best, shortest := home, atHome
 	for i := range instances {
-		if w := waiting(i); w < least {
-			best, least = i, w
+		if w := waiting(i); w < shortest {
+			best, shortest = i, w
 		}
 	}
-	if here >= spillBy*(least+1) {
+	if atHome >= spillRatio*(shortest+1) {
 		return best
 	}
 	return home
 }
 
-// Reassign is the instance to which an invocation goes that one has let wait too long: the one where the least waits,
-// or none where the one it is at is as good.
-func Reassign(at int, waiting func(instance int) int, stands func(instance int) bool, instances int) (to int, ok bool) {
-	to = at
+// Reassign returns the instance to which an invocation is moved that has waited too long at current: the one with the
+// shortest queue among those that are not stalled. Without ok there is none better than current.
+func Reassign(current int, waiting func(instance int) int, stalled func(instance int) bool, instances int) (to int, ok bool) {
+	to = current
 	for i := range instances {
-		if i != at && !stands(i) && (to == at || waiting(i) < waiting(to)) {
+		if i != current && !stalled(i) && (to == current || waiting(i) < waiting(to)) {
 			to = i
 		}
 	}
-	return to, to != at && (stands(at) || waiting(to) < waiting(at))
+	return to, to != current && (stalled(current) || waiting(to) < waiting(current))
 }
--- a/internal/marshal/marshal_test.go
+++ b/internal/marshal/marshal_test.go
@@ -130,7 +130,8 @@
 	arrive("open at the end")
 	fmt.Println("unanswered at the end:", s.core.TerminateAll())
 	r := s.core.Snapshot()
-	fmt.Println("accepted", r.Accepted, "succeeded", r.Succeeded, "terminated", r.Terminated, "client timeouts", r.ClientTimeouts, "dispatches", r.Dispatches)
+	fmt.Println("accepted", r.Accepted, "succeeded", r.Succeeded, "terminated", r.Terminated, "client timeouts", r.ClientTimeouts,
+		"dispatches", r.Dispatches)
 	// Output:
 	// succeeded: dispatch 0 to node 1 at a:1
 	// failed: dispatch 0 to node 2 at b:2
