--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -1,5 +1,5 @@
-// Package loop runs everything that happens to one marshal instance on one goroutine, in an order in which what
-// ends never waits behind what arrives.
+// Package loop runs the calls of one marshal instance on one goroutine. Urgent calls run before all others, and posted
+// calls, such as the ends of dispatches, do not wait behind new arrivals.
 package loop
 
 import (
@@ -14,23 +14,24 @@
 	"time"
 )
 
-// Clock is where a loop gets its time from; milliseconds that only grow.
+// Clock is the source of a loop's time, in milliseconds. The time never decreases.
 type Clock interface {
 	Now() float64
-	// Timer calls wake, once, on any goroutine, no sooner than ms from now. Stop ends it.
+	// Timer calls wake once, on any goroutine, no sooner than ms from now. stop cancels it.
 	Timer(ms float64, wake func()) (stop func())
 }
 
-// epoch keeps clock times well above zero: a node that started before the marshal has a time too.
-const epoch = 30 * 24 * 3600 * 1000.0
+// monotonicOffsetMs keeps clock times well above zero, so that a node that started before the marshal has a positive
+// start time too.
+const monotonicOffsetMs = 30 * 24 * 3600 * 1000.0
 
 type monotonic struct{ start time.Time }
 
-// Monotonic is the machine's clock.
+// Monotonic returns the machine's monotonic clock.
 func Monotonic() Clock { return monotonic{time.Now()} }
 
 func (m monotonic) Now() float64 {
-	return epoch + float64(time.Since(m.start))/float64(time.Millisecond)
+	return monotonicOffsetMs + float64(time.Since(m.start))/float64(time.Millisecond)
 }
 
 func (m monotonic) Timer(ms float64, wake func()) func() {
@@ -38,139 +39,149 @@
 	return func() { t.Stop() }
 }
 
-// WallClock gives a clock's time as times of day, for what is kept or forgotten by them.
+// WallClock returns a function that converts a clock's current time to the time of day.
 func WallClock(clock Clock) func() time.Time {
-	begun, at := time.Now(), clock.Now()
+	start, startMs := time.Now(), clock.Now()
 	return func() time.Time {
-		return begun.Add(time.Duration((clock.Now() - at) * float64(time.Millisecond)))
+		return start.Add(time.Duration((clock.Now() - startMs) * float64(time.Millisecond)))
 	}
 }
 
-// Loop is a queue of calls, and the timers, of one instance. Only the goroutine of Run runs calls: whoever posts one never
-// waits for it, so that a call which blocks holds up nobody who owes a client an answer.
+// Loop is an event loop: queues of calls, and timers. Only the goroutine of Run runs calls. Posting a call never waits,
+// so that a call which blocks does not delay a goroutine that has to answer a client.
 type Loop struct {
 	clock       Clock
 	maxArrivals int // that may wait
 	wake        chan struct{}
 
 	mu       sync.Mutex
-	news     []func()
-	endings  []func()
+	urgent   []func()
+	posted   []func()
 	arrivals []func()
 	stopped  bool
 
-	// Restartable, set before Run, lets it be called again after a panic: what waits is kept, timers are not.
+	// Restartable, set before Run, allows Run to be called again after a panic: queued calls are kept, timers are not.
 	Restartable bool
 
-	// All from here to order belongs to the goroutine of Run. What is being run: endings, those that came meanwhile, arrivals.
-	ended, meanwhile, arrived []func()
+	// The fields from here to timerSeq belong to the goroutine of Run. The first three are what is being run: posted calls,
+	// those that were posted meanwhile, arrivals.
+	runningPosted, postedMeanwhile, runningArrivals []func()
 
-	now     float64 // of the call that runs
-	timers  timers
-	alarm   alarm
-	order   uint64
-	refused atomic.Int64 // arrivals
-	ran     atomic.Int64
-	hasNews atomic.Bool
-	queued  atomic.Int64 // arrivals that wait
-	busy    atomic.Int64 // microseconds spent in calls
-	since   atomic.Int64 // microseconds of the clock at which the call that runs began, 0 for none
+	nowMs           float64 // of the call that is running
+	timers          timers
+	alarm           alarm
+	timerSeq        uint64
+	refused         atomic.Int64 // arrivals
+	completed       atomic.Int64 // calls
+	hasUrgent       atomic.Bool
+	waitingArrivals atomic.Int64
+	busyUs          atomic.Int64 // spent in calls
+	callStartUs     atomic.Int64 // clock time at which the running call began, 0 for none
 }
 
-// New makes a loop in which at most so many arrivals wait.
+// New makes a loop in which at most maxArrivals arrivals wait.
 func New(clock Clock, maxArrivals int) *Loop {
-	return &Loop{clock: clock, maxArrivals: maxArrivals, wake: make(chan struct{}, 1), now: clock.Now()}
+	return &Loop{clock: clock, maxArrivals: maxArrivals, wake: make(chan struct{}, 1), nowMs: clock.Now()}
 }
 
-// Post queues a call that must not be lost: an ending, news, a timer. After the loop has stopped it does nothing.
+// Post queues a call that must not be lost, for example the end of a dispatch. After the loop has stopped it does
+// nothing.
 func (l *Loop) Post(f func()) {
-	l.put(&l.endings, f)
-	l.poke()
+	l.enqueue(&l.posted, f)
+	l.signal()
 }
 
-// put queues a call; false says that the loop has stopped.
-func (l *Loop) put(queue *[]func(), f func()) bool {
+// enqueue adds a call to a queue; it returns false where the loop has stopped.
+func (l *Loop) enqueue(queue *[]func(), f func()) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.stopped {
 		return false
 	}
 	*queue = append(*queue, f)
-	if queue == &l.news {
-		l.hasNews.Store(true)
+	if queue == &l.urgent {
+		l.hasUrgent.Store(true)
 	}
 	return true
 }
 
-// PostUrgent queues a call that goes before everything that waits: word of nodes and builds, which what waits must not be
-// decided without.
+// PostUrgent queues a call that runs before all waiting ones: an update on nodes or builds, which their decisions must
+// take into account.
 func (l *Loop) PostUrgent(f func()) {
-	l.put(&l.news, f)
-	l.poke()
+	l.enqueue(&l.urgent, f)
+	l.signal()
 }
 
-// Offer queues an arrival; false says that the queue is full and nothing was taken.
+// Offer queues an arrival. It returns false, without queuing the arrival, where the queue is full or the loop has
+// stopped.
 func (l *Loop) Offer(f func()) bool {
 	l.mu.Lock()
 	ok := !l.stopped && len(l.arrivals) < l.maxArrivals
 	if ok {
 		l.arrivals = append(l.arrivals, f)
-		l.queued.Add(1)
+		l.waitingArrivals.Add(1)
 	}
 	l.mu.Unlock()
 	if !ok {
 		l.refused.Add(1)
 		return false
 	}
-	l.poke()
+	l.signal()
 	return true
 }
 
-func (l *Loop) poke() {
+// signal wakes the loop.
+func (l *Loop) signal() {
 	select {
 	case l.wake <- struct{}{}:
 	default:
 	}
 }
 
-// Refused counts the arrivals that were refused, Ran the calls that have run.
+// Refused returns the number of arrivals that were refused.
 func (l *Loop) Refused() int64 { return l.refused.Load() }
-func (l *Loop) Completed() int64    { return l.ran.Load() }
 
-// Waiting is how many arrivals wait, Busy the ms spent in calls so far, and Standing the ms that the call which runs
-// has run for.
-func (l *Loop) Waiting() int  { return int(l.queued.Load()) }
-func (l *Loop) BusyMs() float64 { return float64(l.busy.Load()) / 1000 }
+// Completed returns the number of calls that have run.
+func (l *Loop) Completed() int64 { return l.completed.Load() }
+
+// Waiting returns the number of arrivals that wait.
+func (l *Loop) Waiting() int { return int(l.waitingArrivals.Load()) }
+
+// BusyMs returns the time spent in calls so far.
+func (l *Loop) BusyMs() float64 { return float64(l.busyUs.Load()) / 1000 }
+
+// CurrentCallMs returns for how long the running call has run, 0 where none runs.
 func (l *Loop) CurrentCallMs() float64 {
-	since := l.since.Load()
-	if since == 0 {
+	startUs := l.callStartUs.Load()
+	if startUs == 0 {
 		return 0
 	}
-	return max(0, l.clock.Now()-float64(since)/1000)
+	return max(0, l.clock.Now()-float64(startUs)/1000)
 }
 
-// Now is the time of the call that runs: the same throughout it.
-func (l *Loop) Now() float64 { return l.now }
+// Now returns the time at which the running call began. It does not change during a call.
+func (l *Loop) Now() float64 { return l.nowMs }
 
-// After runs a call some time from now; only to be called on the loop.
+// After runs a call some time from now. It must be called on the loop.
 func (l *Loop) After(ms float64, f func()) {
-	l.order++
-	heap.Push(&l.timers, timer{l.now + max(ms, 0), l.order, f})
+	l.timerSeq++
+	heap.Push(&l.timers, timer{l.nowMs + max(ms, 0), l.timerSeq, f})
 }
 
-// Panic is what a call that panicked leaves behind.
+// Panic is the error that Run returns after a call panicked.
 type Panic struct {
 	Value any
 	Stack []byte
 }
 
+// Error returns the text of the error.
 func (p *Panic) Error() string { return fmt.Sprintf("the decision module panicked: %v", p.Value) }
 
-// Run runs calls until Stop; a panic in one ends it with a *Panic.
+// Run runs calls until Stop. A panic in a call ends it with a *Panic.
 func (l *Loop) Run() error {
 	defer l.alarm.clear()
 	var panicked *Panic
-	for panicked == nil && !l.ending() {
+	for panicked == nil && !l.isStopped() {
 		var ran bool
 		if ran, panicked = l.step(); !ran && panicked == nil {
 			l.sleep()
@@ -178,162 +189,164 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if panicked != nil && l.Restartable && !l.stopped { // what waits is for whoever runs it next
+	if panicked != nil && l.Restartable && !l.stopped { // the queued calls are for the next Run
 		l.requeue()
 		return panicked
 	}
-	l.stopped, l.news, l.endings, l.arrivals = true, nil, nil, nil
-	if panicked != nil { // a nil *Panic would be an error
+	l.stopped, l.urgent, l.posted, l.arrivals = true, nil, nil, nil
+	if panicked != nil { // returned as an error, a nil *Panic would not be nil
 		return panicked
 	}
 	return nil
 }
 
-func (l *Loop) ending() bool {
+func (l *Loop) isStopped() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.stopped
 }
 
-// requeue puts back what a panic left undone; timers are not kept.
+// requeue puts the calls that a panic left undone back into their queues. Timers are dropped.
 func (l *Loop) requeue() {
 	undone := func(calls []func()) []func() {
 		return slices.DeleteFunc(calls, func(f func()) bool { return f == nil })
 	}
-	l.endings = append(append(undone(l.ended), undone(l.meanwhile)...), l.endings...)
-	l.arrivals = append(undone(l.arrived), l.arrivals...)
-	l.ended, l.meanwhile, l.arrived, l.timers = nil, nil, nil, nil
+	l.posted = append(append(undone(l.runningPosted), undone(l.postedMeanwhile)...), l.posted...)
+	l.arrivals = append(undone(l.runningArrivals), l.arrivals...)
+	l.runningPosted, l.postedMeanwhile, l.runningArrivals, l.timers = nil, nil, nil, nil
 }
 
-func (l *Loop) waits() bool {
+// hasCalls reports whether any queue holds a call.
+func (l *Loop) hasCalls() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return len(l.endings)+len(l.arrivals)+len(l.news) > 0
+	return len(l.posted)+len(l.arrivals)+len(l.urgent) > 0
 }
 
-// step runs what waits now, and says whether there was anything.
+// step runs the calls that wait now and the timers that are due, and reports whether any call waited.
 func (l *Loop) step() (ran bool, panicked *Panic) {
 	defer func() {
 		if p := recover(); p != nil {
-			l.since.Store(0)
+			l.callStartUs.Store(0)
 			ran, panicked = false, &Panic{p, debug.Stack()}
 		}
 	}()
 	l.mu.Lock()
-	l.ended, l.endings = l.endings, l.ended[:0]
-	l.arrived, l.arrivals = l.arrivals, l.arrived[:0]
+	l.runningPosted, l.posted = l.posted, l.runningPosted[:0]
+	l.runningArrivals, l.arrivals = l.arrivals, l.runningArrivals[:0]
 	l.mu.Unlock()
-	l.read()
-	l.runAll(l.ended)
-	l.due()
-	for i := range l.arrived {
-		l.queued.Add(-1)
-		l.runAll(l.arrived[i : i+1])
-		if i%8 == 7 { // what has ended meanwhile goes first
-			l.meanwhile = l.takeEndings()
-			l.runAll(l.meanwhile)
-			l.due()
+	l.runUrgent()
+	l.runAll(l.runningPosted)
+	l.runTimers()
+	for i := range l.runningArrivals {
+		l.waitingArrivals.Add(-1)
+		l.runAll(l.runningArrivals[i : i+1])
+		if i%8 == 7 { // calls posted meanwhile and due timers run before further arrivals
+			l.postedMeanwhile = l.takePosted()
+			l.runAll(l.postedMeanwhile)
+			l.runTimers()
 		}
 	}
-	return len(l.ended)+len(l.arrived) > 0, nil
+	return len(l.runningPosted)+len(l.runningArrivals) > 0, nil
 }
 
-func (l *Loop) takeEndings() []func() {
+func (l *Loop) takePosted() []func() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.endings) == 0 {
+	if len(l.posted) == 0 {
 		return nil
 	}
-	taken := l.endings
-	l.endings = nil
-	return taken
+	posted := l.posted
+	l.posted = nil
+	return posted
 }
 
+// runAll runs calls in order, urgent ones in between. A call that was begun is cleared, so that requeue leaves it out.
 func (l *Loop) runAll(calls []func()) {
 	for i, f := range calls {
-		if l.hasNews.Load() {
-			l.read()
+		if l.hasUrgent.Load() {
+			l.runUrgent()
 		}
 		calls[i] = nil
 		l.run(f)
 	}
 }
 
-// read runs the news.
-func (l *Loop) read() {
-	for l.hasNews.Load() {
+// runUrgent runs the urgent calls.
+func (l *Loop) runUrgent() {
+	for l.hasUrgent.Load() {
 		l.mu.Lock()
-		news := l.news
-		l.news = nil
-		l.hasNews.Store(false)
+		urgent := l.urgent
+		l.urgent = nil
+		l.hasUrgent.Store(false)
 		l.mu.Unlock()
-		for _, f := range news {
+		for _, f := range urgent {
 			l.run(f)
 		}
 	}
 }
 
 func (l *Loop) run(f func()) {
-	l.now = max(l.now, l.clock.Now())
-	from := int64(l.now * 1000)
-	l.since.Store(from)
+	l.nowMs = max(l.nowMs, l.clock.Now())
+	startUs := int64(l.nowMs * 1000)
+	l.callStartUs.Store(startUs)
 	f()
-	l.since.Store(0)
-	l.busy.Add(int64(l.clock.Now()*1000) - from)
-	l.ran.Add(1)
+	l.callStartUs.Store(0)
+	l.busyUs.Add(int64(l.clock.Now()*1000) - startUs)
+	l.completed.Add(1)
 }
 
-// due runs the timers that have come due.
-func (l *Loop) due() {
+// runTimers runs the timers that are due.
+func (l *Loop) runTimers() {
 	now := l.clock.Now()
-	for len(l.timers) > 0 && l.timers[0].at <= now {
+	for len(l.timers) > 0 && l.timers[0].atMs <= now {
 		t := heap.Pop(&l.timers).(timer)
-		if l.hasNews.Load() {
-			l.read()
+		if l.hasUrgent.Load() {
+			l.runUrgent()
 		}
 		l.run(t.f)
 	}
 }
 
-// sleep waits until there is something to do.
+// sleep waits for the next call or timer.
 func (l *Loop) sleep() {
-	if l.waits() {
+	if l.hasCalls() {
 		return
 	}
-	l.alarm.set(l.clock, l.timers, l.poke)
+	l.alarm.set(l.clock, l.timers, l.signal)
 	<-l.wake
 }
 
-// Clock is the loop's clock.
+// Clock returns the loop's clock.
 func (l *Loop) Clock() Clock { return l.clock }
 
-// RunFirst has a call run before all else; for a loop that is about to be run again.
+// RunFirst queues a call ahead of all others, for a loop that is about to be run again.
 func (l *Loop) RunFirst(f func()) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.news = append([]func(){f}, l.news...)
-	l.hasNews.Store(true)
+	l.urgent = append([]func(){f}, l.urgent...)
+	l.hasUrgent.Store(true)
 }
 
-// Stop ends Run after the call that runs now.
+// Stop ends Run after the running call.
 func (l *Loop) Stop() {
 	l.mu.Lock()
 	l.stopped = true
 	l.mu.Unlock()
-	l.poke()
+	l.signal()
 }
 
-// ErrStopped says that a loop has ended and runs no further call.
-var ErrStopped = errors.New("the loop has ended")
+// ErrStopped is returned for a call on a loop that has stopped.
+var ErrStopped = errors.New("the event loop has stopped")
 
-// Query runs a call on the loop and gives its result. It waits until the context ends, and then for nothing more: a call before
-// it may block. The error is the context's or ErrStopped.
+// Query runs a call on the loop and returns its result. It waits until the context ends and no longer, since an earlier
+// call may block. The error is the context's or ErrStopped.
 func Query[T any](ctx context.Context, l *Loop, call func() T) (result T, err error) {
 	results := make(chan T, 1)
-	if !l.put(&l.endings, func() { results <- call() }) {
+	if !l.enqueue(&l.posted, func() { results <- call() }) {
 		return result, ErrStopped
 	}
-	l.poke()
+	l.signal()
 	for {
 		select {
 		case result = <-results:
@@ -341,39 +354,39 @@
 		case <-ctx.Done():
 			return result, ctx.Err()
 		case <-time.After(50 * time.Millisecond):
-			if l.ending() {
+			if l.isStopped() {
 				return result, ErrStopped
 			}
 		}
 	}
 }
 
-// Do runs a call on the loop and waits for it, however long; false says that the loop has stopped.
+// Do runs a call on the loop and waits for it without a time limit; it returns false where the loop has stopped.
 func (l *Loop) Do(f func()) bool {
 	_, err := Query(context.Background(), l, func() struct{} { f(); return struct{}{} })
 	return err == nil
 }
 
-// alarm wakes a sleeping loop for its first timer. It goes on from one sleep to the next: most calls come long before the
-// first timer is due, and a new one for each would cost more than they do.
+// alarm wakes a sleeping loop for its first timer. It stays set from one sleep to the next: most calls come long before
+// the first timer is due, and a new alarm for each would cost more than the calls.
 type alarm struct {
 	armed bool
-	at    float64
+	atMs  float64
 	stop  func()
-	rang  atomic.Bool
+	fired atomic.Bool
 }
 
 func (a *alarm) set(clock Clock, t timers, wake func()) {
-	if a.rang.Swap(false) {
+	if a.fired.Swap(false) {
 		a.armed = false
 	}
-	if len(t) == 0 || a.armed && a.at <= t[0].at {
+	if len(t) == 0 || a.armed && a.atMs <= t[0].atMs {
 		return
 	}
 	a.clear()
-	a.armed, a.at = true, t[0].at
-	a.stop = clock.Timer(max(0, a.at-clock.Now()), func() {
-		a.rang.Store(true)
+	a.armed, a.atMs = true, t[0].atMs
+	a.stop = clock.Timer(max(0, a.atMs-clock.Now()), func() {
+		a.fired.Store(true)
 		wake()
 	})
 }
@@ -386,16 +399,17 @@
 }
 
 type timer struct {
-	at    float64
-	order uint64
-	f     func()
+	atMs float64
+	seq  uint64 // timers of the same time run in the order in which they were set
+	f    func()
 }
 
+// timers is a heap of timers, the next one first.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
 func (t timers) Less(i, j int) bool {
-	return t[i].at < t[j].at || t[i].at == t[j].at && t[i].order < t[j].order
+	return t[i].atMs < t[j].atMs || t[i].atMs == t[j].atMs && t[i].seq < t[j].seq
 }
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
 func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
--- a/internal/loop/loop_test.go
+++ b/internal/loop/loop_test.go
@@ -9,52 +9,52 @@
 	"time"
 )
 
-// hand is a clock set by hand.
-type hand struct {
+// manualClock is a clock that is set by hand. Setting it fires all timers.
+type manualClock struct {
 	mu    sync.Mutex
 	now   float64
 	wakes []func()
 }
 
-func (h *hand) Now() float64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return h.now
+func (c *manualClock) Now() float64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.now
 }
 
-func (h *hand) Timer(_ float64, wake func()) func() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.wakes = append(h.wakes, wake)
+func (c *manualClock) Timer(_ float64, wake func()) func() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.wakes = append(c.wakes, wake)
 	return func() {}
 }
 
-func (h *hand) set(now float64) {
-	h.mu.Lock()
-	h.now = now
-	wakes := h.wakes
-	h.wakes = nil
-	h.mu.Unlock()
+func (c *manualClock) set(now float64) {
+	c.mu.Lock()
+	c.now = now
+	wakes := c.wakes
+	c.wakes = nil
+	c.mu.Unlock()
 	for _, w := range wakes {
 		w()
 	}
 }
 
-// Endings go before arrivals, however many of these wait; what is over the bound is refused.
+// Posted calls run before arrivals, however many of these wait. Arrivals beyond the bound are refused.
 func TestOrder(t *testing.T) {
-	l := New(&hand{now: 5}, 20)
+	l := New(&manualClock{now: 5}, 20)
 	var ran []string
-	note := func(s string) func() { return func() { ran = append(ran, s) } }
-	taken := 0
+	record := func(s string) func() { return func() { ran = append(ran, s) } }
+	accepted := 0
 	for i := range 30 {
-		if l.Offer(note("a")) {
-			taken++
+		if l.Offer(record("a")) {
+			accepted++
 		}
 		if i == 10 {
-			l.Post(func() { ran = append(ran, "e"); l.Post(note("E")) })
+			l.Post(func() { ran = append(ran, "e"); l.Post(record("E")) })
 		}
 	}
-	l.Offer(note("refused"))
+	l.Offer(record("refused"))
 	go func() {
 		for l.Completed() < 22 {
 			time.Sleep(time.Millisecond)
@@ -65,21 +65,22 @@
 		t.Fatal(err)
 	}
 	got := strings.Join(ran, "")
-	if taken != 20 || l.Refused() != 11 || !strings.HasPrefix(got, "e") || strings.Index(got, "E") > 9 || len(got) != 22 {
-		t.Errorf("%d taken, %d refused, ran %s", taken, l.Refused(), got)
+	if accepted != 20 || l.Refused() != 11 || !strings.HasPrefix(got, "e") || strings.Index(got, "E") > 9 || len(got) != 22 {
+		t.Errorf("accepted %d, refused %d, ran %s; want 20, 11, and 22 calls with e first and E among the first ten",
+			accepted, l.Refused(), got)
 	}
 	if l.Offer(func() {}) {
-		t.Error("a loop that has ended took an arrival")
+		t.Error("a stopped loop accepted an arrival")
 	}
 }
 
-// Timers run in their order at their time by the injected clock, and a call sees one time throughout.
+// Timers run in the order of their times on the injected clock, and the time does not change during a call.
 func TestTimers(t *testing.T) {
-	h := &hand{now: 100}
-	l := New(h, 1)
+	clock := &manualClock{now: 100}
+	l := New(clock, 1)
 	var mu sync.Mutex
 	var ran []string
-	note := func(s string) func() {
+	record := func(s string) func() {
 		return func() {
 			mu.Lock()
 			defer mu.Unlock()
@@ -89,18 +90,18 @@
 	done := make(chan error)
 	go func() { done <- l.Run() }()
 	l.Do(func() {
-		l.After(20, note("b"))
-		l.After(10, note("a"))
-		l.After(20, note("c"))
-		l.After(-5, note("now"))
-		at := l.Now()
-		h.set(104)
-		if l.Now() != at {
-			t.Error("the time changed within a call")
+		l.After(20, record("b"))
+		l.After(10, record("a"))
+		l.After(20, record("c"))
+		l.After(-5, record("now"))
+		before := l.Now()
+		clock.set(104)
+		if l.Now() != before {
+			t.Error("the time changed during a call")
 		}
 	})
 	for _, now := range []float64{109, 115, 130} {
-		h.set(now)
+		clock.set(now)
 		l.Do(func() {})
 		time.Sleep(2 * time.Millisecond)
 	}
@@ -110,50 +111,50 @@
 	mu.Lock()
 	defer mu.Unlock()
 	if got := strings.Join(ran, " "); got != "now104 a115 b130 c130" {
-		t.Errorf("ran %s", got)
+		t.Errorf("ran %s, want now104 a115 b130 c130", got)
 	}
 }
 
-// News goes before all that waits, in its own order; a loop that may run again after a panic keeps what waits, runs
-// what is to be first, and lets go of timers.
-func TestNewsAndAgain(t *testing.T) {
+// Urgent calls run before all that wait, in their own order. A loop that is run again after a panic keeps the queued
+// calls, starts with the call given to RunFirst, and drops timers.
+func TestUrgentAndRestart(t *testing.T) {
 	l := New(Monotonic(), 10)
 	l.Restartable = true
 	var got []string
-	say := func(s string) func() { return func() { got = append(got, s) } }
-	l.Post(say("ending 1"))
-	l.Offer(say("arrival"))
-	l.Post(func() { l.After(0, say("timer")); panic("planted") })
-	l.Post(say("ending 2"))
-	l.PostUrgent(say("news 1"))
-	l.PostUrgent(say("news 2"))
+	record := func(s string) func() { return func() { got = append(got, s) } }
+	l.Post(record("posted 1"))
+	l.Offer(record("arrival"))
+	l.Post(func() { l.After(0, record("timer")); panic("injected") })
+	l.Post(record("posted 2"))
+	l.PostUrgent(record("urgent 1"))
+	l.PostUrgent(record("urgent 2"))
 	var p *Panic
-	if err := l.Run(); !errors.As(err, &p) || p.Value != "planted" {
-		t.Fatalf("it ended with %v", err)
+	if err := l.Run(); !errors.As(err, &p) || p.Value != "injected" {
+		t.Fatalf("Run returned %v, want the injected panic", err)
 	}
-	got = append(got, "again")
+	got = append(got, "restart")
 	l.Offer(func() { got = append(got, "later"); l.Stop() })
-	l.RunFirst(say("first"))
-	l.PostUrgent(say("news 3"))
+	l.RunFirst(record("first"))
+	l.PostUrgent(record("urgent 3"))
 	if err := l.Run(); err != nil {
 		t.Fatal(err)
 	}
-	want := "news 1, news 2, ending 1, again, first, news 3, ending 2, arrival, later"
+	want := "urgent 1, urgent 2, posted 1, restart, first, urgent 3, posted 2, arrival, later"
 	if s := strings.Join(got, ", "); s != want {
-		t.Errorf("it ran %s", s)
+		t.Errorf("ran %s, want %s", s, want)
 	}
 	if l.Waiting() != 0 || l.CurrentCallMs() != 0 {
-		t.Errorf("%d wait, and it stands for %v ms", l.Waiting(), l.CurrentCallMs())
+		t.Errorf("%d arrivals wait and a call has run for %v ms, want 0 and 0", l.Waiting(), l.CurrentCallMs())
 	}
 }
 
-// Whoever posts with Do or Offer may run the loop; calls still run one at a time, none is lost, a panic on a poster's
-// goroutine is the loop's, and who posts from within a call does not run it again within.
-func TestPostersRunIt(t *testing.T) {
+// Calls posted from several goroutines run one at a time, and none is lost. A panic in a call ends Run and not the
+// goroutine that posted it.
+func TestConcurrentPosters(t *testing.T) {
 	l := New(Monotonic(), 1<<20)
 	end := make(chan error)
 	go func() { end <- l.Run() }()
-	running, ran, more, inside := 0, 0, 0, 0
+	running, ran, nested, overlapping := 0, 0, 0, 0
 	var wg sync.WaitGroup
 	for range 8 {
 		wg.Go(func() {
@@ -161,19 +162,19 @@
 				f := func() {
 					running++
 					if running != 1 {
-						inside++
+						overlapping++
 					}
 					ran++
 					if ran%100 == 0 {
-						l.Post(func() { more++ })
-						l.After(0.1, func() { more++ })
+						l.Post(func() { nested++ })
+						l.After(0.1, func() { nested++ })
 					}
 					running--
 				}
 				if i%3 == 0 {
 					l.Post(f)
 				} else if !l.Offer(f) {
-					t.Error("refused")
+					t.Error("an arrival was refused")
 				}
 			}
 		})
@@ -184,33 +185,33 @@
 	}
 	time.Sleep(20 * time.Millisecond)
 	l.Do(func() {
-		if ran != 16000 || more != 2*160 || inside != 0 {
-			t.Errorf("%d and %d ran, %d within another", ran, more, inside)
+		if ran != 16000 || nested != 2*160 || overlapping != 0 {
+			t.Errorf("ran %d calls and %d calls set within them, %d overlapping; want 16000, 320, 0", ran, nested, overlapping)
 		}
 	})
-	l.Post(func() { panic("planted") })
+	l.Post(func() { panic("injected") })
 	var p *Panic
-	if err := <-end; !errors.As(err, &p) || p.Value != "planted" {
-		t.Errorf("it ended with %v", err)
+	if err := <-end; !errors.As(err, &p) || p.Value != "injected" {
+		t.Errorf("Run returned %v, want the injected panic", err)
 	}
-	l.Post(func() { t.Error("a loop that has ended runs a call") })
+	l.Post(func() { t.Error("a stopped loop runs a call") })
 }
 
-// A call that blocked took whoever had posted one with it: TestLoopStandsStill's second client got "no answer: i/o timeout" after
-// 3.03 s, since the goroutine that owed the answer was inside the blocked call (help, run on the poster's goroutine). Nobody but
-// the loop's own goroutine runs calls now, and posting one returns whatever the loop does.
+// Posting a call returns at once, also while the loop is blocked in another call. When posters ran the calls themselves,
+// the goroutine that had to answer a client was caught in the blocked call, and the client got "no answer: i/o timeout"
+// after 3.03 s.
 func TestPostersNeverWait(t *testing.T) {
 	for name, post := range map[string]func(*Loop, func()){
-		"Post":  (*Loop).Post,
-		"News":  (*Loop).PostUrgent,
-		"Offer": func(l *Loop, f func()) { l.Offer(f) },
+		"Post":       (*Loop).Post,
+		"PostUrgent": (*Loop).PostUrgent,
+		"Offer":      func(l *Loop, f func()) { l.Offer(f) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			l := New(Monotonic(), 9)
 			end := make(chan error)
 			go func() { end <- l.Run() }()
 			l.Do(func() {})
-			time.Sleep(10 * time.Millisecond) // it sleeps
+			time.Sleep(10 * time.Millisecond) // lets the loop sleep
 			blocked, posted, ran := make(chan struct{}), make(chan struct{}), make(chan struct{})
 			go func() {
 				post(l, func() { <-blocked })
@@ -220,7 +221,7 @@
 			select {
 			case <-posted:
 			case <-time.After(5 * time.Second):
-				t.Error("the poster waits for a call that blocks")
+				t.Error("posting waits for a call that blocks")
 			}
 			close(blocked)
 			<-ran
