--- a/divide/account.go
+++ b/divide/account.go
@@ -1,7 +1,7 @@
 // Package divide shares one marshal among several instances of its decision module: how much of a trial build each
 // instance may expose, which instance votes, what the instances report to each other, and which one accepts an invocation.
 //
-// An Account is the state that the instances share. A Shard belongs to one instance and stands between the marshal and
+// An Account is the state that the instances share. A Shard belongs to one instance and sits between the marshal and
 // the module. Neither does I/O, and both are given their clock. docs/cores.md compares this design with others.
 package divide
 
@@ -30,7 +30,7 @@
 type Lease struct {
 	Size         int
 	UntilMs      float64
-	buildVersion uint64 // of the account when the lease was drawn
+	stageChanges uint64 // that of the account when the lease was drawn
 }
 
 // Account is the state that the instances of a marshal share. Its methods may be called from any goroutine; none
@@ -49,7 +49,7 @@
 	voteIntervalMs float64 // between the votes of two coordinators
 	startMs        float64
 
-	buildVersion atomic.Uint64   // grows with each change to the newest build's state; leases of an older version are void
+	stageChanges atomic.Uint64   // counts changes of the newest build's stage; leases drawn before the last one are invalid
 	heartbeats   []atomic.Uint64 // bits of the time in ms of each instance's last one
 	coordinator  atomic.Int64
 
@@ -105,7 +105,7 @@
 }
 
 // StageUpdate sets the phase and cap of the newest build. It must be called before any instance receives the update:
-// from then on, leases drawn under another cap are void.
+// from then on, leases drawn under another cap or phase are invalid.
 func (a *Account) StageUpdate(ver int, phase balance.Phase, cap float64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -113,7 +113,7 @@
 		return
 	}
 	a.ver, a.phase, a.cap, a.announced = ver, phase, cap, true
-	a.buildVersion.Add(1)
+	a.stageChanges.Add(1)
 }
 
 // Scope returns the scope that an operation at a build is counted by.
@@ -156,7 +156,7 @@
 	if !a.announced || s.Ver != a.ver {
 		cap = a.firstCap
 	}
-	l := Lease{UntilMs: now + a.leaseMs, buildVersion: a.buildVersion.Load()}
+	l := Lease{UntilMs: now + a.leaseMs, stageChanges: a.stageChanges.Load()}
 	if cap <= 0 {
 		return l
 	}
@@ -211,7 +211,7 @@
 
 // Invalid reports whether a lease must not be used any more: it has expired, or the build's state has changed.
 func (a *Account) Invalid(l Lease) bool {
-	return l.buildVersion != a.buildVersion.Load() || a.now() >= l.UntilMs
+	return l.stageChanges != a.stageChanges.Load() || a.now() >= l.UntilMs
 }
 
 // Heartbeat records that an instance is running and reports whether it is the coordinator, which votes for the
@@ -351,8 +351,8 @@
 	}
 }
 
-// sumSince drops the steps before a time and returns the sum of the rest. A step that the time falls into is kept in
-// full with partial, and else dropped.
+// sumSince drops the steps before a time and returns the sum of the rest. A step that begins before the
+// time and ends after it is kept in full if partial is set, and dropped otherwise.
 func (w *window) sumSince(fromMs float64, partial bool) float64 {
 	step := int64(math.Floor(fromMs / w.stepMs))
 	if !partial && fromMs > float64(step)*w.stepMs {
--- a/divide/model_test.go
+++ b/divide/model_test.go
@@ -83,7 +83,7 @@
 		windowSteps: a.windowSteps, startMs: a.startMs, heartbeats: a.heartbeats, ver: a.ver, cap: a.cap, phase: a.phase, announced: a.announced,
 		accepted: map[int]*window{}, exposed: map[Scope]*window{}, unsettled: map[Scope][]unsettledLease{}, incarnations: slices.Clone(a.incarnations)}
 	c.account.now = func() float64 { return c.now }
-	c.account.buildVersion.Store(a.buildVersion.Load())
+	c.account.stageChanges.Store(a.stageChanges.Load())
 	for k, w := range a.accepted {
 		c.account.accepted[k] = w.copy()
 	}
@@ -107,7 +107,7 @@
 		k := fmt.Appendf(nil, "%d %v %v|", in.unreported, in.unreportedSince, in.outstanding)
 		if in.outstanding {
 			k = fmt.Appendf(k, "%d %v %v %d|", in.lease.Size, in.lease.UntilMs,
-				in.lease.buildVersion == m.account.buildVersion.Load(), in.used)
+				in.lease.stageChanges == m.account.stageChanges.Load(), in.used)
 		}
 		for _, l := range m.account.unsettled[modelScope] {
 			if l.instance == i {
@@ -175,7 +175,7 @@
 		}
 		invalid := m.account.Invalid(own.lease)
 		if f == usedAfterExpiry {
-			invalid = own.lease.buildVersion != m.account.buildVersion.Load()
+			invalid = own.lease.stageChanges != m.account.stageChanges.Load()
 		} else if f == usedAfterCapFell {
 			invalid = m.now >= own.lease.UntilMs
 		}
--- a/divide/part.go
+++ b/divide/part.go
@@ -16,9 +16,9 @@
 type Module interface {
 	balance.Module
 	OnTrial(ver int) bool
-	Leased(ver, op, left int, until float64)
+	Leased(ver, op, left int, untilMs float64)
 	Chair(votes bool)
-	Elsewhere(node uint32, ver, op int, how balance.Ending, took float64, short bool, report map[string]float64)
+	Elsewhere(node uint32, ver, op int, outcome balance.Ending, tookMs float64, shortLimit bool, report map[string]float64)
 }
 
 // DispatchOutcome is how one dispatch ended, as the instances report it to each other.
--- a/divide/place.go
+++ b/divide/place.go
@@ -3,12 +3,12 @@
 import "github.com/cespare/xxhash/v2"
 
 const (
-	minSpillQueue = 32 // waiting invocations at an instance before another one may accept a new one
-	spillRatio    = 4  // by which its queue must be longer than the other's
+	minSpillQueue = 32 // invocations that wait at home before another instance may accept a new one
+	spillRatio    = 4  // home's queue must hold at least this many times the other's, which counts as one longer
 )
 
 const (
-	maxRecentPanics = 3       // after which an instance still restarts
+	maxRecentPanics = 3       // an instance that panicked more often is not restarted
 	panicWindowMs   = 10000.0 // over which they are counted
 )
 
