--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -105,7 +105,7 @@
 	}
 	if !full {
 		s.conns[c] = true
-		c.homeCore = divide.Seat(func(i int) int { return int(s.coreConnections[i].Load()) }, len(s.Loops))
+		c.homeCore = divide.AssignConnection(func(i int) int { return int(s.coreConnections[i].Load()) }, len(s.Loops))
 		s.coreConnections[c.homeCore].Add(1)
 	}
 	if !full {
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -59,7 +59,7 @@
 	}
 	// The module gets the outcome before the client does, so that it is known when the client's next request arrives.
 	tookMs := s.Clock.Now() - startMs
-	x.loop().Post(func() { x.core().Ended(x.invocationID, dispatchNo, balance.Succeeded, tookMs, true, report) })
+	x.loop().Post(func() { x.core().DispatchEnded(x.invocationID, dispatchNo, balance.Succeeded, tookMs, true, report) })
 	x.returnNodeConn(nodeConn, h)
 	reason, pending := c.beginAnswer(x.requiredClose())
 	if !pending {
@@ -154,7 +154,7 @@
 	report map[string]float64) (keepAlive bool) {
 	s, c := x.conn.server, x.conn
 	coreLoop := x.loop()
-	coreLoop.Post(func() { x.core().Began(x.invocationID, dispatchNo, coreLoop.Now()-startMs) })
+	coreLoop.Post(func() { x.core().ResponseStarted(x.invocationID, dispatchNo, coreLoop.Now()-startMs) })
 	x.mu.Lock() // an answer that the client has begun to read can't be canceled
 	x.nodeConn, x.cancelDial = nil, nil
 	x.mu.Unlock()
@@ -206,7 +206,7 @@
 		reason = closeWriteFailed // truncated: only closing the connection can tell the client
 	}
 	tookMs := s.Clock.Now() - startMs
-	x.loop().Post(func() { x.core().Ended(x.invocationID, dispatchNo, result, tookMs, true, report) })
+	x.loop().Post(func() { x.core().DispatchEnded(x.invocationID, dispatchNo, result, tookMs, true, report) })
 	if err == io.EOF {
 		x.returnNodeConn(nodeConn, h)
 	} else {
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -41,7 +41,7 @@
 		x.mayHaveRunSinceMs = startMs
 	}
 	result, tookMs := x.lastOutcome, s.Clock.Now()-startMs
-	x.loop().Post(func() { x.core().Ended(x.invocationID, cmd.dispatchNo, result, tookMs, false, report) })
+	x.loop().Post(func() { x.core().DispatchEnded(x.invocationID, cmd.dispatchNo, result, tookMs, false, report) })
 	return false, false
 }
 
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -86,7 +86,7 @@
 			return
 		}
 		// The time limit runs while the exchange is queued.
-		x.invocationID = marshalCore.Arrived(x, x.operation, x.tenant, x.key, x.deadlineMs-coreLoop.Now(), x.costMs,
+		x.invocationID = marshalCore.InvocationArrived(x, x.operation, x.tenant, x.key, x.deadlineMs-coreLoop.Now(), x.costMs,
 			x.isRetry, x.isWrite)
 	})
 }
@@ -99,8 +99,8 @@
 	if len(s.Loops) == 1 || x.placementKey != "" {
 		return false
 	}
-	stalled := func(i int) bool { return s.Loops[i].Standing() > reofferAfterMs }
-	target, ok := divide.Elsewhere(int(x.offeredCore.Load()), s.queued, stalled, len(s.Loops))
+	stalled := func(i int) bool { return s.Loops[i].CurrentCallMs() > reofferAfterMs }
+	target, ok := divide.Reassign(int(x.offeredCore.Load()), s.queued, stalled, len(s.Loops))
 	state := x.state.Load()
 	if !ok || state%stateCount != offered || !x.state.CompareAndSwap(state, state+withdrawn) {
 		return false
@@ -160,7 +160,7 @@
 
 // reportNotSent reports to the module that a dispatch has ended without having been sent.
 func (x *exchange) reportNotSent(dispatchNo int) {
-	x.loop().Post(func() { x.core().Ended(x.invocationID, dispatchNo, balance.Ignored, 0, false, nil) })
+	x.loop().Post(func() { x.core().DispatchEnded(x.invocationID, dispatchNo, balance.Ignored, 0, false, nil) })
 }
 
 // finish ends the exchange once it has its answer: no further command is executed, and a dispatch that was decided in the
@@ -209,10 +209,10 @@
 // Terminate answers that it is unknown whether the invocation was executed.
 func (x *exchange) Terminate() { x.decide(command{kind: commandTerminate}) }
 
-// Abrupt terminates the invocation when the marshal ends.
-func (x *exchange) Abrupt() { x.decide(command{kind: commandTerminate}) }
+// Abort terminates the invocation when the marshal ends.
+func (x *exchange) Abort() { x.decide(command{kind: commandTerminate}) }
 
-// Let abandons the dispatch in flight: nobody waits for it any more, and a connection that opens late must not carry it.
+// Discard abandons the dispatch in flight: nobody waits for it any more, and a connection that opens late must not carry it.
 func (x *exchange) Let() { x.endWith(command{kind: commandDiscard}) }
 
 // endWith cancels the dispatch in flight and sends the worker the last command.
@@ -242,7 +242,7 @@
 	core := x.offeredCore.Load() // if it is offered elsewhere, the accepting core sees clientGone
 	x.conn.server.Loops[core].Post(func() {
 		if x.acceptedBy.Load() == core+1 && x.invocationID != "" {
-			x.conn.server.Cores[core][x.pool].Lapsed(x.invocationID)
+			x.conn.server.Cores[core][x.pool].ClientTimedOut(x.invocationID)
 		}
 	})
 }
@@ -371,7 +371,7 @@
 	if x.decided.Swap(true) {
 		return false, false // its answer has been decided
 	}
-	x.loop().Post(func() { x.core().Overtaken(x.invocationID) })
+	x.loop().Post(func() { x.core().TerminatedByExchange(x.invocationID) })
 	return true, x.conn.writePlain(x.terminationStatus(), Terminated, "terminated: what it did is not known", x.requiredClose())
 }
 
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -152,7 +152,7 @@
 		if x.placementKey == "" && s.headerNames.idempotencyKey != "" {
 			x.placementKey = h.Header.Get(s.headerNames.idempotencyKey)
 		}
-		core = divide.Place(x.placementKey, c.homeCore, s.queued, len(s.Loops))
+		core = divide.AssignInvocation(x.placementKey, c.homeCore, s.queued, len(s.Loops))
 		if core != c.homeCore && x.placementKey == "" {
 			s.movedInvocations.Add(1)
 		}
