--- a/balance/balance.go
+++ b/balance/balance.go
@@ -60,23 +60,23 @@
 		b.recent[op], b.seenOf[op] = b.sloOf(op)/firstGuess, 1
 	}
 	if settings.text("discovery", "subscribe") == "subscribe" {
-		h.Watch(true)
+		h.WatchNodes(true)
 	}
-	h.Wake(interval, wakeInterval)
-	h.Wake(lookEvery, wakeSilent)
+	h.SetTimer(interval, wakeInterval)
+	h.SetTimer(lookEvery, wakeSilent)
 	return b
 }
 
-// ListFailed says that asking for the list failed or a watch has ended, without saying which.
-func (b *Balancer) ListFailed() {
+// NodeListFailed says that asking for the list failed or a watch has ended, without saying which.
+func (b *Balancer) NodeListFailed() {
 	if !b.watchDue {
 		b.watchDue = true
-		b.h.Wake(1000+2000*b.rnd.Float64(), wakeWatch)
+		b.h.SetTimer(1000+2000*b.rnd.Float64(), wakeWatch)
 	}
 }
 
-// Staged tells where the newest build stands; reply says that it answers this instance's vote.
-func (b *Balancer) Staged(ver, stage int, phase Phase, cap, age float64, reply bool) {
+// StageUpdate tells where the newest build stands; reply says that it answers this instance's vote.
+func (b *Balancer) StageUpdate(ver, stage int, phase Phase, cap, age float64, reply bool) {
 	now := b.h.Now()
 	if reply {
 		b.voteOut = false
@@ -99,7 +99,7 @@
 }
 
 // VoteFailed says how a vote ended that was not answered.
-func (b *Balancer) VoteFailed(ending Ending) {
+func (b *Balancer) VoteFailed(ending Outcome) {
 	b.voteOut = false
 	if ending == TimedOut { // it may count, so it is taken to stand for a while
 		b.voteUntil = b.h.Now() + b.set.num("rollout.vote-ttl-ms", 0)/2
@@ -108,8 +108,8 @@
 	b.vote, b.voteNext = NoVote, b.h.Now()+1000
 }
 
-// Arrived takes an invocation: from here on it is owed one final answer within budget.
-func (b *Balancer) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+// InvocationArrived takes an invocation: from here on it is owed one final answer within budget.
+func (b *Balancer) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	now := b.h.Now()
 	inv := &invocation{id: id, op: op, tenant: tenant, key: key, came: now, due: now + budget, cost: cost}
 	b.take(inv)
@@ -428,7 +428,7 @@
 	}
 	b.held = append(b.held, inv)
 	if len(b.held) == 1 {
-		b.h.Wake(20, wakeHeld)
+		b.h.SetTimer(20, wakeHeld)
 	}
 }
 
@@ -447,8 +447,8 @@
 	}
 }
 
-// Ended says how a dispatch ended; done, that its invocation has its final answer.
-func (b *Balancer) Ended(id string, no int, _ uint32, how Ending, took float64, done bool,
+// DispatchEnded says how a dispatch ended; done, that its invocation has its final answer.
+func (b *Balancer) DispatchEnded(id string, no int, _ uint32, how Outcome, took float64, done bool,
 	report map[string]float64) {
 	inv := b.invs[id]
 	if inv == nil || no >= len(inv.sent) || !inv.sent[no].open {
@@ -471,7 +471,7 @@
 }
 
 // learn takes an outcome as evidence on node, build and fleet; after an own stall, as evidence of nothing.
-func (b *Balancer) learn(inv *invocation, d *dispatch, how Ending, took, now float64) {
+func (b *Balancer) learn(inv *invocation, d *dispatch, how Outcome, took, now float64) {
 	n := d.to
 	if now-b.looked > 3*lookEvery || now == b.stalled {
 		return
@@ -479,24 +479,24 @@
 	if last := len(inv.sent) - 2; last >= 0 && inv.sent[last].erred && (how == Failed || how == Succeeded) {
 		fade(&b.again, how == Failed, 0.3)
 	}
-	if how == Succeeded || how == Failed || how == Full || how == Reset {
+	if how == Succeeded || how == Failed || how == Rejected || how == ConnectionReset {
 		fade(&b.noLink, false, 0.02)
 		n.answered, n.link = now, now
-	} else if how == NoConnect {
+	} else if how == ConnectFailed {
 		fade(&b.noLink, true, 0.1)
 		n.link = 0
 	}
 	if how != Failed && how != Ignored && !d.short {
 		fade(b.lateAt(n.Zone), how != Succeeded || took > b.sloOf(inv.op), 0.05)
 	}
-	failed := how == Failed || how == TimedOut && !d.short || how == Reset
-	if failed || how == NoConnect || how == Canceled {
+	failed := how == Failed || how == TimedOut && !d.short || how == ConnectionReset
+	if failed || how == ConnectFailed || how == Canceled {
 		n.good, n.bad = n.good*0.9, n.bad*0.9+1
 		// Of a trickle each node gets one in a while; a wait under that would spare it nothing.
 		least := max(500, b.serving(every)*(now-b.begun)/max(b.arrived, 1))
 		n.penalty = min(2*n.penalty+least, max(8000, 2*least))
 		n.retest = now + n.penalty
-	} else if how == Full {
+	} else if how == Rejected {
 		n.full = now + fullFor
 	} else if how == Succeeded {
 		n.good, n.bad, n.penalty = n.good*0.9+1, n.bad*0.9, n.penalty/2
@@ -525,11 +525,11 @@
 	all[len(b.ops)].outcome(how, took, !d.young)
 }
 
-// Woke is a timer's end.
-func (b *Balancer) Woke(handle int64) {
+// TimerFired is a timer's end.
+func (b *Balancer) TimerFired(handle int64) {
 	switch handle {
 	case wakeInterval:
-		b.h.Wake(interval, wakeInterval)
+		b.h.SetTimer(interval, wakeInterval)
 		b.flow, b.pace = b.ends.since(b.h.Now()-2*interval), b.answers.since(b.h.Now()-2*interval)/(2*interval)
 		due := sagged * b.flowUsual * b.capacity(b.h.Now(), every) / max(b.serving(every), 1)
 		if !b.turned {
@@ -552,13 +552,13 @@
 		b.judge()
 		if b.set.is("limits.may-tell") && b.announced && b.phase == OnTrial && b.h.Now() >= b.tellNext {
 			b.tellNext = b.h.Now() + tellEvery
-			b.h.Tell(Everyone, b.counts(b.earlier()))
+			b.h.SendToPeer(AllPeers, b.counts(b.earlier()))
 		}
 	case wakeHeld:
 		b.sendHeld()
 	case wakeSilent:
 		now := b.h.Now()
-		b.h.Wake(lookEvery, wakeSilent)
+		b.h.SetTimer(lookEvery, wakeSilent)
 		if now-b.looked > 3*lookEvery { // this marshal stood still: what it finds now says nothing of others
 			b.stalled = now
 		} else if now > b.stalled {
@@ -567,7 +567,7 @@
 		b.looked = now
 	case wakeWatch:
 		b.watchDue = false
-		b.h.Watch(true)
+		b.h.WatchNodes(true)
 	}
 }
 
@@ -637,7 +637,7 @@
 // judge votes on the newest build.
 func (b *Balancer) judge() {
 	now, before := b.h.Now(), b.earlier()
-	if !b.announced || b.phase == GoingBack || b.phase == Withdrawn || before < 0 {
+	if !b.announced || b.phase == RollingBack || b.phase == Withdrawn || before < 0 {
 		return
 	}
 	if b.misses < b.missesUsual+strained {
@@ -652,7 +652,7 @@
 		fine, worse, _, _ = b.compare(own, then, 2)
 		fine, worse, n = min(fine2, 2*fine), min(worse2, 2*worse), n2
 	}
-	standing := b.vote == Back && b.voteVer == b.ver && now < b.voteUntil
+	standing := b.vote == RollBack && b.voteVer == b.ver && now < b.voteUntil
 	calm := b.strainSince == now && b.slowBy < slowed
 	// Trouble older than the build is not its own: what it does itself speaks for it. It guards against one bad
 	// build that is kept by the trouble it makes; it may hurt when the next one is no better.
@@ -660,22 +660,22 @@
 	under := b.strainSince > b.metAt && b.strainSince < b.stageSince+2*blindAfter // begins with a stage
 	switch {
 	case n >= leastJudge && worse >= confidence:
-		b.cast(Back, now, fmt.Sprintf("trails in success, %v of %v failed", bad, n))
+		b.cast(RollBack, now, fmt.Sprintf("trails in success, %v of %v failed", bad, n))
 	case b.phase == OnTrial && b.heavier(now) >= heavy: // later the list may name earlier nodes long gone
-		b.cast(Back, now, "needs more work")
+		b.cast(RollBack, now, "needs more work")
 	case now-b.strainSince >= strainFor && under && b.slowBy >= slowed:
-		b.cast(Back, now, "long trouble under it")
+		b.cast(RollBack, now, "long trouble under it")
 	case under && b.sags >= sagsBack: // a burst has more answered; it may strike where many nodes are lost
-		b.cast(Back, now, "the fleet answers less under it")
+		b.cast(RollBack, now, "the fleet answers less under it")
 	case b.set.text("rollout.gate-mode", "") == "clock":
 		if n >= leastJudge && bad > 0 && worse > 0.5 {
 			b.cast(Hold, now, "may trail")
 		}
 	case b.phase != OnTrial:
 	case n >= leastJudge && fine >= confidence && (b.sags == 0 || !under): // slow alike is no keeping up
-		b.cast(On, now, "keeps up")
+		b.cast(Advance, now, "keeps up")
 	case now-b.stageSince >= blindAfter && !standing && (calm || older) && b.seen(now):
-		b.cast(On, now, "no verdict")
+		b.cast(Advance, now, "no verdict")
 	}
 }
 
@@ -761,7 +761,7 @@
 
 // cast votes on a change or when the vote has lapsed, paced within the platform's allowance.
 func (b *Balancer) cast(v Verdict, now float64, why string) {
-	same := b.vote == v && b.voteVer == b.ver && (v == Back || b.voteStage == b.stage)
+	same := b.vote == v && b.voteVer == b.ver && (v == RollBack || b.voteStage == b.stage)
 	if b.mute || b.voteOut || now < b.voteNext || same && now < b.voteUntil {
 		return
 	}
--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -23,12 +23,12 @@
 func (c *calm) Throttle(string, float64)               {}
 func (c *calm) Terminate(string)                       {}
 func (c *calm) Probe(uint32)                           {}
-func (c *calm) Fetch()                                 {}
-func (c *calm) Watch(bool)                             {}
+func (c *calm) FetchNodes()                            {}
+func (c *calm) WatchNodes(bool)                        {}
 func (c *calm) Vote(int, int, Verdict)                 {}
-func (c *calm) Tell(int, string)                       {}
+func (c *calm) SendToPeer(int, string)                 {}
 func (c *calm) Log(string)                             {}
-func (c *calm) Wake(after float64, handle int64) {
+func (c *calm) SetTimer(after float64, handle int64) {
 	c.wakes = append(c.wakes, struct {
 		at     float64
 		handle int64
@@ -41,7 +41,7 @@
 		if w := c.wakes[i]; w.at <= c.now {
 			c.wakes = append(c.wakes[:i], c.wakes[i+1:]...)
 			i--
-			c.b.Woke(w.handle)
+			c.b.TimerFired(w.handle)
 		}
 	}
 }
@@ -56,16 +56,16 @@
 	for i := range nodes {
 		list = append(list, Node{ID: uint32(i + 1), Ver: 1, Size: 1, Zone: i % 3})
 	}
-	c.b.Listed(true, list)
-	c.b.Staged(1, 0, Released, 1, 60000, false)
+	c.b.NodesListed(true, list)
+	c.b.StageUpdate(1, 0, Released, 1, 60000, false)
 	return c
 }
 
 // invoke sends one invocation through, half a ms after the one before.
 func (c *calm) invoke(id, key string) {
-	c.b.Arrived(id, 0, 0, key, 1000, 0, false, false)
+	c.b.InvocationArrived(id, 0, 0, key, 1000, 0, false, false)
 	c.pass(0.5)
-	c.b.Ended(id, 0, c.node, Succeeded, 20, true, nil)
+	c.b.DispatchEnded(id, 0, c.node, Succeeded, 20, true, nil)
 }
 
 // What one invocation costs the module: arrival, dispatch, answer and its part of the timers.
@@ -97,7 +97,7 @@
 	for minute := range 120 {
 		if minute%10 == 5 { // a build comes, on every node, and is released
 			ver++
-			c.b.Staged(ver, 0, OnTrial, 0.1, 0, false)
+			c.b.StageUpdate(ver, 0, OnTrial, 0.1, 0, false)
 		}
 		for range 300 {
 			c.invoke(fmt.Sprint(c.now), fmt.Sprint("key", c.now))
@@ -108,8 +108,8 @@
 			next++
 			list = append(list, Node{ID: next, Ver: ver, Size: 1, Started: c.now - 20000})
 		}
-		c.b.Listed(true, list)
-		c.b.Staged(ver, 1, Released, 1, 0, false)
+		c.b.NodesListed(true, list)
+		c.b.StageUpdate(ver, 1, Released, 1, 0, false)
 		if minute == 20 {
 			early, bytes = size(), heap()
 		}
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -2,11 +2,11 @@
 
 import "fmt"
 
-func well(uint32) Ending { return Succeeded }
+func well(uint32) Outcome { return Succeeded }
 
 // failing makes one node fail all it is sent.
-func failing(bad uint32) func(uint32) Ending {
-	return func(node uint32) Ending {
+func failing(bad uint32) func(uint32) Outcome {
+	return func(node uint32) Outcome {
 		if node == bad {
 			return Failed
 		}
@@ -16,8 +16,8 @@
 
 // trial brings build 2 to stage 0 on node 9, which started age ms ago.
 func (s *stand) trial(age float64) {
-	s.b.Listed(false, []Node{{ID: 9, Ver: 2, Size: 1, Started: s.now - age}})
-	s.b.Staged(2, 0, OnTrial, 0.1, 0, false)
+	s.b.NodesListed(false, []Node{{ID: 9, Ver: 2, Size: 1, Started: s.now - age}})
+	s.b.StageUpdate(2, 0, OnTrial, 0.1, 0, false)
 }
 
 // An idempotent invocation that fails goes again; once its tries are used up it is throttled.
@@ -39,7 +39,7 @@
 func Example_sideEffecting() {
 	s := begin("side-effecting", nil)
 	s.arrive("a")
-	s.end("a", Full)
+	s.end("a", Rejected)
 	s.end("a", Failed)
 	s.arrive("b")
 	s.end("b", Succeeded)
@@ -55,9 +55,9 @@
 	s := begin("fingerprinted", nil)
 	s.arrive("a")
 	s.end("a", Failed)
-	s.end("a", Reset)
+	s.end("a", ConnectionReset)
 	fmt.Println("the next one is answered after the memory window")
-	s.b.Arrived("b", 0, 0, "", 9000, 0, false, false)
+	s.b.InvocationArrived("b", 0, 0, "", 9000, 0, false, false)
 	s.until(s.now + 3001)
 	s.end("b", TimedOut)
 	// Output:
@@ -74,7 +74,7 @@
 // With every node gone an invocation is held, and throttled while its client still waits.
 func Example_nowhereToGo() {
 	s := begin("side-effecting", nil)
-	s.b.Listed(true, nil)
+	s.b.NodesListed(true, nil)
 	s.arrive("a")
 	s.until(s.now + 1000)
 	// Output:
@@ -84,7 +84,7 @@
 // Nothing new goes to a node that drains.
 func Example_drain() {
 	s := begin("idempotent", nil)
-	s.b.Listed(false, []Node{{ID: 1, Ver: 1, Health: Draining}, {ID: 2, Ver: 1, Health: Gone},
+	s.b.NodesListed(false, []Node{{ID: 1, Ver: 1, Health: Draining}, {ID: 2, Ver: 1, Health: Gone},
 		{ID: 3, Ver: 1, Health: Draining}})
 	s.arrive("a")
 	s.arrive("b")
@@ -98,9 +98,9 @@
 	s := begin("idempotent", Settings{"rules.fall-multiple": 1.0})
 	s.serve(300, "w", well)
 	for _, age := range []float64{0, 6000} {
-		s.b.Listed(false, []Node{{ID: 5, Ver: 1, Size: 1, Started: s.now - age}})
+		s.b.NodesListed(false, []Node{{ID: 5, Ver: 1, Size: 1, Started: s.now - age}})
 		count := 0
-		s.serve(50, fmt.Sprint("x", age, "-"), func(node uint32) Ending {
+		s.serve(50, fmt.Sprint("x", age, "-"), func(node uint32) Outcome {
 			if node == 5 {
 				count++
 			}
@@ -117,7 +117,7 @@
 func Example_sickNode() {
 	s := begin("idempotent", nil)
 	count := 0
-	s.serve(200, "w", func(node uint32) Ending {
+	s.serve(200, "w", func(node uint32) Outcome {
 		if node == 2 {
 			count++
 			return Failed
@@ -167,7 +167,7 @@
 	count := [2]int{}
 	for i := range 60 {
 		inv := fmt.Sprint("x", i)
-		s.b.Arrived(inv, i%2, 0, "", 1000, 0, false, false)
+		s.b.InvocationArrived(inv, i%2, 0, "", 1000, 0, false, false)
 		count[i%2] += s.sent[inv]
 	}
 	fmt.Println("dispatched of 30 each:", count)
@@ -182,7 +182,7 @@
 		s.serve(300, "w", well)
 		s.trial(6000)
 		count := 0
-		s.serve(200, "x", func(node uint32) Ending {
+		s.serve(200, "x", func(node uint32) Outcome {
 			if node == 9 {
 				count++
 			}
@@ -202,10 +202,10 @@
 	op := Settings{"repeat": "idempotent", "slo-ms": 500.0}
 	s := begin("", Settings{"rollout.cap-scope": "each_class", "operations": []Settings{op, op}})
 	s.until(s.now + 5000)
-	s.b.Listed(true, []Node{{ID: 9, Ver: 2, Size: 1}})
-	s.b.Staged(2, 0, OnTrial, 0.1, 0, false)
+	s.b.NodesListed(true, []Node{{ID: 9, Ver: 2, Size: 1}})
+	s.b.StageUpdate(2, 0, OnTrial, 0.1, 0, false)
 	for i := range 4 {
-		s.b.Arrived(fmt.Sprint("a", i), i/3, 0, "", 1000, 0, false, false)
+		s.b.InvocationArrived(fmt.Sprint("a", i), i/3, 0, "", 1000, 0, false, false)
 	}
 	// Output:
 	// 105000  dispatch a0 to node 9
@@ -215,8 +215,8 @@
 // A marshal that has just started may have used its allowance up before: at first only the cap counts.
 func Example_restart() {
 	s := begin("idempotent", nil)
-	s.b.Listed(true, []Node{{ID: 9, Ver: 2, Size: 1}})
-	s.b.Staged(2, 0, OnTrial, 0.5, 0, false)
+	s.b.NodesListed(true, []Node{{ID: 9, Ver: 2, Size: 1}})
+	s.b.StageUpdate(2, 0, OnTrial, 0.5, 0, false)
 	s.arrive("a")
 	s.arrive("b")
 	s.arrive("c")
@@ -228,7 +228,7 @@
 func Example_unannounced() {
 	s := begin("idempotent", nil)
 	s.serve(300, "w", well)
-	s.b.Listed(true, []Node{{ID: 9, Ver: 2, Size: 1}})
+	s.b.NodesListed(true, []Node{{ID: 9, Ver: 2, Size: 1}})
 	s.mute = true
 	for i := range 40 {
 		s.arrive(fmt.Sprint("x", i))
@@ -236,7 +236,7 @@
 	}
 	fmt.Println("of 40, with only the unannounced build listed:", len(s.where)-300)
 	s.until(s.now + 1000)
-	s.b.Staged(2, 0, GoingBack, 0, 0, false)
+	s.b.StageUpdate(2, 0, RollingBack, 0, 0, false)
 	s.mute = false
 	s.arrive("y")
 	s.until(s.now + 1000)
@@ -248,16 +248,16 @@
 // A key that the new build has answered goes to no earlier one until the build goes back.
 func Example_forwardOnly() {
 	s := begin("idempotent", Settings{"rollout.forward-only": true})
-	s.b.Listed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Size: 1}})
-	s.b.Staged(2, 1, OnTrial, 1, 0, false)
+	s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Size: 1}})
+	s.b.StageUpdate(2, 1, OnTrial, 1, 0, false)
 	s.until(s.now + 5000)
-	s.b.Listed(false, []Node{{ID: 1, Ver: 1, Size: 1, Health: Draining}})
+	s.b.NodesListed(false, []Node{{ID: 1, Ver: 1, Size: 1, Health: Draining}})
 	s.arrive("k")
 	s.end("k", Succeeded)
-	s.b.Listed(false, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Health: Draining}})
-	s.b.Arrived("again", 0, 0, "kk", 1000, 0, false, false)
+	s.b.NodesListed(false, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Health: Draining}})
+	s.b.InvocationArrived("again", 0, 0, "kk", 1000, 0, false, false)
 	s.until(s.now + 100)
-	s.b.Staged(2, 1, GoingBack, 0, 0, false)
+	s.b.StageUpdate(2, 1, RollingBack, 0, 0, false)
 	s.until(s.now + 100)
 	// Output:
 	// 104000  vote on on build 2 at stage 1
@@ -269,15 +269,15 @@
 func Example_lateNews() {
 	s := begin("idempotent", Settings{"rollout.forward-only": true})
 	s.until(s.now + 5000)
-	s.b.Listed(true, []Node{{ID: 9, Ver: 3, Size: 1}})
-	s.b.Staged(2, 0, OnTrial, 0.1, 0, false)
+	s.b.NodesListed(true, []Node{{ID: 9, Ver: 3, Size: 1}})
+	s.b.StageUpdate(2, 0, OnTrial, 0.1, 0, false)
 	s.arrive("w")
 	s.end("w", Succeeded)
-	s.b.Staged(2, 0, Withdrawn, 0, 0, false)
-	s.b.Listed(true, []Node{{ID: 1, Ver: 1, Size: 1}})
-	s.b.Arrived("again", 0, 0, "kw", 1000, 0, false, false)
+	s.b.StageUpdate(2, 0, Withdrawn, 0, 0, false)
+	s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}})
+	s.b.InvocationArrived("again", 0, 0, "kw", 1000, 0, false, false)
 	s.until(s.now + 100)
-	s.b.Staged(3, 0, GoingBack, 0, 0, false)
+	s.b.StageUpdate(3, 0, RollingBack, 0, 0, false)
 	s.until(s.now + 60)
 	// Output:
 	// 105000  dispatch w to node 9
@@ -299,7 +299,7 @@
 	s := begin("idempotent", nil)
 	s.trial(6000)
 	s.until(s.now + 4600)
-	s.b.Staged(2, 0, OnTrial, 0.1, 4600, true)
+	s.b.StageUpdate(2, 0, OnTrial, 0.1, 4600, true)
 	s.until(s.now + 4500)
 	// Output:
 	// 104000  vote on on build 2 at stage 0
@@ -321,7 +321,7 @@
 			return map[string]float64{"service-ms": work(node), "rate": 10}
 		}
 		s.serve(300, "w", well)
-		s.b.Listed(false, []Node{{ID: 10, Ver: 2, Size: 1, Started: s.now - 9000}})
+		s.b.NodesListed(false, []Node{{ID: 10, Ver: 2, Size: 1, Started: s.now - 9000}})
 		s.trial(9000)
 		fmt.Printf("%.0f times the work\n", times)
 		s.serve(100, "x", well)
@@ -341,10 +341,10 @@
 		s.serve(300, "w", well)
 		s.trial(6000)
 		for i, mean := range []float64{50, 50 * times, 50 * times, 50 * times} {
-			s.b.Staged(2, 0, OnTrial, 0.1, float64(5000*i), true)
-			s.b.Tallied(1, 0, 100, 0, mean, 500)
-			s.b.Tallied(2, 0, 100, 0, mean, 500)
-			s.serve(40, fmt.Sprint("y", i, "-"), func(uint32) Ending {
+			s.b.StageUpdate(2, 0, OnTrial, 0.1, float64(5000*i), true)
+			s.b.BuildStats(1, 0, 100, 0, mean, 500)
+			s.b.BuildStats(2, 0, 100, 0, mean, 500)
+			s.serve(40, fmt.Sprint("y", i, "-"), func(uint32) Outcome {
 				s.until(s.now + 300*(times-1)*min(1, float64(i)))
 				return Succeeded
 			})
@@ -365,8 +365,8 @@
 		s := begin("idempotent", Settings{"marshals": 100.0})
 		s.serve(300, "w", well)
 		s.trial(6000)
-		s.b.Tallied(1, 0, 900, 9, 50, 500)
-		s.b.Tallied(2, 0, 100, failed, 50, 500)
+		s.b.BuildStats(1, 0, 900, 9, 50, 500)
+		s.b.BuildStats(2, 0, 100, failed, 50, 500)
 		s.serve(150, "x", failing(9))
 		fmt.Printf("%d of 100 counted as failed\n", failed)
 	}
@@ -382,8 +382,8 @@
 		s := begin("idempotent", Settings{"marshals": 100.0, "limits.may-tell": true})
 		s.serve(300, "w", well)
 		s.trial(6000)
-		s.b.Told(5, told)
-		s.b.Told(5, "2 80 x")
+		s.b.PeerMessage(5, told)
+		s.b.PeerMessage(5, "2 80 x")
 		s.serve(100, "x", failing(9))
 		fmt.Println(told)
 	}
@@ -399,10 +399,10 @@
 func Example_knownConnections() {
 	s := begin("idempotent", nil)
 	count := map[uint32]int{}
-	s.serve(100, "w", func(node uint32) Ending {
+	s.serve(100, "w", func(node uint32) Outcome {
 		count[node]++
 		if node > 2 {
-			return NoConnect
+			return ConnectFailed
 		}
 		return Succeeded
 	})
@@ -422,7 +422,7 @@
 			return 50
 		}
 		far := 0
-		s.serve(200, "w", func(node uint32) Ending { far += int(node) / 3; return Succeeded })
+		s.serve(200, "w", func(node uint32) Outcome { far += int(node) / 3; return Succeeded })
 		fmt.Printf("%.0f ms here: %d of 200 cross\n", took, far)
 	}
 	// Output:
@@ -436,7 +436,7 @@
 	s.serve(20, "w", well)
 	s.arrive("a")
 	s.now += 2000
-	s.b.Woke(wakeSilent)
+	s.b.TimerFired(wakeSilent)
 	s.end("a", TimedOut)
 	fmt.Println("failures known:", s.b.posterior(1)[1].bad)
 	// Output:
@@ -451,15 +451,15 @@
 	for i := range 100 {
 		s := begin("idempotent", Settings{"marshals": 100.0})
 		s.b = New(s, s.b.set, uint64(i))
-		s.b.Listed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}})
-		s.b.Staged(1, 0, Released, 1, 60000, false)
+		s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}})
+		s.b.StageUpdate(1, 0, Released, 1, 60000, false)
 		for k := range 8 { // one in 500 ms: a warm node does one a second for each marshal
 			s.mute = true
 			s.arrive(fmt.Sprint("w", k))
 			s.end(fmt.Sprint("w", k), Succeeded)
 			s.until(s.now + 500)
 		}
-		s.b.Listed(true, []Node{{ID: 5, Ver: 1, Size: 1, Started: s.now}})
+		s.b.NodesListed(true, []Node{{ID: 5, Ver: 1, Size: 1, Started: s.now}})
 		s.arrive("x")
 		sent += s.sent["x"]
 	}
@@ -472,7 +472,7 @@
 func Example_oneSickTrialNode() {
 	s := begin("idempotent", Settings{"rollout.allowance": 40.0})
 	s.serve(300, "w", well)
-	s.b.Listed(false, []Node{{ID: 10, Ver: 2, Size: 1}})
+	s.b.NodesListed(false, []Node{{ID: 10, Ver: 2, Size: 1}})
 	s.trial(6000)
 	s.serve(250, "x", failing(10))
 	// Output:
@@ -483,14 +483,14 @@
 func Example_errorsUnderLoad() {
 	s := begin("side-effecting", Settings{"rollout.allowance": 40.0})
 	i := 0
-	s.serve(900, "w", func(uint32) Ending { i++; return []Ending{Succeeded, TimedOut}[i%10/9] })
+	s.serve(900, "w", func(uint32) Outcome { i++; return []Outcome{Succeeded, TimedOut}[i%10/9] })
 	s.trial(6000)
-	s.serve(400, "x", func(node uint32) Ending {
+	s.serve(400, "x", func(node uint32) Outcome {
 		i++
 		if node == 9 && i%7 == 0 {
 			return Failed
 		}
-		return []Ending{Succeeded, TimedOut}[i%10/9]
+		return []Outcome{Succeeded, TimedOut}[i%10/9]
 	})
 	// Output:
 	// 122000  vote back on build 2 at stage 0
@@ -500,11 +500,11 @@
 func Example_shareFollowsList() {
 	s := begin("idempotent", Settings{"rollout.stage-share": []float64{0.8, 1}, "rollout.allowance": 500.0})
 	s.serve(300, "w", well)
-	s.b.Listed(false, []Node{{ID: 9, Ver: 2, Size: 1}})
-	s.b.Staged(2, 0, OnTrial, 1, 0, false)
+	s.b.NodesListed(false, []Node{{ID: 9, Ver: 2, Size: 1}})
+	s.b.StageUpdate(2, 0, OnTrial, 1, 0, false)
 	s.until(s.now + 3000)
 	count := 0
-	s.serve(200, "x", func(node uint32) Ending {
+	s.serve(200, "x", func(node uint32) Outcome {
 		if node == 9 {
 			count++
 		}
@@ -520,8 +520,8 @@
 func Example_busyTrialNode() {
 	s := begin("idempotent", Settings{"rollout.allowance": 500.0, "rollout.stage-share": []float64{0.2, 1}})
 	s.serve(300, "w", well)
-	s.b.Listed(false, []Node{{ID: 9, Ver: 2, Size: 1}})
-	s.b.Staged(2, 0, OnTrial, 1, 0, false)
+	s.b.NodesListed(false, []Node{{ID: 9, Ver: 2, Size: 1}})
+	s.b.StageUpdate(2, 0, OnTrial, 1, 0, false)
 	s.until(s.now + 3000)
 	for i := range 6 {
 		s.arrive(fmt.Sprint("x", i))
@@ -537,7 +537,7 @@
 
 // A failed vote is tried again later, never at once; one that timed out may count and stands for a while.
 func Example_voteNotAnswered() {
-	for _, how := range []Ending{Failed, TimedOut} {
+	for _, how := range []Outcome{Failed, TimedOut} {
 		s := begin("idempotent", nil)
 		s.trial(6000)
 		s.until(s.now + 4600)
@@ -558,7 +558,7 @@
 	s.trial(6000)
 	s.until(s.now + 5000)
 	n := 0
-	s.serve(200, "x", func(node uint32) Ending {
+	s.serve(200, "x", func(node uint32) Outcome {
 		if node != 9 {
 			return Succeeded
 		}
@@ -575,8 +575,8 @@
 // The list is watched where it has to be asked for, and asked for again when that fails.
 func Example_watch() {
 	s := begin("idempotent", Settings{"discovery": "subscribe"})
-	s.b.ListFailed()
-	s.b.ListFailed()
+	s.b.NodeListFailed()
+	s.b.NodeListFailed()
 	s.until(s.now + 4000)
 	// Output:
 	// 100000  watch the list
@@ -588,13 +588,13 @@
 	for _, everywhere := range []bool{true, false} {
 		s := begin("idempotent", nil)
 		s.serve(300, "w", well)
-		s.b.Listed(true, []Node{{ID: 9, Ver: 2, Size: 1}, {ID: 10, Ver: 2, Size: 1}})
-		s.b.Staged(2, 1, Released, 1, 0, false)
+		s.b.NodesListed(true, []Node{{ID: 9, Ver: 2, Size: 1}, {ID: 10, Ver: 2, Size: 1}})
+		s.b.StageUpdate(2, 1, Released, 1, 0, false)
 		i := 0
 		for n := range 300 {
-			s.serve(1, fmt.Sprint("x", n, "-"), func(uint32) Ending {
+			s.serve(1, fmt.Sprint("x", n, "-"), func(uint32) Outcome {
 				i++
-				return []Ending{Succeeded, Failed}[map[bool]int{true: n % 3 / 2, false: i % 3 / 2}[everywhere]]
+				return []Outcome{Succeeded, Failed}[map[bool]int{true: n % 3 / 2, false: i % 3 / 2}[everywhere]]
 			})
 		}
 		fmt.Println("at every node:", everywhere)
@@ -662,12 +662,12 @@
 func Example_givenUpIsNoPace() {
 	s := begin("idempotent", nil)
 	s.queue("w", 10000, 20, 20)
-	for _, how := range []Ending{Succeeded, TimedOut} {
+	for _, how := range []Outcome{Succeeded, TimedOut} {
 		s.mute = true
 		for i := range 100 {
 			inv := fmt.Sprint(how, "-", i)
 			if s.arrive(inv); s.sent[inv] > 0 {
-				s.b.Ended(inv, 0, s.where[inv], how, 900, true, nil)
+				s.b.DispatchEnded(inv, 0, s.where[inv], how, 900, true, nil)
 			}
 			s.until(s.now + 10)
 		}
@@ -685,14 +685,14 @@
 func Example_lostNodesLeft() {
 	s := begin("idempotent", nil)
 	s.serve(200, "w", well)
-	s.b.Listed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Size: 1}, {ID: 10, Ver: 2, Size: 1}})
-	s.b.Staged(2, 1, OnTrial, 1, 0, false)
+	s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Size: 1}, {ID: 10, Ver: 2, Size: 1}})
+	s.b.StageUpdate(2, 1, OnTrial, 1, 0, false)
 	lost, served := 0, 0
 	for i := range 300 {
-		s.serve(1, fmt.Sprint("x", i, "-"), func(node uint32) Ending {
+		s.serve(1, fmt.Sprint("x", i, "-"), func(node uint32) Outcome {
 			if node < 9 {
 				lost++
-				return NoConnect
+				return ConnectFailed
 			}
 			served++
 			return Succeeded
@@ -708,8 +708,8 @@
 func Example_idleTrialNode() {
 	s := begin("idempotent", Settings{"rollout.most-shares": []float64{1}})
 	s.serve(200, "w", well)
-	s.b.Listed(false, []Node{{ID: 9, Ver: 2, Size: 1}})
-	s.b.Staged(2, 0, OnTrial, 0.1, 0, false)
+	s.b.NodesListed(false, []Node{{ID: 9, Ver: 2, Size: 1}})
+	s.b.StageUpdate(2, 0, OnTrial, 0.1, 0, false)
 	s.mute = true
 	for i := range 30 {
 		s.arrive(fmt.Sprint("x", i))
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -31,18 +31,18 @@
 func (s *stand) Throttle(inv string, comeBack float64) { s.say("throttle %s", inv) }
 func (s *stand) Terminate(inv string)                  { s.say("terminate %s", inv) }
 func (s *stand) Probe(node uint32)                     { s.say("probe node %d", node) }
-func (s *stand) Fetch()                                { s.say("fetch the list") }
-func (s *stand) Watch(on bool)                         { s.say("watch the list") }
-func (s *stand) Tell(peer int, text string)            { s.say("tell %d %q", peer, text) }
+func (s *stand) FetchNodes()                           { s.say("fetch the list") }
+func (s *stand) WatchNodes(on bool)                    { s.say("watch the list") }
+func (s *stand) SendToPeer(peer int, text string)      { s.say("tell %d %q", peer, text) }
 func (s *stand) Log(text string)                       {}
 func (s *stand) Vote(ver, stage int, verdict Verdict) {
 	defer func(mute bool) { s.mute = mute }(s.mute)
 	s.mute = false // votes are always told
 	s.say("vote %s on build %d at stage %d", [...]string{"none", "on", "hold", "back"}[verdict], ver, stage)
 }
-func (s *stand) Wake(after float64, handle int64) {
+func (s *stand) SetTimer(after float64, handle int64) {
 	s.due = append(s.due, s.now+after)
-	s.acts = append(s.acts, func() { s.b.Woke(handle) })
+	s.acts = append(s.acts, func() { s.b.TimerFired(handle) })
 }
 
 // until lets time pass and timers fall due.
@@ -82,23 +82,23 @@
 		took:  func(uint32) float64 { return 50 },
 		tells: func(uint32) map[string]float64 { return nil }}
 	s.b = New(s, set, 7)
-	s.b.Listed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1},
+	s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1},
 		{ID: 3, Ver: 1, Size: 1, Zone: 1}, {ID: 4, Ver: 1, Size: 1, Zone: 1}})
-	s.b.Staged(1, 0, Released, 1, 60000, false)
+	s.b.StageUpdate(1, 0, Released, 1, 60000, false)
 	return s
 }
 
 // arrive brings an invocation with the client's patience of a second.
-func (s *stand) arrive(inv string) { s.b.Arrived(inv, 0, 0, "k"+inv, 1000, 0, false, false) }
+func (s *stand) arrive(inv string) { s.b.InvocationArrived(inv, 0, 0, "k"+inv, 1000, 0, false, false) }
 
 // end ends an invocation's last dispatch.
-func (s *stand) end(inv string, how Ending) {
+func (s *stand) end(inv string, how Outcome) {
 	no, node := s.sent[inv]-1, s.where[inv]
-	s.b.Ended(inv, no, node, how, s.took(node), how == Succeeded, s.tells(node))
+	s.b.DispatchEnded(inv, no, node, how, s.took(node), how == Succeeded, s.tells(node))
 }
 
 // serve sends n invocations through, 20 ms apart, and prints none of it but votes.
-func (s *stand) serve(n int, name string, end func(node uint32) Ending) {
+func (s *stand) serve(n int, name string, end func(node uint32) Outcome) {
 	for i := range n {
 		inv := fmt.Sprint(name, i)
 		s.mute = true
--- a/balance/host.go
+++ b/balance/host.go
@@ -9,33 +9,33 @@
 	Throttle(inv string, comeBack float64)               // final answer: not done, trying again is harmless
 	Terminate(inv string)                                // final answer: failed, no promise about effects
 	Probe(node uint32)                                   // answered by Probed
-	Fetch()                                              // ask for the whole list once
-	Watch(on bool)                                       // ask for changes of the list from now on
+	FetchNodes()                                         // ask for the whole list once
+	WatchNodes(on bool)                                  // ask for changes of the list from now on
 	Vote(ver, stage int, verdict Verdict)                // answered by Staged
-	Wake(after float64, handle int64)                    // answered by Woke
-	Tell(peer int, text string)                          // a message to one marshal, or to all with Everyone
+	SetTimer(after float64, handle int64)                // answered by Woke
+	SendToPeer(peer int, text string)                    // a message to one marshal, or to all with Everyone
 	Log(text string)                                     // a line for people
 }
 
 // Module is what can happen to an instance: a Balancer's methods.
 type Module interface {
-	Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool)
-	Ended(id string, no int, node uint32, how Ending, took float64, done bool, report map[string]float64)
-	Began(id string, no int, node uint32, took float64)
-	Lapsed(id string)
-	Listed(whole bool, list []Node)
-	ListFailed()
-	Staged(ver, stage int, phase Phase, cap, age float64, reply bool)
-	VoteFailed(how Ending)
-	Tallied(ver, op, samples, errors int, mean, age float64)
-	Flagged(node uint32, op int, age float64)
-	Probed(node uint32, how Ending, took float64, report map[string]float64)
-	Told(from int, text string)
-	Woke(handle int64)
+	InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool)
+	DispatchEnded(id string, no int, node uint32, how Outcome, took float64, done bool, report map[string]float64)
+	ResponseStarted(id string, no int, node uint32, took float64)
+	ClientTimedOut(id string)
+	NodesListed(whole bool, list []Node)
+	NodeListFailed()
+	StageUpdate(ver, stage int, phase Phase, cap, age float64, reply bool)
+	VoteFailed(how Outcome)
+	BuildStats(ver, op, samples, errors int, mean, age float64)
+	WrongAnswer(node uint32, op int, age float64)
+	ProbeEnded(node uint32, how Outcome, took float64, report map[string]float64)
+	PeerMessage(from int, text string)
+	TimerFired(handle int64)
 }
 
-// Everyone as the peer of Tell names all other marshals.
-const Everyone = -1
+// AllPeers as the peer of Tell names all other marshals.
+const AllPeers = -1
 
 // Settings are names and values: float64, bool, string, []float64, []string or, for lists of
 // things with names of their own, []Settings. docs/settings.md lists them.
@@ -63,17 +63,17 @@
 	Gone
 )
 
-// Ending is how a dispatch, a probe or a vote ended.
-type Ending int
+// Outcome is how a dispatch, a probe or a vote ended.
+type Outcome int
 
 // The endings; docs/settings.md tells what each one proves.
 const (
-	Succeeded Ending = iota
+	Succeeded Outcome = iota
 	Failed
-	Full
+	Rejected
 	TimedOut
-	NoConnect
-	Reset
+	ConnectFailed
+	ConnectionReset
 	Canceled
 	Ignored
 )
@@ -84,7 +84,7 @@
 // The phases of a build.
 const (
 	OnTrial Phase = iota
-	GoingBack
+	RollingBack
 	Released
 	Withdrawn
 )
@@ -95,7 +95,7 @@
 // The verdicts of a vote.
 const (
 	NoVote Verdict = iota
-	On
+	Advance
 	Hold
-	Back
+	RollBack
 )
--- a/balance/index_test.go
+++ b/balance/index_test.go
@@ -66,14 +66,14 @@
 			return nodes
 		}
 		first := list()
-		each(func(h *twin) { h.b.Listed(true, first) })
+		each(func(h *twin) { h.b.NodesListed(true, first) })
 		next := 0
 		t.Repeat(map[string]func(*rapid.T){
 			"arrive": func(t *rapid.T) {
 				op, key := rapid.IntRange(0, 1).Draw(t, "op"), rapid.SampledFrom([]string{"", "a", "b"}).Draw(t, "key")
 				for range rapid.SampledFrom([]int{1, 1, 4, 25}).Draw(t, "many") {
 					next++
-					each(func(h *twin) { h.b.Arrived(fmt.Sprint(next), op, 0, key, 400, 0, false, false) })
+					each(func(h *twin) { h.b.InvocationArrived(fmt.Sprint(next), op, 0, key, 400, 0, false, false) })
 				}
 			},
 			"end": func(t *rapid.T) {
@@ -81,11 +81,11 @@
 					return
 				}
 				i := rapid.IntRange(0, len(both[0].out)-1).Draw(t, "which")
-				how := rapid.SampledFrom([]Ending{Succeeded, Succeeded, Succeeded, Failed, Full, TimedOut, NoConnect, Reset}).Draw(t, "how")
+				how := rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, ConnectFailed, ConnectionReset}).Draw(t, "how")
 				each(func(h *twin) {
 					id := h.out[i]
 					h.out = slices.Delete(h.out, i, i+1)
-					h.b.Ended(id, len(h.b.invs[id].sent)-1, 0, how, 20, how == Succeeded, nil)
+					h.b.DispatchEnded(id, len(h.b.invs[id].sent)-1, 0, how, 20, how == Succeeded, nil)
 				})
 			},
 			"pass": func(t *rapid.T) {
@@ -94,11 +94,11 @@
 			},
 			"list": func(t *rapid.T) {
 				nodes := list()
-				each(func(h *twin) { h.b.Listed(true, nodes) })
+				each(func(h *twin) { h.b.NodesListed(true, nodes) })
 			},
 			"stage": func(t *rapid.T) {
-				ver, phase := rapid.IntRange(1, 3).Draw(t, "ver"), rapid.SampledFrom([]Phase{OnTrial, Released, GoingBack}).Draw(t, "phase")
-				each(func(h *twin) { h.b.Staged(ver, 1, phase, 0.5, 0, false) })
+				ver, phase := rapid.IntRange(1, 3).Draw(t, "ver"), rapid.SampledFrom([]Phase{OnTrial, Released, RollingBack}).Draw(t, "phase")
+				each(func(h *twin) { h.b.StageUpdate(ver, 1, phase, 0.5, 0, false) })
 			},
 		})
 	})
--- a/balance/shared.go
+++ b/balance/shared.go
@@ -21,8 +21,8 @@
 	until float64
 }
 
-// Leased says what the instance may expose by a lease; the one before it is over.
-func (b *Balancer) Leased(ver, op, left int, until float64) {
+// SetLease says what the instance may expose by a lease; the one before it is over.
+func (b *Balancer) SetLease(ver, op, left int, until float64) {
 	if left > 0 {
 		b.leases[exposure{ver, op}] = lease{left, until}
 	} else {
@@ -40,11 +40,11 @@
 	}
 }
 
-// Chair says whether this instance votes for its marshal; until told it does.
-func (b *Balancer) Chair(votes bool) { b.mute = !votes }
+// SetCoordinator says whether this instance votes for its marshal; until told it does.
+func (b *Balancer) SetCoordinator(votes bool) { b.mute = !votes }
 
-// Elsewhere brings how a dispatch ended that another instance of this marshal made: evidence as its own are.
-func (b *Balancer) Elsewhere(id uint32, ver, op int, how Ending, took float64, short bool, report map[string]float64) {
+// SiblingDispatchEnded brings how a dispatch ended that another instance of this marshal made: evidence as its own are.
+func (b *Balancer) SiblingDispatchEnded(id uint32, ver, op int, how Outcome, took float64, short bool, report map[string]float64) {
 	n, now := b.nodes[id], b.h.Now()
 	if n == nil || n.Ver != ver || op >= len(b.ops) {
 		return
@@ -52,7 +52,7 @@
 	if b.crowd() || !b.young(n, now-reportLag) {
 		n.reported(report, b.cold(n, now-reportLag))
 	}
-	if ver == b.ver && how != Full && how != NoConnect {
+	if ver == b.ver && how != Rejected && how != ConnectFailed {
 		b.metAt = min(b.metAt, now)
 	}
 	b.other.inv = invocation{op: op, sent: b.other.inv.sent[:0]}
--- a/balance/shared_test.go
+++ b/balance/shared_test.go
@@ -34,14 +34,14 @@
 	c := &calm{now: 1e6}
 	c.b = New(c, Settings{"instance": 1.0, "instances": 2.0, "limits.most-tries": 2.0, "rollout.counted-over-ms": 4000.0,
 		"rollout.cap-scope": "all", "discovery": "automatic", "operations": []Settings{{"repeat": "idempotent", "slo-ms": 500.0}}}, 7)
-	c.b.Listed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}, {ID: 3, Ver: 2, Size: 1}})
-	c.b.Staged(2, 0, OnTrial, 0.5, 0, false)
+	c.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}, {ID: 3, Ver: 2, Size: 1}})
+	c.b.StageUpdate(2, 0, OnTrial, 0.5, 0, false)
 	for range 20 {
 		c.pass(50)
 	}
 	for range 8 {
-		c.b.Elsewhere(1, 1, 0, Failed, 5, false, nil)
-		c.b.Elsewhere(2, 1, 0, Succeeded, 5, false, nil)
+		c.b.SiblingDispatchEnded(1, 1, 0, Failed, 5, false, nil)
+		c.b.SiblingDispatchEnded(2, 1, 0, Succeeded, 5, false, nil)
 	}
 	to := map[uint32]int{}
 	for i := range 40 {
@@ -49,7 +49,7 @@
 		to[c.node]++
 	}
 	fmt.Println("without a lease:", to)
-	c.b.Leased(2, -1, 2, c.now+100)
+	c.b.SetLease(2, -1, 2, c.now+100)
 	c.b.share, to = 1, map[uint32]int{}
 	for i := range 5 {
 		c.invoke(fmt.Sprint(i), "")
--- a/balance/state.go
+++ b/balance/state.go
@@ -185,7 +185,7 @@
 }
 
 // outcome counts a success with its latency, if that is to count, or a failure.
-func (p *posterior) outcome(how Ending, took float64, timed bool) {
+func (p *posterior) outcome(how Outcome, took float64, timed bool) {
 	switch how {
 	case Succeeded:
 		p.good++
@@ -224,17 +224,17 @@
 }
 
 // Listed brings the list of nodes, or what has changed of it.
-func (b *Balancer) Listed(whole bool, list []Node) { b.merge(whole, list, b.h.Now()) }
+func (b *Balancer) NodesListed(whole bool, list []Node) { b.merge(whole, list, b.h.Now()) }
 
-// Began says that a streamed answer has started; the dispatch is the client's from here on.
-func (b *Balancer) Began(id string, no int, _ uint32, took float64) {
+// ResponseStarted says that a streamed answer has started; the dispatch is the client's from here on.
+func (b *Balancer) ResponseStarted(id string, no int, _ uint32, took float64) {
 	if inv := b.invs[id]; inv != nil && no < len(inv.sent) {
 		inv.sent[no].left = true // never to be cancelled
 	}
 }
 
-// Tallied brings what the platform counted of all marshals' dispatches, a build and operation at a time.
-func (b *Balancer) Tallied(ver, op, samples, errors int, mean, age float64) {
+// BuildStats brings what the platform counted of all marshals' dispatches, a build and operation at a time.
+func (b *Balancer) BuildStats(ver, op, samples, errors int, mean, age float64) {
 	if op < len(b.ops) {
 		if ver == b.ver && samples > 0 { // its first answers, whoever got them
 			b.metAt = min(b.metAt, b.h.Now()-age-b.set.num("rollout.metrics-period-ms", 0))
@@ -243,16 +243,16 @@
 	}
 }
 
-// Told brings a peer's counts.
-func (b *Balancer) Told(from int, text string) {
+// PeerMessage brings a peer's counts.
+func (b *Balancer) PeerMessage(from int, text string) {
 	if p, ok := parseCounts(text, len(b.ops)); ok {
 		b.peers[from] = p
 	}
 }
 
-// Probed and Flagged bring what no decision has been shown to gain from yet: docs/design.md.
-func (b *Balancer) Probed(id uint32, how Ending, took float64, report map[string]float64) {}
-func (b *Balancer) Flagged(id uint32, op int, age float64)                                {}
+// ProbeEnded and Flagged bring what no decision has been shown to gain from yet: docs/design.md.
+func (b *Balancer) ProbeEnded(id uint32, how Outcome, took float64, report map[string]float64) {}
+func (b *Balancer) WrongAnswer(id uint32, op int, age float64)                                 {}
 
 func newBalancer(h Host, settings Settings, seed uint64) *Balancer {
 	b := &Balancer{h: h, set: settings, rnd: rand.New(pcg.New(seed)), begun: h.Now()}
@@ -336,9 +336,9 @@
 }
 
 // closed records how it ended.
-func (b *Balancer) closed(inv *invocation, no int, how Ending, now float64) *dispatch {
+func (b *Balancer) closed(inv *invocation, no int, how Outcome, now float64) *dispatch {
 	d := &inv.sent[no]
-	d.open, d.erred, d.ran = false, how == Failed, how != Full && how != NoConnect && how != Ignored
+	d.open, d.erred, d.ran = false, how == Failed, how != Rejected && how != ConnectFailed && how != Ignored
 	n := d.to
 	n.inflight--
 	if n.class != nil {
@@ -462,8 +462,8 @@
 	return -1
 }
 
-// Lapsed says that the client of an invocation is gone.
-func (b *Balancer) Lapsed(id string) {
+// ClientTimedOut says that the client of an invocation is gone.
+func (b *Balancer) ClientTimedOut(id string) {
 	if inv := b.invs[id]; inv != nil && !inv.finished {
 		b.missed(true, true)
 		b.finish(inv)
--- a/divide/example_test.go
+++ b/divide/example_test.go
@@ -60,7 +60,7 @@
 	a, _ := grown(4, 0, 0.5, 100)
 	l := a.Draw(0, a.Join(0), all)
 	fmt.Println(l.N, "void:", a.Void(l))
-	a.Staged(2, balance.GoingBack, 0)
+	a.Staged(2, balance.RollingBack, 0)
 	fmt.Println("void:", a.Void(l), "new:", a.Draw(1, a.Join(1), all).N, "counted:", a.Look().Scopes[0].Exposed)
 	// Output:
 	// 6 void: false
--- a/divide/model_test.go
+++ b/divide/model_test.go
@@ -144,7 +144,7 @@
 		can("tick", func(c *model) { c.now, c.ticks = c.now+tickMs, c.ticks+1 })
 	}
 	if m.caps == 0 && !m.begun {
-		can("the cap falls", func(c *model) { c.caps++; c.a.Staged(2, balance.GoingBack, 0) })
+		can("the cap falls", func(c *model) { c.caps++; c.a.Staged(2, balance.RollingBack, 0) })
 		can("the cap rises", func(c *model) { c.caps++; c.a.Staged(2, balance.OnTrial, 1) })
 	}
 	for i := range instances {
--- a/divide/part.go
+++ b/divide/part.go
@@ -16,16 +16,16 @@
 type Module interface {
 	balance.Module
 	OnTrial(ver int) bool
-	Leased(ver, op, left int, until float64)
-	Chair(votes bool)
-	Elsewhere(node uint32, ver, op int, how balance.Ending, took float64, short bool, report map[string]float64)
+	SetLease(ver, op, left int, until float64)
+	SetCoordinator(votes bool)
+	SiblingDispatchEnded(node uint32, ver, op int, how balance.Outcome, took float64, short bool, report map[string]float64)
 }
 
 // Outcome is one dispatch's, as the other instances are told of it.
 type Outcome struct {
 	Node    uint32
 	Ver, Op int
-	How     balance.Ending
+	How     balance.Outcome
 	Took    float64
 	Short   bool // its time limit was under the SLO time
 	Report  map[string]float64
@@ -97,12 +97,12 @@
 func (p *Part) Before(m Module) *Part {
 	p.Module = m
 	p.beat()
-	p.Host.Wake(tick, wakeTick)
+	p.Host.SetTimer(tick, wakeTick)
 	return p
 }
 
-// Arrived counts an invocation as taken and sees to it that the module has a lease on what it may want to expose.
-func (p *Part) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+// InvocationArrived counts an invocation as taken and sees to it that the module has a lease on what it may want to expose.
+func (p *Part) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	if !slices.ContainsFunc(p.took, func(n int) bool { return n > 0 }) {
 		p.since = p.Host.Now()
 	}
@@ -114,7 +114,7 @@
 	*inv = invocation{op: op}
 	p.invs[id] = inv
 	p.ready(op)
-	p.Module.Arrived(id, op, tenant, key, budget, cost, retry, write)
+	p.Module.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
 // ready draws on the account for what the module has no lease on.
@@ -142,14 +142,14 @@
 		if !l.open {
 			l.ask = now + askAgain
 		}
-		p.Module.Leased(s.Ver, s.Op, l.N, l.Until)
+		p.Module.SetLease(s.Ver, s.Op, l.N, l.Until)
 	}
 }
 
 func (p *Part) settle(s Scope, l *lease) {
 	p.account.Settle(p.instance, p.life, s, l.spent)
 	l.open = false
-	p.Module.Leased(s.Ver, s.Op, 0, 0)
+	p.Module.SetLease(s.Ver, s.Op, 0, 0)
 }
 
 // tell brings what was taken to the account.
@@ -183,8 +183,8 @@
 	p.Host.Dispatch(id, node, within)
 }
 
-// Ended keeps an outcome for the others. A repeat may want a lease.
-func (p *Part) Ended(id string, no int, node uint32, how balance.Ending, took float64, done bool,
+// DispatchEnded keeps an outcome for the others. A repeat may want a lease.
+func (p *Part) DispatchEnded(id string, no int, node uint32, how balance.Outcome, took float64, done bool,
 	report map[string]float64) {
 	inv := p.invs[id]
 	if inv != nil {
@@ -197,7 +197,7 @@
 			p.ready(inv.op)
 		}
 	}
-	p.Module.Ended(id, no, node, how, took, done, report)
+	p.Module.DispatchEnded(id, no, node, how, took, done, report)
 	p.forget(id)
 	if len(p.seen) >= batch {
 		p.share()
@@ -218,9 +218,9 @@
 	}
 }
 
-// Lapsed and the two after it end an invocation that nothing of is out.
-func (p *Part) Lapsed(id string) {
-	p.Module.Lapsed(id)
+// ClientTimedOut and the two after it end an invocation that nothing of is out.
+func (p *Part) ClientTimedOut(id string) {
+	p.Module.ClientTimedOut(id)
 	p.over(id)
 }
 
@@ -251,12 +251,12 @@
 // Heard brings what another instance has seen.
 func (p *Part) Heard(outcomes []Outcome) {
 	for _, o := range outcomes {
-		p.Module.Elsewhere(o.Node, o.Ver, o.Op, o.How, o.Took, o.Short, o.Report)
+		p.Module.SiblingDispatchEnded(o.Node, o.Ver, o.Op, o.How, o.Took, o.Short, o.Report)
 	}
 }
 
-// Listed and Staged keep which builds are on trial.
-func (p *Part) Listed(whole bool, list []balance.Node) {
+// NodesListed and StageUpdate keep which builds are on trial.
+func (p *Part) NodesListed(whole bool, list []balance.Node) {
 	if whole {
 		clear(p.nodes)
 	}
@@ -265,12 +265,12 @@
 			delete(p.nodes, n.ID)
 		}
 	}
-	p.Module.Listed(whole, list)
+	p.Module.NodesListed(whole, list)
 	p.sort()
 }
 
-func (p *Part) Staged(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
-	p.Module.Staged(ver, stage, phase, cap, age, reply)
+func (p *Part) StageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+	p.Module.StageUpdate(ver, stage, phase, cap, age, reply)
 	p.sort()
 }
 
@@ -285,16 +285,16 @@
 	slices.Sort(p.trials)
 }
 
-// Woke beats, tells and draws for what is held.
-func (p *Part) Woke(handle int64) {
+// TimerFired beats, tells and draws for what is held.
+func (p *Part) TimerFired(handle int64) {
 	if handle != wakeTick {
 		for op := range p.took {
 			p.ready(op)
 		}
-		p.Module.Woke(handle)
+		p.Module.TimerFired(handle)
 		return
 	}
-	p.Host.Wake(tick, wakeTick)
+	p.Host.SetTimer(tick, wakeTick)
 	p.beat()
 	p.tell()
 	p.share()
@@ -311,7 +311,7 @@
 func (p *Part) beat() {
 	if chairs := p.account.Beat(p.instance); chairs != p.chairs {
 		p.chairs = chairs
-		p.Module.Chair(chairs)
+		p.Module.SetCoordinator(chairs)
 	}
 }
 
@@ -324,16 +324,16 @@
 	p.Module.VoteFailed(balance.Ignored)
 }
 
-// Tell passes on what the chair tells the other marshals: each instance has counted the same.
-func (p *Part) Tell(peer int, text string) {
+// SendToPeer passes on what the chair tells the other marshals: each instance has counted the same.
+func (p *Part) SendToPeer(peer int, text string) {
 	if p.chairs {
-		p.Host.Tell(peer, text)
+		p.Host.SendToPeer(peer, text)
 	}
 }
 
-// Watch passes on one instance's wish for all.
-func (p *Part) Watch(on bool) {
+// WatchNodes passes on one instance's wish for all.
+func (p *Part) WatchNodes(on bool) {
 	if p.account.Watch(on) {
-		p.Host.Watch(on)
+		p.Host.WatchNodes(on)
 	}
 }
--- a/internal/back/back.go
+++ b/internal/back/back.go
@@ -336,22 +336,22 @@
 // Ending is what a fate proves; the table is in docs/protocol.md. Only proof counts as never having run: no
 // connection, no byte written (or, where nodes begin only what they have whole, not all), or the node's own word. All else
 // may have run.
-func (f Fate) Ending() balance.Ending {
+func (f Fate) Ending() balance.Outcome {
 	switch {
 	case f.Status != 0 && f.Err == nil && f.Away && (f.Status == 429 || f.Status == 503 || f.Status == 504):
-		return balance.Full
+		return balance.Rejected
 	case f.Status != 0 && f.Err == nil && (f.Status == 200 || f.Status < 500 && !f.Strict):
 		return balance.Succeeded
 	case f.Status != 0 && f.Err == nil:
 		return balance.Failed
 	case f.Part && !f.Canceled && !f.Expired:
-		return balance.NoConnect
+		return balance.ConnectFailed
 	case f.Part:
 		return balance.Ignored
 	case f.Wrote == 0 && (f.Canceled || f.Expired && f.Dialed):
 		return balance.Ignored
 	case f.Wrote == 0:
-		return balance.NoConnect
+		return balance.ConnectFailed
 	case f.Canceled:
 		return balance.Canceled
 	case f.Expired || Timeout(f.Err):
@@ -360,7 +360,7 @@
 		errors.Is(f.Err, h1.ErrVersion):
 		return balance.Failed // it spoke, but not HTTP
 	default:
-		return balance.Reset
+		return balance.ConnectionReset
 	}
 }
 
@@ -396,7 +396,7 @@
 }
 
 // Probe asks a node over its own connection whether it answers, and how loaded it is.
-func (p *Pool) Probe(ctx context.Context, address, path string) (balance.Ending, map[string]float64) {
+func (p *Pool) Probe(ctx context.Context, address, path string) (balance.Outcome, map[string]float64) {
 	f := Fate{Strict: p.Strict}
 	c, err := p.Get(ctx, address, true)
 	if err != nil {
--- a/internal/back/back_test.go
+++ b/internal/back/back_test.go
@@ -28,20 +28,20 @@
 	for _, c := range []struct {
 		what string
 		fate Fate
-		want balance.Ending
+		want balance.Outcome
 		ran  bool
 	}{
-		{"refused", Fate{Err: syscall.ECONNREFUSED}, balance.NoConnect, false},
-		{"not open in time", Fate{Err: deadline, Expired: true}, balance.NoConnect, false},
+		{"refused", Fate{Err: syscall.ECONNREFUSED}, balance.ConnectFailed, false},
+		{"not open in time", Fate{Err: deadline, Expired: true}, balance.ConnectFailed, false},
 		{"cancelled while it opened", Fate{Err: context.Canceled, Canceled: true}, balance.Ignored, false},
 		{"time over before a byte", Fate{Dialed: true, Err: deadline, Expired: true}, balance.Ignored, false},
-		{"no byte taken", Fate{Dialed: true, Err: syscall.EPIPE}, balance.NoConnect, false},
-		{"one byte taken", Fate{Dialed: true, Wrote: 1, Err: syscall.EPIPE}, balance.Reset, true},
-		{"part taken", Fate{Dialed: true, Wrote: 1, Part: true, Err: syscall.EPIPE}, balance.NoConnect, false},
+		{"no byte taken", Fate{Dialed: true, Err: syscall.EPIPE}, balance.ConnectFailed, false},
+		{"one byte taken", Fate{Dialed: true, Wrote: 1, Err: syscall.EPIPE}, balance.ConnectionReset, true},
+		{"part taken", Fate{Dialed: true, Wrote: 1, Part: true, Err: syscall.EPIPE}, balance.ConnectFailed, false},
 		{"time over with part taken", Fate{Dialed: true, Wrote: 1, Part: true, Err: deadline, Expired: true}, balance.Ignored, false},
 		{"cancelled with part taken", Fate{Dialed: true, Wrote: 1, Part: true, Err: deadline, Canceled: true}, balance.Ignored, false},
-		{"closed without an answer", Fate{Dialed: true, Wrote: 9, Err: io.EOF}, balance.Reset, true},
-		{"reset", Fate{Dialed: true, Wrote: 9, Err: syscall.ECONNRESET}, balance.Reset, true},
+		{"closed without an answer", Fate{Dialed: true, Wrote: 9, Err: io.EOF}, balance.ConnectionReset, true},
+		{"reset", Fate{Dialed: true, Wrote: 9, Err: syscall.ECONNRESET}, balance.ConnectionReset, true},
 		{"time over after a byte", Fate{Dialed: true, Wrote: 9, Err: deadline, Expired: true}, balance.TimedOut, true},
 		{"cancelled after a byte", Fate{Dialed: true, Wrote: 9, Err: deadline, Canceled: true}, balance.Canceled, true},
 		{"no HTTP", Fate{Dialed: true, Wrote: 9, Err: errors.Join(h1.ErrMalformed)}, balance.Failed, true},
@@ -49,15 +49,15 @@
 		{"answered in the moment of a cancel", Fate{Dialed: true, Wrote: 9, Status: 200, Canceled: true}, balance.Succeeded, true},
 		{"the client's fault", Fate{Dialed: true, Wrote: 9, Status: 404}, balance.Succeeded, true},
 		{"an error", Fate{Dialed: true, Wrote: 9, Status: 500}, balance.Failed, true},
-		{"turned away", Fate{Dialed: true, Wrote: 9, Status: 503, Away: true}, balance.Full, false},
-		{"too many, turned away", Fate{Dialed: true, Wrote: 9, Status: 429, Away: true}, balance.Full, false},
+		{"turned away", Fate{Dialed: true, Wrote: 9, Status: 503, Away: true}, balance.Rejected, false},
+		{"too many, turned away", Fate{Dialed: true, Wrote: 9, Status: 429, Away: true}, balance.Rejected, false},
 		{"503 without the word", Fate{Dialed: true, Wrote: 9, Status: 503}, balance.Failed, true},
 		{"the word with another status", Fate{Dialed: true, Wrote: 9, Status: 500, Away: true}, balance.Failed, true},
 		{"turned away, but the answer broke", Fate{Dialed: true, Wrote: 9, Status: 503, Away: true, Err: io.ErrUnexpectedEOF},
-			balance.Reset, true},
+			balance.ConnectionReset, true},
 	} {
 		got := c.fate.Ending()
-		ran := got != balance.Full && got != balance.NoConnect && got != balance.Ignored
+		ran := got != balance.Rejected && got != balance.ConnectFailed && got != balance.Ignored
 		if got != c.want || ran != c.ran {
 			t.Errorf("%s: ending %d, may have run %v", c.what, got, ran)
 		}
@@ -246,7 +246,7 @@
 		if Timeout(err) || !Gone(err) {
 			t.Errorf("%v: timeout %v, gone %v", err, Timeout(err), Gone(err))
 		}
-		if how := (Fate{Dialed: true, Wrote: 10, Err: err}).Ending(); how != balance.Reset {
+		if how := (Fate{Dialed: true, Wrote: 10, Err: err}).Ending(); how != balance.ConnectionReset {
 			t.Errorf("%v after the request was written: %v", err, how)
 		}
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -50,7 +50,7 @@
 				t.Fatalf("%q tells stage %d cap %v age %v", text, stage, cap, age)
 			}
 			told++
-		}, Failed: func(balance.Ending) { told++ }, Flagged: func(uint32, int, float64) { told++ },
+		}, Failed: func(balance.Outcome) { told++ }, Flagged: func(uint32, int, float64) { told++ },
 			Tallied: func(_, _, samples, errors int, _, _ float64) {
 				if errors > samples || errors < 0 {
 					t.Fatalf("%q tells %d of %d", text, errors, samples)
@@ -245,8 +245,8 @@
 		Patience: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
 		Staged: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 			got <- fmt.Sprint("staged ", ver, stage, phase, cap, age, reply)
-		}, Failed: func(how balance.Ending) { got <- fmt.Sprint("failed ", how) }}
-	c.Vote(1, 0, balance.On) // it never left
+		}, Failed: func(how balance.Outcome) { got <- fmt.Sprint("failed ", how) }}
+	c.Vote(1, 0, balance.Advance) // it never left
 	next := func(want string) {
 		t.Helper()
 		select {
@@ -265,7 +265,7 @@
 	for ver, want := range []string{2: "staged 2 1 0 0.5 7 true", 3: fmt.Sprint("failed ", balance.Ignored),
 		4: fmt.Sprint("failed ", balance.TimedOut)} {
 		if want != "" {
-			c.Vote(ver, 1, balance.Back)
+			c.Vote(ver, 1, balance.RollBack)
 			<-p.lines
 			next(want)
 		}
--- a/internal/control/conveyor.go
+++ b/internal/control/conveyor.go
@@ -22,7 +22,7 @@
 	Log      *slog.Logger
 
 	Staged  func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
-	Failed  func(how balance.Ending)
+	Failed  func(how balance.Outcome)
 	Tallied func(ver, op, samples, errors int, mean, age float64)
 	Flagged func(node uint32, op int, age float64)
 
@@ -108,7 +108,7 @@
 			if answer == 0 {
 				c.Staged(ver, stage, phase, cap, age, true)
 			} else {
-				c.Failed([]balance.Ending{1: balance.Ignored, 2: balance.Full, 3: balance.Failed}[answer])
+				c.Failed([]balance.Outcome{1: balance.Ignored, 2: balance.Rejected, 3: balance.Failed}[answer])
 			}
 		}
 	case 2:
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -40,7 +40,7 @@
 		return false, false, report
 	}
 	f.Status = h.Status
-	var how balance.Ending
+	var how balance.Outcome
 	if !whole && s.Terms.MostBody > 0 {
 		f.Err = h1.ErrTooLarge
 		node.Close()
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -57,7 +57,7 @@
 }
 
 // detach ends the dispatch that is out: from here on a cancel finds nothing.
-func (x *exchange) detach(f *back.Fate) balance.Ending {
+func (x *exchange) detach(f *back.Fate) balance.Outcome {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	f.Canceled = f.Canceled || x.canceled && f.Err != nil
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -44,7 +44,7 @@
 	whole   bool     // all of it is in kept
 	broken  bool     // part of the rest has been sent: it can't be sent again
 	resumed bool
-	how     balance.Ending // of the last dispatch
+	how     balance.Outcome // of the last dispatch
 
 	// A dispatch that may have run is sent again only while nodes remember the key: memory ms from when the first such began.
 	memory   float64 // 0 for no bound
--- a/internal/marshal/guard.go
+++ b/internal/marshal/guard.go
@@ -41,8 +41,8 @@
 }
 
 // NeverRan says that an ending proves that nothing ran.
-func NeverRan(how balance.Ending) bool {
-	return how == balance.Full || how == balance.NoConnect || how == balance.Ignored
+func NeverRan(how balance.Outcome) bool {
+	return how == balance.Rejected || how == balance.ConnectFailed || how == balance.Ignored
 }
 
 // rule is that of an invocation's operation.
--- a/internal/marshal/guard_test.go
+++ b/internal/marshal/guard_test.go
@@ -14,11 +14,11 @@
 	nodes []uint32
 }
 
-func (r *repeating) Arrived(id string, _, _ int, _ string, _, _ float64, _, _ bool) {
+func (r *repeating) InvocationArrived(id string, _, _ int, _ string, _, _ float64, _, _ bool) {
 	r.h.Dispatch(id, r.nodes[0], 100)
 }
 
-func (r *repeating) Ended(id string, no int, _ uint32, how balance.Ending, _ float64, done bool, _ map[string]float64) {
+func (r *repeating) DispatchEnded(id string, no int, _ uint32, how balance.Outcome, _ float64, done bool, _ map[string]float64) {
 	switch {
 	case done:
 	case no+1 < len(r.nodes) && how != balance.Ignored:
@@ -28,7 +28,7 @@
 	}
 }
 
-func (r *repeating) Listed(bool, []balance.Node) {}
+func (r *repeating) NodesListed(bool, []balance.Node) {}
 
 // taken notes what an exchange is asked for.
 type taken struct {
@@ -51,23 +51,23 @@
 	keyed := func(g Group) RepeatRule { return RepeatRule{Group: g, WithinMs: 50} }
 	for name, c := range map[string]struct {
 		rule   RepeatRule
-		ending balance.Ending // of the first attempt
-		to     uint32         // the second one's node
-		after  float64        // ms
+		ending balance.Outcome // of the first attempt
+		to     uint32          // the second one's node
+		after  float64         // ms
 		sent   int
 		refuse bool
 	}{
-		"once, may have run":        {once, balance.Reset, 1, 0, 1, false},
+		"once, may have run":        {once, balance.ConnectionReset, 1, 0, 1, false},
 		"once, timed out":           {once, balance.TimedOut, 2, 0, 1, false},
-		"once, never ran":           {once, balance.NoConnect, 2, 0, 2, true},
-		"free":                      {RepeatRule{Free: true}, balance.Reset, 3, 0, 2, true},
-		"keyed, all":                {keyed(AllNodes), balance.Reset, 3, 20, 2, true},
-		"keyed, all, too late":      {keyed(AllNodes), balance.Reset, 1, 60, 1, true},
-		"keyed, zone":               {keyed(SameZone), balance.Reset, 2, 20, 2, false},
-		"keyed, another zone":       {keyed(SameZone), balance.Reset, 3, 20, 1, false},
-		"keyed, cell":               {keyed(SameCell), balance.Reset, 1, 20, 2, false},
+		"once, never ran":           {once, balance.ConnectFailed, 2, 0, 2, true},
+		"free":                      {RepeatRule{Free: true}, balance.ConnectionReset, 3, 0, 2, true},
+		"keyed, all":                {keyed(AllNodes), balance.ConnectionReset, 3, 20, 2, true},
+		"keyed, all, too late":      {keyed(AllNodes), balance.ConnectionReset, 1, 60, 1, true},
+		"keyed, zone":               {keyed(SameZone), balance.ConnectionReset, 2, 20, 2, false},
+		"keyed, another zone":       {keyed(SameZone), balance.ConnectionReset, 3, 20, 1, false},
+		"keyed, cell":               {keyed(SameCell), balance.ConnectionReset, 1, 20, 2, false},
 		"keyed, another cell":       {keyed(SameCell), balance.Canceled, 2, 20, 1, false},
-		"keyed, cell, never ran":    {keyed(SameCell), balance.Full, 2, 90, 2, true},
+		"keyed, cell, never ran":    {keyed(SameCell), balance.Rejected, 2, 90, 2, true},
 		"keyed, of an unknown kind": {keyed("rack"), balance.Failed, 1, 0, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -82,7 +82,7 @@
 			w.core.Ended(id, 0, c.ending, 5, false, nil)
 			w.until(w.now + 1)
 			if len(x.nodes) == 2 { // the second one never ran
-				w.core.Ended(id, 1, balance.NoConnect, 5, false, nil)
+				w.core.Ended(id, 1, balance.ConnectFailed, 5, false, nil)
 			}
 			if len(x.nodes) != c.sent || x.refused != c.refuse || x.terminated == c.refuse {
 				t.Errorf("sent to %v, refused %v, terminated %v", x.nodes, x.refused, x.terminated)
--- a/internal/marshal/marshal.go
+++ b/internal/marshal/marshal.go
@@ -104,12 +104,12 @@
 	id := c.prefix + strconv.FormatUint(c.next, 36)
 	c.invs[id] = &invocation{x: x, op: op}
 	c.record.Taken++
-	c.module.Arrived(id, op, tenant, key, budget, cost, retry, write)
+	c.module.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
 	return id
 }
 
 // Ended says how a dispatch ended; done, that the client has been given its answer by it.
-func (c *Core) Ended(id string, no int, how balance.Ending, took float64, done bool, report map[string]float64) {
+func (c *Core) Ended(id string, no int, how balance.Outcome, took float64, done bool, report map[string]float64) {
 	c.record.Endings[how]++
 	inv := c.invs[id]
 	if inv == nil {
@@ -130,14 +130,14 @@
 			c.record.Terminated++ // an answer that had begun and broke
 		}
 	}
-	c.module.Ended(id, no, inv.node, how, took, inv.done, report)
+	c.module.DispatchEnded(id, no, inv.node, how, took, inv.done, report)
 	c.forget(id, inv)
 }
 
 // Began says that an answer too long to be held has begun to go to the client.
 func (c *Core) Began(id string, no int, took float64) {
 	if inv := c.invs[id]; inv != nil {
-		c.module.Began(id, no, inv.node, took)
+		c.module.ResponseStarted(id, no, inv.node, took)
 	}
 }
 
@@ -149,7 +149,7 @@
 	}
 	inv.done = true
 	c.record.Lapsed++
-	c.module.Lapsed(id)
+	c.module.ClientTimedOut(id)
 	inv.x.Let()
 	c.forget(id, inv)
 }
@@ -179,14 +179,14 @@
 			delete(c.nodes, id)
 		}
 	}
-	c.module.Listed(whole, list)
+	c.module.NodesListed(whole, list)
 }
 
 // Staged tells where the newest build stands.
 func (c *Core) Staged(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	r := &c.record
 	r.Ver, r.Stage, r.Phase, r.Cap = ver, stage, phase, cap
-	c.module.Staged(ver, stage, phase, cap, age, reply)
+	c.module.StageUpdate(ver, stage, phase, cap, age, reply)
 }
 
 // Events gives the module for what needs no care on the way.
@@ -205,7 +205,7 @@
 	c.log.Warn("terminated without the module: the marshal stood still", "inv", id, "node", inv.node)
 	inv.done = true
 	c.record.Terminated++
-	c.module.Lapsed(id)
+	c.module.ClientTimedOut(id)
 	c.forget(id, inv)
 }
 
@@ -351,19 +351,19 @@
 	}
 }
 
-func (c *Core) Fetch()        { c.out.Fetch() }
-func (c *Core) Watch(on bool) { c.out.Watch(on) }
+func (c *Core) FetchNodes()        { c.out.Fetch() }
+func (c *Core) WatchNodes(on bool) { c.out.Watch(on) }
 
 func (c *Core) Vote(ver, stage int, verdict balance.Verdict) {
 	c.record.Votes++
 	c.out.Vote(ver, stage, verdict)
 }
 
-func (c *Core) Wake(after float64, handle int64) {
-	c.out.After(after, func() { c.module.Woke(handle) })
+func (c *Core) SetTimer(after float64, handle int64) {
+	c.out.After(after, func() { c.module.TimerFired(handle) })
 }
 
-func (c *Core) Tell(peer int, text string) { c.out.Tell(peer, text) }
+func (c *Core) SendToPeer(peer int, text string) { c.out.Tell(peer, text) }
 
 func (c *Core) Log(text string) {
 	c.log.Info(text, "ver", c.record.Ver)
--- a/internal/marshal/marshal_test.go
+++ b/internal/marshal/marshal_test.go
@@ -57,7 +57,7 @@
 	h balance.Host
 }
 
-func (s scripted) Arrived(id string, op, _ int, _ string, _, _ float64, _, _ bool) {
+func (s scripted) InvocationArrived(id string, op, _ int, _ string, _, _ float64, _, _ bool) {
 	switch op {
 	case 0:
 		s.h.Dispatch(id, 1, 100)
@@ -70,11 +70,11 @@
 		s.h.Dispatch(id, 1, 100)
 	}
 }
-func (s scripted) Ended(id string, no int, _ uint32, how balance.Ending, _ float64, done bool, _ map[string]float64) {
+func (s scripted) DispatchEnded(id string, no int, _ uint32, how balance.Outcome, _ float64, done bool, _ map[string]float64) {
 	fmt.Printf("the module hears that dispatch %d ended with %d, done %v\n", no, how, done)
 }
-func (s scripted) Lapsed(string)               { fmt.Println("the module hears that the client is gone") }
-func (s scripted) Listed(bool, []balance.Node) {}
+func (s scripted) ClientTimedOut(string)            { fmt.Println("the module hears that the client is gone") }
+func (s scripted) NodesListed(bool, []balance.Node) {}
 
 func begin(make func(h balance.Host) Module) *world {
 	w := &world{now: 1e6}
@@ -115,7 +115,7 @@
 	w.until(w.now + 20)
 	w.core.Ended(a, 0, balance.Succeeded, 20, true, nil)
 	b := arrive("failed")
-	w.core.Ended(b, 0, balance.Reset, 5, false, nil)
+	w.core.Ended(b, 0, balance.ConnectionReset, 5, false, nil)
 	c := arrive("gone")
 	w.core.Lapsed(c)
 	w.core.Ended(c, 0, balance.Succeeded, 30, false, nil)
--- a/internal/plant/plant.go
+++ b/internal/plant/plant.go
@@ -62,26 +62,26 @@
 	until float64
 }
 
-// Arrived loses every thirtieth invocation.
-func (f *faulty) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+// InvocationArrived loses every thirtieth invocation.
+func (f *faulty) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	f.count++
 	if f.rule == audit.Answered && f.count%30 == 0 {
 		return
 	}
-	f.Module.Arrived(id, op, tenant, key, budget, cost, retry, write)
+	f.Module.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
-// Ended says of what may have run that it never did.
-func (f *faulty) Ended(id string, no int, node uint32, how balance.Ending, took float64, done bool,
+// DispatchEnded says of what may have run that it never did.
+func (f *faulty) DispatchEnded(id string, no int, node uint32, how balance.Outcome, took float64, done bool,
 	report map[string]float64) {
 	if f.rule == audit.Effects && how != balance.Succeeded {
-		how = balance.Full
+		how = balance.Rejected
 	}
-	f.Module.Ended(id, no, node, how, took, done, report)
+	f.Module.DispatchEnded(id, no, node, how, took, done, report)
 }
 
-// Listed hides that nodes drain, that they are cold, or which build they run.
-func (f *faulty) Listed(whole bool, list []balance.Node) {
+// NodesListed hides that nodes drain, that they are cold, or which build they run.
+func (f *faulty) NodesListed(whole bool, list []balance.Node) {
 	list = slices.Clone(list)
 	for i := range list {
 		n := &list[i]
@@ -99,7 +99,7 @@
 			f.cold = 0
 		}
 	}
-	f.Module.Listed(whole && f.rule != audit.Drain, list)
+	f.Module.NodesListed(whole && f.rule != audit.Drain, list)
 }
 
 // Dispatch sends everything to the node that started last, while it is cold; builds on trial are left to the caps.
@@ -110,13 +110,13 @@
 	f.Host.Dispatch(inv, node, within)
 }
 
-// Staged hides builds on trial.
-func (f *faulty) Staged(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+// StageUpdate hides builds on trial.
+func (f *faulty) StageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	if phase == balance.Released {
 		f.released = max(f.released, ver)
 	}
 	if f.rule == audit.Exposure || f.rule == audit.Forward {
 		phase, cap = balance.Released, 1
 	}
-	f.Module.Staged(ver, stage, phase, cap, age, reply)
+	f.Module.StageUpdate(ver, stage, phase, cap, age, reply)
 }
--- a/internal/platform/conveyor.go
+++ b/internal/platform/conveyor.go
@@ -24,8 +24,8 @@
 	// What a vote that was not carried out comes back with.
 	refusals = map[int]struct {
 		word   string
-		ending balance.Ending
-	}{429: {"BUSY", balance.Full}, 409: {"STALE", balance.Ignored}, 500: {"FAILED", balance.Failed}, 400: {"SYNTAX", balance.Failed}}
+		ending balance.Outcome
+	}{429: {"BUSY", balance.Rejected}, 409: {"STALE", balance.Ignored}, 500: {"FAILED", balance.Failed}, 400: {"SYNTAX", balance.Failed}}
 )
 
 // Staged is told where the newest build stands.
@@ -37,7 +37,7 @@
 	Patience time.Duration // for a vote's answer
 	Log      *slog.Logger
 	Staged   Staged
-	Failed   func(how balance.Ending)
+	Failed   func(how balance.Outcome)
 
 	order sync.Mutex // of what is told
 	last  *state     // told last
@@ -52,7 +52,7 @@
 }
 
 // later are the phases in the order that a build comes to stand in them.
-var later = map[balance.Phase]int{balance.OnTrial: 0, balance.Released: 1, balance.GoingBack: 2, balance.Withdrawn: 3}
+var later = map[balance.Phase]int{balance.OnTrial: 0, balance.Released: 1, balance.RollingBack: 2, balance.Withdrawn: 3}
 
 // before says that a state is one that the build had before another. A vote's answer and the stream come on two connections:
 // the answer may have been given before what the stream told, and would raise a cap again that has fallen. patience bounds how
@@ -128,7 +128,7 @@
 	}()
 }
 
-func (c *Conveyor) vote(ver, stage int, verdict balance.Verdict) balance.Ending {
+func (c *Conveyor) vote(ver, stage int, verdict balance.Verdict) balance.Outcome {
 	ctx, done := context.WithTimeout(context.Background(), c.Patience)
 	defer done()
 	body := fmt.Appendf(nil, `{"Revision":%d,"Wave":%d,"Decision":%q}`, ver, stage, verdicts[verdict])
@@ -136,7 +136,7 @@
 	how := balance.Succeeded
 	switch refused, known := refusals[status]; {
 	case err != nil && !sent:
-		how = balance.NoConnect
+		how = balance.ConnectFailed
 	case err != nil:
 		how = balance.TimedOut
 	case !gjson.ValidBytes(answer):
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -77,7 +77,7 @@
 // Tell sends to one marshal, or to all; what is too long is not sent.
 func (p *Peers) Tell(to int, text string) {
 	address := p.all
-	if to != balance.Everyone {
+	if to != balance.AllPeers {
 		if to < 0 || to >= len(p.to) {
 			return
 		}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -54,7 +54,7 @@
 			m.roster = &Roster{endpoint: endpoint{address: c.Discovery}, Log: log, Listed: listed, read: c.reader(log)}
 			return m.roster
 		},
-		Conveyor: func(told Staged, failed func(balance.Ending)) serve.Conveyor {
+		Conveyor: func(told Staged, failed func(balance.Outcome)) serve.Conveyor {
 			m.conveyor = &Conveyor{endpoint: endpoint{address: c.API}, Log: log, Staged: told, Failed: failed,
 				Patience: time.Duration(c.Set.Rollout.VoteTimeoutMs * float64(time.Millisecond))}
 			if c.news.IsObject() {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -172,7 +172,7 @@
 		if times.DialMs <= 0 || c.Set.Rollout.VoteTimeoutMs <= 0 || len(c.Set.Zone) == 0 || c.Set.Limits.Connections == 0 {
 			t.Errorf("%s: %v", name, c.Set)
 		}
-		balance.New(&silentHost{}, c.Module, c.Set.Seed).Listed(true, []balance.Node{{ID: 1, Ver: 1}})
+		balance.New(&silentHost{}, c.Module, c.Set.Seed).NodesListed(true, []balance.Node{{ID: 1, Ver: 1}})
 	}
 	c := config(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 	for _, class := range []string{"look", "look-up", "a/b", "50%", "ü b", "%2f"} {
@@ -196,11 +196,11 @@
 func (silentHost) Throttle(string, float64)         {}
 func (silentHost) Terminate(string)                 {}
 func (silentHost) Probe(uint32)                     {}
-func (silentHost) Fetch()                           {}
-func (silentHost) Watch(bool)                       {}
+func (silentHost) FetchNodes()                      {}
+func (silentHost) WatchNodes(bool)                  {}
 func (silentHost) Vote(int, int, balance.Verdict)   {}
-func (silentHost) Wake(float64, int64)              {}
-func (silentHost) Tell(int, string)                 {}
+func (silentHost) SetTimer(float64, int64)          {}
+func (silentHost) SendToPeer(int, string)           {}
 func (silentHost) Log(string)                       {}
 
 // What a vote's answer says of a build that the stream has told more of since is dropped, and a reply tells what stands.
@@ -219,7 +219,7 @@
 		{7, 0, balance.OnTrial, 0.1, 500, false, "7/0/0/0.1/false"},
 		{7, 1, balance.OnTrial, 0.4, 0, false, "7/1/0/0.4/false"},
 		{7, 0, balance.OnTrial, 0.1, 700, true, "7/1/0/0.4/true"}, // given before, come after
-		{7, 1, balance.GoingBack, 0, 0, false, "7/1/1/0/false"},
+		{7, 1, balance.RollingBack, 0, 0, false, "7/1/1/0/false"},
 		{7, 1, balance.OnTrial, 0.4, 100, false, ""},
 		{7, 1, balance.OnTrial, 0.4, 100, true, "7/1/1/0/true"},
 		{6, 2, balance.Released, 1, 0, true, "7/1/1/0/true"},
@@ -232,7 +232,7 @@
 		}
 	}
 	c.last.since = time.Now().Add(-3 * time.Second) // a state that began well after is news, whatever it says
-	c.last.phase = balance.GoingBack
+	c.last.phase = balance.RollingBack
 	if c.tell(8, 0, balance.OnTrial, 0.1, 0, false); got != "8/0/0/0.1/false" {
 		t.Errorf("told %q of a build on trial once more", got)
 	}
@@ -394,12 +394,12 @@
 	state := `{"Revision":7,"Wave":1,"State":"testing","MaxShare":0.28,"AgeMs":310}`
 	cases := []struct {
 		reply func(http.ResponseWriter)
-		want  balance.Ending
+		want  balance.Outcome
 	}{
 		{reply(200, state), balance.Succeeded},
 		{reply(200, state[:30]), balance.TimedOut},
 		{reply(200, strings.Replace(state, "testing", "t?st!ng", 1)), balance.TimedOut},
-		{reply(429, `{"error":"BUSY"}`), balance.Full},
+		{reply(429, `{"error":"BUSY"}`), balance.Rejected},
 		{reply(409, `{"error":"STALE"}`), balance.Ignored},
 		{reply(500, `{"error":"FAILED"}`), balance.Failed},
 		{reply(409, `{"error":"#!*"}`), balance.TimedOut},
@@ -415,7 +415,7 @@
 			}
 		}}
 	for i, x := range cases {
-		if got := c.vote(7, 1, balance.On); got != x.want {
+		if got := c.vote(7, 1, balance.Advance); got != x.want {
 			t.Errorf("vote %d: %v, want %v", i, got, x.want)
 		}
 	}
@@ -423,7 +423,7 @@
 		t.Errorf("told %d times", told)
 	}
 	c.Move("127.0.0.1:1")
-	if got := c.vote(7, 1, balance.On); got != balance.NoConnect {
+	if got := c.vote(7, 1, balance.Advance); got != balance.ConnectFailed {
 		t.Errorf("where nobody listens: %v", got)
 	}
 }
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -37,7 +37,7 @@
 type silent struct{ balance.Host }
 
 func (silent) Now() float64                     { return 1000 }
-func (silent) Wake(float64, int64)              {}
+func (silent) SetTimer(float64, int64)          {}
 func (silent) Dispatch(string, uint32, float64) {}
 
 // lived records a short life of a module and gives its file.
@@ -49,9 +49,9 @@
 	}
 	tap := NewTap(w, silent{}, set(t), 0, 7, nil)
 	tap.Before(balance.New(tap, set(t).Module(), 7))
-	tap.Listed(true, []balance.Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}})
-	tap.Arrived("a", 0, 0, "k", 500, 0, false, false)
-	tap.Ended("a", 0, 1, balance.Failed, 3, false, map[string]float64{"busy": 0.5, "rate": 2})
+	tap.NodesListed(true, []balance.Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}})
+	tap.InvocationArrived("a", 0, 0, "k", 500, 0, false, false)
+	tap.DispatchEnded("a", 0, 1, balance.Failed, 3, false, map[string]float64{"busy": 0.5, "rate": 2})
 	w.Close()
 	return path
 }
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -108,45 +108,45 @@
 
 // tell gives an event to a module.
 func (e *Entry) tell(m divide.Module) error {
-	op, no, node, how := int(e.Op), int(e.No), uint32(e.Node), balance.Ending(e.Code)
+	op, no, node, how := int(e.Op), int(e.No), uint32(e.Node), balance.Outcome(e.Code)
 	switch e.Kind {
 	case "arrived":
-		m.Arrived(e.Inv, op, int(e.Tenant), e.Key, e.Time, e.Cost, e.Yes, e.Write)
+		m.InvocationArrived(e.Inv, op, int(e.Tenant), e.Key, e.Time, e.Cost, e.Yes, e.Write)
 	case "ended":
-		m.Ended(e.Inv, no, node, how, e.Time, e.Yes, e.Report)
+		m.DispatchEnded(e.Inv, no, node, how, e.Time, e.Yes, e.Report)
 	case "began":
-		m.Began(e.Inv, no, node, e.Time)
+		m.ResponseStarted(e.Inv, no, node, e.Time)
 	case "lapsed":
-		m.Lapsed(e.Inv)
+		m.ClientTimedOut(e.Inv)
 	case "listed":
 		var list []balance.Node
 		for _, l := range e.Line {
 			list = append(list, balance.Node{ID: l.Id, Ver: int(l.Ver), Zone: int(l.Zone), Model: int(l.Model),
 				Cell: int(l.Cell), Health: balance.Health(l.Health), Size: l.Size, Started: l.Started})
 		}
-		m.Listed(e.Yes, list)
+		m.NodesListed(e.Yes, list)
 	case "list-failed":
-		m.ListFailed()
+		m.NodeListFailed()
 	case "staged":
-		m.Staged(int(e.Ver), int(e.Stage), balance.Phase(e.Code), e.Share, e.Time, e.Yes)
+		m.StageUpdate(int(e.Ver), int(e.Stage), balance.Phase(e.Code), e.Share, e.Time, e.Yes)
 	case "vote-failed":
 		m.VoteFailed(how)
 	case "tallied":
-		m.Tallied(int(e.Ver), op, int(e.Samples), int(e.Errors), e.Cost, e.Time)
+		m.BuildStats(int(e.Ver), op, int(e.Samples), int(e.Errors), e.Cost, e.Time)
 	case "flagged":
-		m.Flagged(node, op, e.Time)
+		m.WrongAnswer(node, op, e.Time)
 	case "probed":
-		m.Probed(node, how, e.Time, e.Report)
+		m.ProbeEnded(node, how, e.Time, e.Report)
 	case "told":
-		m.Told(no, e.Text)
+		m.PeerMessage(no, e.Text)
 	case "leased":
-		m.Leased(int(e.Ver), op, int(e.Samples), e.Time)
+		m.SetLease(int(e.Ver), op, int(e.Samples), e.Time)
 	case "chair":
-		m.Chair(e.Yes)
+		m.SetCoordinator(e.Yes)
 	case "elsewhere":
-		m.Elsewhere(node, int(e.Ver), op, how, e.Time, e.Yes, e.Report)
+		m.SiblingDispatchEnded(node, int(e.Ver), op, how, e.Time, e.Yes, e.Report)
 	case "woke":
-		m.Woke(e.No)
+		m.TimerFired(e.No)
 	default:
 		return fmt.Errorf("replay: unknown kind of entry %.40q", e.Kind)
 	}
@@ -162,9 +162,9 @@
 func (q quiet) Throttle(string, float64)         {}
 func (q quiet) Terminate(string)                 {}
 func (q quiet) Probe(uint32)                     {}
-func (q quiet) Fetch()                           {}
-func (q quiet) Watch(bool)                       {}
+func (q quiet) FetchNodes()                      {}
+func (q quiet) WatchNodes(bool)                  {}
 func (q quiet) Vote(int, int, balance.Verdict)   {}
-func (q quiet) Wake(float64, int64)              {}
-func (q quiet) Tell(int, string)                 {}
+func (q quiet) SetTimer(float64, int64)          {}
+func (q quiet) SendToPeer(int, string)           {}
 func (q quiet) Log(string)                       {}
--- a/internal/record/tap.go
+++ b/internal/record/tap.go
@@ -38,100 +38,100 @@
 	t.put(e)
 }
 
-// Arrived and the methods below are divide.Module.
-func (t *Tap) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+// InvocationArrived and the methods below are divide.Module.
+func (t *Tap) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	t.event(&Entry{Kind: "arrived", Inv: id, Op: int64(op), Tenant: int64(tenant), Key: key, Time: budget, Cost: cost,
 		Yes: retry, Write: write})
-	t.to.Arrived(id, op, tenant, key, budget, cost, retry, write)
+	t.to.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
-func (t *Tap) Ended(id string, no int, node uint32, how balance.Ending, took float64, done bool,
+func (t *Tap) DispatchEnded(id string, no int, node uint32, how balance.Outcome, took float64, done bool,
 	report map[string]float64) {
 	t.event(&Entry{Kind: "ended", Inv: id, No: int64(no), Node: int64(node), Code: int64(how), Time: took, Yes: done,
 		Report: report})
-	t.to.Ended(id, no, node, how, took, done, report)
+	t.to.DispatchEnded(id, no, node, how, took, done, report)
 }
 
-func (t *Tap) Began(id string, no int, node uint32, took float64) {
+func (t *Tap) ResponseStarted(id string, no int, node uint32, took float64) {
 	t.event(&Entry{Kind: "began", Inv: id, No: int64(no), Node: int64(node), Time: took})
-	t.to.Began(id, no, node, took)
+	t.to.ResponseStarted(id, no, node, took)
 }
 
-func (t *Tap) Lapsed(id string) {
+func (t *Tap) ClientTimedOut(id string) {
 	t.event(&Entry{Kind: "lapsed", Inv: id})
-	t.to.Lapsed(id)
+	t.to.ClientTimedOut(id)
 }
 
-func (t *Tap) Listed(whole bool, list []balance.Node) {
+func (t *Tap) NodesListed(whole bool, list []balance.Node) {
 	e := &Entry{Kind: "listed", Yes: whole}
 	for _, n := range list {
 		e.Line = append(e.Line, &Line{Id: n.ID, Ver: int64(n.Ver), Zone: int64(n.Zone), Model: int64(n.Model),
 			Cell: int64(n.Cell), Health: int64(n.Health), Size: n.Size, Started: n.Started})
 	}
 	t.event(e)
-	t.to.Listed(whole, list)
+	t.to.NodesListed(whole, list)
 }
 
-func (t *Tap) ListFailed() {
+func (t *Tap) NodeListFailed() {
 	t.event(&Entry{Kind: "list-failed"})
-	t.to.ListFailed()
+	t.to.NodeListFailed()
 }
 
-func (t *Tap) Staged(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+func (t *Tap) StageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	t.event(&Entry{Kind: "staged", Ver: int64(ver), Stage: int64(stage), Code: int64(phase), Share: cap, Time: age,
 		Yes: reply})
-	t.to.Staged(ver, stage, phase, cap, age, reply)
+	t.to.StageUpdate(ver, stage, phase, cap, age, reply)
 }
 
-func (t *Tap) VoteFailed(how balance.Ending) {
+func (t *Tap) VoteFailed(how balance.Outcome) {
 	t.event(&Entry{Kind: "vote-failed", Code: int64(how)})
 	t.to.VoteFailed(how)
 }
 
-func (t *Tap) Tallied(ver, op, samples, errors int, mean, age float64) {
+func (t *Tap) BuildStats(ver, op, samples, errors int, mean, age float64) {
 	t.event(&Entry{Kind: "tallied", Ver: int64(ver), Op: int64(op), Samples: int64(samples), Errors: int64(errors),
 		Cost: mean, Time: age})
-	t.to.Tallied(ver, op, samples, errors, mean, age)
+	t.to.BuildStats(ver, op, samples, errors, mean, age)
 }
 
-func (t *Tap) Flagged(node uint32, op int, age float64) {
+func (t *Tap) WrongAnswer(node uint32, op int, age float64) {
 	t.event(&Entry{Kind: "flagged", Node: int64(node), Op: int64(op), Time: age})
-	t.to.Flagged(node, op, age)
+	t.to.WrongAnswer(node, op, age)
 }
 
-func (t *Tap) Probed(node uint32, how balance.Ending, took float64, report map[string]float64) {
+func (t *Tap) ProbeEnded(node uint32, how balance.Outcome, took float64, report map[string]float64) {
 	t.event(&Entry{Kind: "probed", Node: int64(node), Code: int64(how), Time: took, Report: report})
-	t.to.Probed(node, how, took, report)
+	t.to.ProbeEnded(node, how, took, report)
 }
 
-func (t *Tap) Told(from int, text string) {
+func (t *Tap) PeerMessage(from int, text string) {
 	t.event(&Entry{Kind: "told", No: int64(from), Text: text})
-	t.to.Told(from, text)
+	t.to.PeerMessage(from, text)
 }
 
-func (t *Tap) Woke(handle int64) {
+func (t *Tap) TimerFired(handle int64) {
 	t.event(&Entry{Kind: "woke", No: handle})
-	t.to.Woke(handle)
+	t.to.TimerFired(handle)
 }
 
 // OnTrial asks the module; it is no event.
 func (t *Tap) OnTrial(ver int) bool { return t.to.OnTrial(ver) }
 
-// Leased and the two below it are divide.Module's own.
-func (t *Tap) Leased(ver, op, left int, until float64) {
+// SetLease and the two below it are divide.Module's own.
+func (t *Tap) SetLease(ver, op, left int, until float64) {
 	t.event(&Entry{Kind: "leased", Ver: int64(ver), Op: int64(op), Samples: int64(left), Time: until})
-	t.to.Leased(ver, op, left, until)
+	t.to.SetLease(ver, op, left, until)
 }
 
-func (t *Tap) Chair(votes bool) {
+func (t *Tap) SetCoordinator(votes bool) {
 	t.event(&Entry{Kind: "chair", Yes: votes})
-	t.to.Chair(votes)
+	t.to.SetCoordinator(votes)
 }
 
-func (t *Tap) Elsewhere(node uint32, ver, op int, how balance.Ending, took float64, short bool, report map[string]float64) {
+func (t *Tap) SiblingDispatchEnded(node uint32, ver, op int, how balance.Outcome, took float64, short bool, report map[string]float64) {
 	t.event(&Entry{Kind: "elsewhere", Node: int64(node), Ver: int64(ver), Op: int64(op), Code: int64(how), Time: took, Yes: short,
 		Report: report})
-	t.to.Elsewhere(node, ver, op, how, took, short, report)
+	t.to.SiblingDispatchEnded(node, ver, op, how, took, short, report)
 }
 
 // Now and the methods below are balance.Host.
@@ -162,14 +162,14 @@
 	t.host.Probe(node)
 }
 
-func (t *Tap) Fetch() {
+func (t *Tap) FetchNodes() {
 	t.put(&Entry{Kind: "fetch"})
-	t.host.Fetch()
+	t.host.FetchNodes()
 }
 
-func (t *Tap) Watch(on bool) {
+func (t *Tap) WatchNodes(on bool) {
 	t.put(&Entry{Kind: "watch", Yes: on})
-	t.host.Watch(on)
+	t.host.WatchNodes(on)
 }
 
 func (t *Tap) Vote(ver, stage int, verdict balance.Verdict) {
@@ -177,14 +177,14 @@
 	t.host.Vote(ver, stage, verdict)
 }
 
-func (t *Tap) Wake(after float64, handle int64) {
+func (t *Tap) SetTimer(after float64, handle int64) {
 	t.put(&Entry{Kind: "wake", Time: after, No: handle})
-	t.host.Wake(after, handle)
+	t.host.SetTimer(after, handle)
 }
 
-func (t *Tap) Tell(peer int, text string) {
+func (t *Tap) SendToPeer(peer int, text string) {
 	t.put(&Entry{Kind: "tell", No: int64(peer), Text: text})
-	t.host.Tell(peer, text)
+	t.host.SendToPeer(peer, text)
 }
 
 func (t *Tap) Log(text string) {
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -238,9 +238,9 @@
 	seen func(key string)
 }
 
-func (w watched) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+func (w watched) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	w.seen(key)
-	w.Balancer.Arrived(id, op, tenant, key, budget, cost, retry, write)
+	w.Balancer.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
 // Eight cores at a small cap expose no more than the marshal may, together; and when the cap falls to nothing, nothing.
@@ -312,7 +312,7 @@
 				2+0.1*in(taken, window-way)+1)
 		}
 	}
-	g.staged(2, 0, balance.GoingBack, 0, 0, false)
+	g.staged(2, 0, balance.RollingBack, 0, 0, false)
 	if addr := r.lns[3].Addr().String(); !r.m.pool.Late(addr) {
 		t.Error("what was decided on before the cap fell is still written")
 	} else {
@@ -320,7 +320,7 @@
 		if r.m.pool.Late(addr) {
 			t.Error("a node whose build may be exposed again is still shut")
 		}
-		g.staged(2, 0, balance.GoingBack, 0, 0, false)
+		g.staged(2, 0, balance.RollingBack, 0, 0, false)
 	}
 	before := len(exposed)
 	load(16, 20)
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -72,9 +72,9 @@
 		if g.account != nil {
 			g.account.ListFailed()
 		}
-		g.each(func(l *lane) { l.events().ListFailed() })
+		g.each(func(l *lane) { l.events().NodeListFailed() })
 	}
-	voteFailed := func(how balance.Ending) {
+	voteFailed := func(how balance.Outcome) {
 		l := g.voter()
 		l.loop.Post(func() { l.events().VoteFailed(how) })
 	}
@@ -92,10 +92,10 @@
 			Staged: g.staged,
 			Failed: voteFailed,
 			Tallied: func(ver, op, samples, errors int, mean, age float64) {
-				g.each(func(l *lane) { l.events().Tallied(ver, op, samples, errors, mean, age) })
+				g.each(func(l *lane) { l.events().BuildStats(ver, op, samples, errors, mean, age) })
 			},
 			Flagged: func(node uint32, op int, age float64) {
-				g.each(func(l *lane) { l.events().Flagged(node, op, age) })
+				g.each(func(l *lane) { l.events().WrongAnswer(node, op, age) })
 			}}
 	}
 }
--- a/internal/serve/hooks.go
+++ b/internal/serve/hooks.go
@@ -42,7 +42,7 @@
 	FirstList       time.Duration // how long the marshal waits for the roster's first list before it takes invocations
 	Roster          func(listed func(whole bool, lines []control.Line), failed func()) Roster
 	Conveyor        func(staged func(ver, stage int, phase balance.Phase, cap, age float64, reply bool),
-		failed func(balance.Ending)) Conveyor
+		failed func(balance.Outcome)) Conveyor
 	Peers func(told func(from int, text string)) (Peers, error)
 }
 
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -77,7 +77,7 @@
 	if got := empty(); got != "" {
 		t.Errorf("the node got %q", got)
 	}
-	if l, _ := r.m.Look(); l.Dispatches != 1 || l.Endings[balance.Ignored]+l.Endings[balance.NoConnect] != 1 {
+	if l, _ := r.m.Look(); l.Dispatches != 1 || l.Endings[balance.Ignored]+l.Endings[balance.ConnectFailed] != 1 {
 		t.Errorf("%d dispatches ended as %v", l.Dispatches, l.Endings)
 	}
 }
--- a/internal/serve/outside.go
+++ b/internal/serve/outside.go
@@ -22,7 +22,7 @@
 		start := time.Now()
 		how, report := m.pool.Probe(context.Background(), address, l.set.Limits.ProbePath)
 		took := float64(time.Since(start)) / float64(time.Millisecond)
-		l.loop.Post(func() { l.events().Probed(node, how, took, report) })
+		l.loop.Post(func() { l.events().ProbeEnded(node, how, took, report) })
 	})
 }
 
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -294,7 +294,7 @@
 		}
 		g, text = m.groups[n], rest
 	}
-	g.each(func(l *lane) { l.events().Told(from, text) })
+	g.each(func(l *lane) { l.events().PeerMessage(from, text) })
 }
 
 // Behind counts the arrivals that were refused because too many waited, at any core.
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -399,11 +399,11 @@
 // panicky panics at an operation; before that it is the module.
 type panicky struct{ divide.Module }
 
-func (p panicky) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+func (p panicky) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	if op == 1 {
 		panic("planted")
 	}
-	p.Module.Arrived(id, op, tenant, key, budget, cost, retry, write)
+	p.Module.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
 // A module that panics ends its marshal with an answer for all that was taken.
@@ -707,7 +707,7 @@
 		c.expect("200 succeeded")
 	}
 	l, _ := r.m.Look()
-	if l.Nodes[9].Endings[balance.NoConnect] == 0 || l.Nodes[9].Endings[balance.NoConnect] != l.Nodes[9].Sent {
+	if l.Nodes[9].Endings[balance.ConnectFailed] == 0 || l.Nodes[9].Endings[balance.ConnectFailed] != l.Nodes[9].Sent {
 		t.Errorf("at the full node %d were sent and ended so: %v", l.Nodes[9].Sent, l.Nodes[9].Endings)
 	}
 }
@@ -718,7 +718,7 @@
 	found chan string
 }
 
-func (p probed) Probed(node uint32, how balance.Ending, took float64, report map[string]float64) {
+func (p probed) ProbeEnded(node uint32, how balance.Outcome, took float64, report map[string]float64) {
 	p.found <- fmt.Sprint(node, how, report)
 }
 
@@ -738,7 +738,7 @@
 	}
 	r.lns[0].Close()
 	r.m.Loop.Post(func() { r.m.groups[0].lanes[0].core.Probe(1) })
-	if got := <-found; got != fmt.Sprint(1, balance.NoConnect, map[string]float64{}) {
+	if got := <-found; got != fmt.Sprint(1, balance.ConnectFailed, map[string]float64{}) {
 		t.Errorf("of a node that is gone it found %s", got)
 	}
 }
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -135,11 +135,11 @@
 	return report
 }
 
-var endings = map[string]balance.Ending{"Ok": balance.Succeeded, "Failed": balance.Failed,
-	"QueueFull": balance.Full, "TimedOut": balance.TimedOut, "ConnectError": balance.NoConnect,
-	"ResetByPeer": balance.Reset, "Canceled": balance.Canceled, "Ignored": balance.Ignored}
+var endings = map[string]balance.Outcome{"Ok": balance.Succeeded, "Failed": balance.Failed,
+	"QueueFull": balance.Rejected, "TimedOut": balance.TimedOut, "ConnectError": balance.ConnectFailed,
+	"ResetByPeer": balance.ConnectionReset, "Canceled": balance.Canceled, "Ignored": balance.Ignored}
 
-func (e event) ending() balance.Ending {
+func (e event) ending() balance.Outcome {
 	word := e.text("ending")
 	v, known := endings[word]
 	if !known {
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -121,28 +121,28 @@
 func (i *instance) event(kind string, e event) {
 	switch kind {
 	case "new-request":
-		i.b.Arrived(e.text("ref"), e.whole("lane"), e.optWhole("team"), e.optText("subject"), e.ms("budget-s"),
+		i.b.InvocationArrived(e.text("ref"), e.whole("lane"), e.optWhole("team"), e.optText("subject"), e.ms("budget-s"),
 			e.optMS("cost-s"), e.optBool("is-retry"), e.optBool("write"))
 	case "attempt-end":
-		i.b.Ended(e.text("ref"), e.whole("send-no"), e.node(), e.ending(), e.optMS("cost-time-s"),
+		i.b.DispatchEnded(e.text("ref"), e.whole("send-no"), e.node(), e.ending(), e.optMS("cost-time-s"),
 			e.bool("no-more"), e.load())
 	case "wake":
-		i.b.Woke(e.int64("handle"))
+		i.b.TimerFired(e.int64("handle"))
 	case "lapsed":
-		i.b.Lapsed(e.text("ref"))
+		i.b.ClientTimedOut(e.text("ref"))
 	case "established":
-		i.b.Began(e.text("ref"), e.whole("send-no"), e.node(), e.optMS("cost-time-s"))
+		i.b.ResponseStarted(e.text("ref"), e.whole("send-no"), e.node(), e.optMS("cost-time-s"))
 	case "topology":
 		form := e.text("form")
 		switch form {
 		case "error":
-			i.b.ListFailed()
+			i.b.NodeListFailed()
 		case "diff", "snapshot", "disk":
 			table := e.whole("table")
 			if table < 0 || table >= len(i.wire.rosters) {
 				panic(fault("field table: no such roster"))
 			}
-			i.b.Listed(form != "diff", i.wire.rosters[table])
+			i.b.NodesListed(form != "diff", i.wire.rosters[table])
 		default:
 			panic(fault("field form: unknown word " + strconv.Quote(form)))
 		}
@@ -157,17 +157,17 @@
 		if phase < 0 || phase > 3 {
 			panic(fault("field standing: out of range"))
 		}
-		i.b.Staged(e.whole("release"), e.whole("ring"), balance.Phase(phase), e.num("limit-share"),
+		i.b.StageUpdate(e.whole("release"), e.whole("ring"), balance.Phase(phase), e.num("limit-share"),
 			e.optMS("old-s"), reply)
 	case "metrics":
-		i.b.Tallied(e.whole("release"), e.whole("lane"), e.whole("samples"), e.whole("errors"),
+		i.b.BuildStats(e.whole("release"), e.whole("lane"), e.whole("samples"), e.whole("errors"),
 			e.optMS("cost-time-s"), e.optMS("old-s"))
 	case "reported-wrong":
-		i.b.Flagged(e.node(), e.whole("lane"), e.optMS("old-s"))
+		i.b.WrongAnswer(e.node(), e.whole("lane"), e.optMS("old-s"))
 	case "probe-done":
-		i.b.Probed(e.node(), e.ending(), e.optMS("cost-time-s"), e.load())
+		i.b.ProbeEnded(e.node(), e.ending(), e.optMS("cost-time-s"), e.load())
 	case "peer-data":
-		i.b.Told(e.whole("from"), e.text("content"))
+		i.b.PeerMessage(e.whole("from"), e.text("content"))
 	case "crash-now":
 		i.wire.instances[i.who] = nil
 	default:
@@ -297,12 +297,12 @@
 	i.end()
 }
 
-func (i *instance) Fetch() {
+func (i *instance) FetchNodes() {
 	i.act("pull")
 	i.end()
 }
 
-func (i *instance) Watch(on bool) {
+func (i *instance) WatchNodes(on bool) {
 	i.act("keep-informed")
 	i.name("active")
 	i.wire.out = strconv.AppendBool(i.wire.out, on)
@@ -317,16 +317,16 @@
 	i.end()
 }
 
-func (i *instance) Wake(after float64, handle int64) {
+func (i *instance) SetTimer(after float64, handle int64) {
 	i.act("timer")
 	i.seconds("delay-s", after)
 	i.int("handle", handle)
 	i.end()
 }
 
-func (i *instance) Tell(peer int, text string) {
+func (i *instance) SendToPeer(peer int, text string) {
 	i.act("write-peer")
-	if peer == balance.Everyone {
+	if peer == balance.AllPeers {
 		i.name("dst")
 		i.wire.out = append(i.wire.out, "null"...)
 	} else {
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -147,7 +147,7 @@
 			}
 		}
 	case rnd.IntN(3) == 0:
-		s.Phase, s.Cap = balance.GoingBack, 0
+		s.Phase, s.Cap = balance.RollingBack, 0
 	case s.Stage+1 < len(caps):
 		s.Stage++
 		s.Cap = caps[s.Stage]
--- a/internal/standin/conveyor.go
+++ b/internal/standin/conveyor.go
@@ -125,7 +125,7 @@
 
 func (c *Conveyor) back() {
 	ver := c.ver
-	c.phase = balance.GoingBack
+	c.phase = balance.RollingBack
 	c.Taken[ver] = true
 	c.changed(fmt.Sprintf("build %d sent back at stage %d", ver, c.stage))
 	c.Back(ver)
@@ -141,9 +141,9 @@
 		if v.ver != c.ver || now.After(v.until) {
 			continue
 		}
-		if v.verdict == balance.Back {
+		if v.verdict == balance.RollBack {
 			back++
-		} else if v.verdict == balance.On && v.stage == c.stage {
+		} else if v.verdict == balance.Advance && v.stage == c.stage {
 			on++
 		}
 	}
@@ -229,7 +229,7 @@
 		return err
 	}
 	answer := strconv.FormatUint(id, 10)
-	stands := ver == c.ver && (stage == c.stage || verdict == balance.Back || verdict == balance.NoVote)
+	stands := ver == c.ver && (stage == c.stage || verdict == balance.RollBack || verdict == balance.NoVote)
 	count := func() {
 		c.votes[l.marshal] = vote{ver, stage, verdict,
 			time.Now().Add(time.Duration(c.Rollout.VoteTtlMs * float64(time.Millisecond)))}
