--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -7,49 +7,49 @@
 )
 
 // calm is a Host that does nothing but keep time and run the instance's timers.
-type calm struct {
-	b     *Balancer
-	now   float64
-	wakes []struct {
+type benchHost struct {
+	b      *Balancer
+	now    float64
+	timers []struct {
 		at     float64
 		handle int64
 	}
-	node uint32
+	lastNode uint32
 }
 
-func (c *calm) Now() float64                           { return c.now }
-func (c *calm) Dispatch(_ string, n uint32, _ float64) { c.node = n }
-func (c *calm) Cancel(string, int)                     {}
-func (c *calm) Throttle(string, float64)               {}
-func (c *calm) Terminate(string)                       {}
-func (c *calm) Probe(uint32)                           {}
-func (c *calm) FetchNodes()                            {}
-func (c *calm) WatchNodes(bool)                        {}
-func (c *calm) Vote(int, int, Verdict)                 {}
-func (c *calm) SendToPeer(int, string)                 {}
-func (c *calm) Log(string)                             {}
-func (c *calm) SetTimer(after float64, handle int64) {
-	c.wakes = append(c.wakes, struct {
+func (c *benchHost) Now() float64                           { return c.now }
+func (c *benchHost) Dispatch(_ string, n uint32, _ float64) { c.lastNode = n }
+func (c *benchHost) Cancel(string, int)                     {}
+func (c *benchHost) Throttle(string, float64)               {}
+func (c *benchHost) Terminate(string)                       {}
+func (c *benchHost) Probe(uint32)                           {}
+func (c *benchHost) FetchNodes()                            {}
+func (c *benchHost) WatchNodes(bool)                        {}
+func (c *benchHost) Vote(int, int, Verdict)                 {}
+func (c *benchHost) SendToPeer(int, string)                 {}
+func (c *benchHost) Log(string)                             {}
+func (c *benchHost) SetTimer(after float64, handle int64) {
+	c.timers = append(c.timers, struct {
 		at     float64
 		handle int64
 	}{c.now + after, handle})
 }
 
-func (c *calm) pass(ms float64) {
+func (c *benchHost) advance(ms float64) {
 	c.now += ms
-	for i := 0; i < len(c.wakes); i++ {
-		if w := c.wakes[i]; w.at <= c.now {
-			c.wakes = append(c.wakes[:i], c.wakes[i+1:]...)
+	for i := 0; i < len(c.timers); i++ {
+		if w := c.timers[i]; w.at <= c.now {
+			c.timers = append(c.timers[:i], c.timers[i+1:]...)
 			i--
 			c.b.TimerFired(w.handle)
 		}
 	}
 }
 
-func calmly(nodes int, forward bool) *calm {
-	c := &calm{now: 1e6}
+func newBenchHost(nodes int, forwardOnly bool) *benchHost {
+	c := &benchHost{now: 1e6}
 	c.b = New(c, Settings{"limits.most-tries": 4.0, "discovery": "automatic", "rollout.counted-over-ms": 4000.0,
-		"rollout.allowance": 3.0, "rollout.cap-scope": "all", "rollout.shielded": 0.0, "rollout.forward-only": forward,
+		"rollout.allowance": 3.0, "rollout.cap-scope": "all", "rollout.shielded": 0.0, "rollout.forward-only": forwardOnly,
 		"rollout.most-shares": []float64{0.1, 1}, "rollout.stage-share": []float64{0.1, 1}, "prices.cross-zone": 0.1,
 		"operations": []Settings{{"repeat": "idempotent", "slo-ms": 500.0}}}, 7)
 	var list []Node
@@ -62,17 +62,17 @@
 }
 
 // invoke sends one invocation through, half a ms after the one before.
-func (c *calm) invoke(id, key string) {
+func (c *benchHost) invoke(id, key string) {
 	c.b.InvocationArrived(id, 0, 0, key, 1000, 0, false, false)
-	c.pass(0.5)
-	c.b.DispatchEnded(id, 0, c.node, Succeeded, 20, true, nil)
+	c.advance(0.5)
+	c.b.DispatchEnded(id, 0, c.lastNode, Succeeded, 20, true, nil)
 }
 
 // What one invocation costs the module: arrival, dispatch, answer and its part of the timers.
 func BenchmarkInvocation(b *testing.B) {
 	for _, nodes := range []int{15, 300, 3000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
-			c := calmly(nodes, false)
+			c := newBenchHost(nodes, false)
 			b.ReportAllocs()
 			for i := range b.N {
 				c.invoke(fmt.Sprint(i), "")
@@ -82,10 +82,10 @@
 }
 
 // An instance holds no more after hours of nodes, builds and keys that come and go than after minutes.
-func TestForgets(t *testing.T) {
-	c := calmly(20, true)
+func TestStateBounded(t *testing.T) {
+	c := newBenchHost(20, true)
 	size := func() int {
-		return len(c.b.nodes) + len(c.b.order) + len(c.b.bound) + len(c.b.posteriors) + len(c.b.exposed)
+		return len(c.b.nodes) + len(c.b.nodesByID) + len(c.b.minVerByKey) + len(c.b.posteriors) + len(c.b.exposures)
 	}
 	heap := func() int64 {
 		runtime.GC()
@@ -93,7 +93,7 @@
 		runtime.ReadMemStats(&m)
 		return int64(m.HeapAlloc)
 	}
-	next, ver, early, bytes := uint32(1000), 1, 0, int64(0)
+	next, ver, earlySize, earlyHeap := uint32(1000), 1, 0, int64(0)
 	for minute := range 120 {
 		if minute%10 == 5 { // a build comes, on every node, and is released
 			ver++
@@ -101,7 +101,7 @@
 		}
 		for range 300 {
 			c.invoke(fmt.Sprint(c.now), fmt.Sprint("key", c.now))
-			c.pass(190)
+			c.advance(190)
 		}
 		var list []Node
 		for range 20 {
@@ -111,22 +111,22 @@
 		c.b.NodesListed(true, list)
 		c.b.StageUpdate(ver, 1, Released, 1, 0, false)
 		if minute == 20 {
-			early, bytes = size(), heap()
+			earlySize, earlyHeap = size(), heap()
 		}
 	}
-	if late := size(); late > early+20 {
-		t.Errorf("it held %d things after 20 minutes and %d after two hours", early, late)
+	if lateSize := size(); lateSize > earlySize+20 {
+		t.Errorf("it held %d things after 20 minutes and %d after two hours", earlySize, lateSize)
 	}
-	if more := heap() - bytes; more > 1<<20 {
-		t.Errorf("its heap grew by %d bytes from 20 minutes to two hours", more)
+	if growth := heap() - earlyHeap; growth > 1<<20 {
+		t.Errorf("its heap grew by %d bytes from 20 minutes to two hours", growth)
 	}
 	runtime.KeepAlive(c)
-	for ver, s := range c.b.exposed {
-		if len(s.at) > 2000 {
-			t.Errorf("%d sends to build %v are remembered", len(s.at), ver)
+	for ver, s := range c.b.exposures {
+		if len(s.times) > 2000 {
+			t.Errorf("%d sends to build %v are remembered", len(s.times), ver)
 		}
 	}
-	if c.b.floor != ver {
-		t.Errorf("the floor is build %d, not %d", c.b.floor, ver)
+	if c.b.minVer != ver {
+		t.Errorf("the floor is build %d, not %d", c.b.minVer, ver)
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -2,10 +2,10 @@
 
 import "fmt"
 
-func well(uint32) Outcome { return Succeeded }
+func succeed(uint32) Outcome { return Succeeded }
 
 // failing makes one node fail all it is sent.
-func failing(bad uint32) func(uint32) Outcome {
+func failOn(bad uint32) func(uint32) Outcome {
 	return func(node uint32) Outcome {
 		if node == bad {
 			return Failed
@@ -15,14 +15,14 @@
 }
 
 // trial brings build 2 to stage 0 on node 9, which started age ms ago.
-func (s *stand) trial(age float64) {
+func (s *exampleHost) startTrial(age float64) {
 	s.b.NodesListed(false, []Node{{ID: 9, Ver: 2, Size: 1, Started: s.now - age}})
 	s.b.StageUpdate(2, 0, OnTrial, 0.1, 0, false)
 }
 
 // An idempotent invocation that fails goes again; once its tries are used up it is throttled.
 func Example_idempotent() {
-	s := begin("idempotent", nil)
+	s := newExample("idempotent", nil)
 	s.arrive("a")
 	for range 4 {
 		s.end("a", Failed)
@@ -37,7 +37,7 @@
 
 // A side-effecting one goes again only after a dispatch that provably never ran.
 func Example_sideEffecting() {
-	s := begin("side-effecting", nil)
+	s := newExample("side-effecting", nil)
 	s.arrive("a")
 	s.end("a", Rejected)
 	s.end("a", Failed)
@@ -52,13 +52,13 @@
 
 // A fingerprinted one that may have run goes again in its zone only, and only while the nodes remember it.
 func Example_fingerprinted() {
-	s := begin("fingerprinted", nil)
+	s := newExample("fingerprinted", nil)
 	s.arrive("a")
 	s.end("a", Failed)
 	s.end("a", ConnectionReset)
 	fmt.Println("the next one is answered after the memory window")
 	s.b.InvocationArrived("b", 0, 0, "", 9000, 0, false, false)
-	s.until(s.now + 3001)
+	s.advanceTo(s.now + 3001)
 	s.end("b", TimedOut)
 	// Output:
 	// 100000  dispatch a to node 1
@@ -73,17 +73,17 @@
 
 // With every node gone an invocation is held, and throttled while its client still waits.
 func Example_nowhereToGo() {
-	s := begin("side-effecting", nil)
+	s := newExample("side-effecting", nil)
 	s.b.NodesListed(true, nil)
 	s.arrive("a")
-	s.until(s.now + 1000)
+	s.advanceTo(s.now + 1000)
 	// Output:
 	// 100380  throttle a
 }
 
 // Nothing new goes to a node that drains.
 func Example_drain() {
-	s := begin("idempotent", nil)
+	s := newExample("idempotent", nil)
 	s.b.NodesListed(false, []Node{{ID: 1, Ver: 1, Health: Draining}, {ID: 2, Ver: 1, Health: Gone},
 		{ID: 3, Ver: 1, Health: Draining}})
 	s.arrive("a")
@@ -95,12 +95,12 @@
 
 // A node that has just started gets little, whatever is in flight elsewhere; a warm one gets its part.
 func Example_coldNode() {
-	s := begin("idempotent", Settings{"rules.fall-multiple": 1.0})
-	s.serve(300, "w", well)
+	s := newExample("idempotent", Settings{"rules.fall-multiple": 1.0})
+	s.run(300, "w", succeed)
 	for _, age := range []float64{0, 6000} {
 		s.b.NodesListed(false, []Node{{ID: 5, Ver: 1, Size: 1, Started: s.now - age}})
 		count := 0
-		s.serve(50, fmt.Sprint("x", age, "-"), func(node uint32) Outcome {
+		s.run(50, fmt.Sprint("x", age, "-"), func(node uint32) Outcome {
 			if node == 5 {
 				count++
 			}
@@ -114,10 +114,10 @@
 }
 
 // A node that fails where the others do not is left out; its build's other nodes are not.
-func Example_sickNode() {
-	s := begin("idempotent", nil)
+func Example_outlierNode() {
+	s := newExample("idempotent", nil)
 	count := 0
-	s.serve(200, "w", func(node uint32) Outcome {
+	s.run(200, "w", func(node uint32) Outcome {
 		if node == 2 {
 			count++
 			return Failed
@@ -130,10 +130,10 @@
 }
 
 // A node that answers nothing for seven mean latencies is left; its invocation goes elsewhere.
-func Example_silentNode() {
-	s := begin("idempotent", nil)
+func Example_unresponsiveNode() {
+	s := newExample("idempotent", nil)
 	s.arrive("a")
-	s.until(s.now + 900)
+	s.advanceTo(s.now + 900)
 	s.end("a", Canceled)
 	s.end("a", Succeeded)
 	// Output:
@@ -144,11 +144,11 @@
 
 // What is out stays within what the fleet answers in half the SLO time; the rest is throttled at once.
 func Example_overload() {
-	s := begin("idempotent", nil)
-	s.serve(100, "w", well)
-	s.mute = true
+	s := newExample("idempotent", nil)
+	s.run(100, "w", succeed)
+	s.quiet = true
 	for i := range 40 {
-		s.mute = i != 0 && i != 39
+		s.quiet = i != 0 && i != 39
 		s.arrive(fmt.Sprint("x", i))
 	}
 	// Output:
@@ -161,14 +161,14 @@
 	op := func(worth float64) Settings {
 		return Settings{"repeat": "idempotent", "slo-ms": 500.0, "billed-value": worth}
 	}
-	s := begin("", Settings{"worth-by": "work", "operations": []Settings{op(1), op(5)}})
-	s.serve(100, "w", well)
-	s.mute = true
+	s := newExample("", Settings{"worth-by": "work", "operations": []Settings{op(1), op(5)}})
+	s.run(100, "w", succeed)
+	s.quiet = true
 	count := [2]int{}
 	for i := range 60 {
 		inv := fmt.Sprint("x", i)
 		s.b.InvocationArrived(inv, i%2, 0, "", 1000, 0, false, false)
-		count[i%2] += s.sent[inv]
+		count[i%2] += s.dispatches[inv]
 	}
 	fmt.Println("dispatched of 30 each:", count)
 	// Output:
@@ -178,11 +178,11 @@
 // The trial build gets no more than allowance and cap allow; in a shielded stage only what is idempotent.
 func Example_exposure() {
 	for _, shielded := range []float64{0, 1} {
-		s := begin("side-effecting", Settings{"rollout.shielded": shielded})
-		s.serve(300, "w", well)
-		s.trial(6000)
+		s := newExample("side-effecting", Settings{"rollout.shielded": shielded})
+		s.run(300, "w", succeed)
+		s.startTrial(6000)
 		count := 0
-		s.serve(200, "x", func(node uint32) Outcome {
+		s.run(200, "x", func(node uint32) Outcome {
 			if node == 9 {
 				count++
 			}
@@ -200,8 +200,8 @@
 // Where the cap counts by operation, what one operation leaves is not the other's.
 func Example_exposureByOperation() {
 	op := Settings{"repeat": "idempotent", "slo-ms": 500.0}
-	s := begin("", Settings{"rollout.cap-scope": "each_class", "operations": []Settings{op, op}})
-	s.until(s.now + 5000)
+	s := newExample("", Settings{"rollout.cap-scope": "each_class", "operations": []Settings{op, op}})
+	s.advanceTo(s.now + 5000)
 	s.b.NodesListed(true, []Node{{ID: 9, Ver: 2, Size: 1}})
 	s.b.StageUpdate(2, 0, OnTrial, 0.1, 0, false)
 	for i := range 4 {
@@ -214,7 +214,7 @@
 
 // A marshal that has just started may have used its allowance up before: at first only the cap counts.
 func Example_restart() {
-	s := begin("idempotent", nil)
+	s := newExample("idempotent", nil)
 	s.b.NodesListed(true, []Node{{ID: 9, Ver: 2, Size: 1}})
 	s.b.StageUpdate(2, 0, OnTrial, 0.5, 0, false)
 	s.arrive("a")
@@ -226,20 +226,20 @@
 
 // A build that the news do not name yet counts as in the first stage; at cap 0 nothing goes there.
 func Example_unannounced() {
-	s := begin("idempotent", nil)
-	s.serve(300, "w", well)
+	s := newExample("idempotent", nil)
+	s.run(300, "w", succeed)
 	s.b.NodesListed(true, []Node{{ID: 9, Ver: 2, Size: 1}})
-	s.mute = true
+	s.quiet = true
 	for i := range 40 {
 		s.arrive(fmt.Sprint("x", i))
-		s.until(s.now + 20)
+		s.advanceTo(s.now + 20)
 	}
-	fmt.Println("of 40, with only the unannounced build listed:", len(s.where)-300)
-	s.until(s.now + 1000)
+	fmt.Println("of 40, with only the unannounced build listed:", len(s.lastNode)-300)
+	s.advanceTo(s.now + 1000)
 	s.b.StageUpdate(2, 0, RollingBack, 0, 0, false)
-	s.mute = false
+	s.quiet = false
 	s.arrive("y")
-	s.until(s.now + 1000)
+	s.advanceTo(s.now + 1000)
 	// Output:
 	// of 40, with only the unannounced build listed: 21
 	// 108260  throttle y
@@ -247,18 +247,18 @@
 
 // A key that the new build has answered goes to no earlier one until the build goes back.
 func Example_forwardOnly() {
-	s := begin("idempotent", Settings{"rollout.forward-only": true})
+	s := newExample("idempotent", Settings{"rollout.forward-only": true})
 	s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Size: 1}})
 	s.b.StageUpdate(2, 1, OnTrial, 1, 0, false)
-	s.until(s.now + 5000)
+	s.advanceTo(s.now + 5000)
 	s.b.NodesListed(false, []Node{{ID: 1, Ver: 1, Size: 1, Health: Draining}})
 	s.arrive("k")
 	s.end("k", Succeeded)
 	s.b.NodesListed(false, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Health: Draining}})
 	s.b.InvocationArrived("again", 0, 0, "kk", 1000, 0, false, false)
-	s.until(s.now + 100)
+	s.advanceTo(s.now + 100)
 	s.b.StageUpdate(2, 1, RollingBack, 0, 0, false)
-	s.until(s.now + 100)
+	s.advanceTo(s.now + 100)
 	// Output:
 	// 104000  vote on on build 2 at stage 1
 	// 105000  dispatch k to node 9
@@ -266,9 +266,9 @@
 }
 
 // News that an earlier build went back, late, free no key that a later build has answered already.
-func Example_lateNews() {
-	s := begin("idempotent", Settings{"rollout.forward-only": true})
-	s.until(s.now + 5000)
+func Example_lateStageUpdate() {
+	s := newExample("idempotent", Settings{"rollout.forward-only": true})
+	s.advanceTo(s.now + 5000)
 	s.b.NodesListed(true, []Node{{ID: 9, Ver: 3, Size: 1}})
 	s.b.StageUpdate(2, 0, OnTrial, 0.1, 0, false)
 	s.arrive("w")
@@ -276,31 +276,31 @@
 	s.b.StageUpdate(2, 0, Withdrawn, 0, 0, false)
 	s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}})
 	s.b.InvocationArrived("again", 0, 0, "kw", 1000, 0, false, false)
-	s.until(s.now + 100)
+	s.advanceTo(s.now + 100)
 	s.b.StageUpdate(3, 0, RollingBack, 0, 0, false)
-	s.until(s.now + 60)
+	s.advanceTo(s.now + 60)
 	// Output:
 	// 105000  dispatch w to node 9
 	// 105120  dispatch again to node 1
 }
 
 // A build that fails is voted back.
-func Example_back() {
-	s := begin("idempotent", nil)
-	s.serve(300, "w", well)
-	s.trial(6000)
-	s.serve(300, "x", failing(9))
+func Example_rollBack() {
+	s := newExample("idempotent", nil)
+	s.run(300, "w", succeed)
+	s.startTrial(6000)
+	s.run(300, "x", failOn(9))
 	// Output:
 	// 107500  vote back on build 2 at stage 0
 }
 
 // Without a verdict the vote is on after 4 s of a stage, and again when it has lapsed.
 func Example_onAfterFourSeconds() {
-	s := begin("idempotent", nil)
-	s.trial(6000)
-	s.until(s.now + 4600)
+	s := newExample("idempotent", nil)
+	s.startTrial(6000)
+	s.advanceTo(s.now + 4600)
 	s.b.StageUpdate(2, 0, OnTrial, 0.1, 4600, true)
-	s.until(s.now + 4500)
+	s.advanceTo(s.now + 4500)
 	// Output:
 	// 104000  vote on on build 2 at stage 0
 	// 108500  vote on on build 2 at stage 0
@@ -308,23 +308,23 @@
 
 // A build that fails nothing but needs three times the work goes back, if its nodes say so and it is seen.
 func Example_heavierBuild() {
-	for _, times := range []float64{1, 3} {
-		s := begin("idempotent", Settings{"rollout.allowance": 40.0})
+	for _, factor := range []float64{1, 3} {
+		s := newExample("idempotent", Settings{"rollout.allowance": 40.0})
 		work := func(node uint32) float64 {
 			if node > 8 {
-				return times * 50
+				return factor * 50
 			}
 			return 50
 		}
-		s.took = work
-		s.tells = func(node uint32) map[string]float64 {
+		s.latencyMs = work
+		s.loadReport = func(node uint32) map[string]float64 {
 			return map[string]float64{"service-ms": work(node), "rate": 10}
 		}
-		s.serve(300, "w", well)
+		s.run(300, "w", succeed)
 		s.b.NodesListed(false, []Node{{ID: 10, Ver: 2, Size: 1, Started: s.now - 9000}})
-		s.trial(9000)
-		fmt.Printf("%.0f times the work\n", times)
-		s.serve(100, "x", well)
+		s.startTrial(9000)
+		fmt.Printf("%.0f times the work\n", factor)
+		s.run(100, "x", succeed)
 	}
 	// Output:
 	// 1 times the work
@@ -335,21 +335,21 @@
 
 // Trouble that begins under a build and lasts sends it back, though both builds are late alike, if the
 // platform's counts say that the whole fleet takes twice as long and more. It is thrice here.
-func Example_troubleUnderBuild() {
-	for _, times := range []float64{1, 3} {
-		s := begin("idempotent", nil)
-		s.serve(300, "w", well)
-		s.trial(6000)
-		for i, mean := range []float64{50, 50 * times, 50 * times, 50 * times} {
+func Example_degradationUnderBuild() {
+	for _, factor := range []float64{1, 3} {
+		s := newExample("idempotent", nil)
+		s.run(300, "w", succeed)
+		s.startTrial(6000)
+		for i, mean := range []float64{50, 50 * factor, 50 * factor, 50 * factor} {
 			s.b.StageUpdate(2, 0, OnTrial, 0.1, float64(5000*i), true)
 			s.b.BuildStats(1, 0, 100, 0, mean, 500)
 			s.b.BuildStats(2, 0, 100, 0, mean, 500)
-			s.serve(40, fmt.Sprint("y", i, "-"), func(uint32) Outcome {
-				s.until(s.now + 300*(times-1)*min(1, float64(i)))
+			s.run(40, fmt.Sprint("y", i, "-"), func(uint32) Outcome {
+				s.advanceTo(s.now + 300*(factor-1)*min(1, float64(i)))
 				return Succeeded
 			})
 		}
-		fmt.Printf("%.0f times\n", times)
+		fmt.Printf("%.0f times\n", factor)
 	}
 	// Output:
 	// 107000  vote on on build 2 at stage 0
@@ -362,12 +362,12 @@
 // Of a hundred marshals none is sure by itself: one with bad luck waits for what the fleet counts.
 func Example_fleetAgrees() {
 	for _, failed := range []int{1, 20} {
-		s := begin("idempotent", Settings{"marshals": 100.0})
-		s.serve(300, "w", well)
-		s.trial(6000)
+		s := newExample("idempotent", Settings{"marshals": 100.0})
+		s.run(300, "w", succeed)
+		s.startTrial(6000)
 		s.b.BuildStats(1, 0, 900, 9, 50, 500)
 		s.b.BuildStats(2, 0, 100, failed, 50, 500)
-		s.serve(150, "x", failing(9))
+		s.run(150, "x", failOn(9))
 		fmt.Printf("%d of 100 counted as failed\n", failed)
 	}
 	// Output:
@@ -378,14 +378,14 @@
 
 // Peers' counts do the same where marshals may tell each other; what makes no sense of it is dropped.
 func Example_peersAgree() {
-	for _, told := range []string{"2 999 1 990 9", "2 80 20 990 9"} {
-		s := begin("idempotent", Settings{"marshals": 100.0, "limits.may-tell": true})
-		s.serve(300, "w", well)
-		s.trial(6000)
-		s.b.PeerMessage(5, told)
+	for _, message := range []string{"2 999 1 990 9", "2 80 20 990 9"} {
+		s := newExample("idempotent", Settings{"marshals": 100.0, "limits.may-tell": true})
+		s.run(300, "w", succeed)
+		s.startTrial(6000)
+		s.b.PeerMessage(5, message)
 		s.b.PeerMessage(5, "2 80 x")
-		s.serve(100, "x", failing(9))
-		fmt.Println(told)
+		s.run(100, "x", failOn(9))
+		fmt.Println(message)
 	}
 	// Output:
 	// 106500  tell -1 "2 0 0 25 0"
@@ -397,9 +397,9 @@
 
 // Once new connections fail often, nodes whose connection is known to work are kept to.
 func Example_knownConnections() {
-	s := begin("idempotent", nil)
+	s := newExample("idempotent", nil)
 	count := map[uint32]int{}
-	s.serve(100, "w", func(node uint32) Outcome {
+	s.run(100, "w", func(node uint32) Outcome {
 		count[node]++
 		if node > 2 {
 			return ConnectFailed
@@ -412,18 +412,18 @@
 }
 
 // Traffic crosses to another zone once that answers more in time by more than crossing costs.
-func Example_crossing() {
-	for _, took := range []float64{50, 700} {
-		s := begin("idempotent", Settings{"prices.cross-zone": 0.1})
-		s.took = func(node uint32) float64 {
+func Example_crossZone() {
+	for _, tookMs := range []float64{50, 700} {
+		s := newExample("idempotent", Settings{"prices.cross-zone": 0.1})
+		s.latencyMs = func(node uint32) float64 {
 			if node < 3 {
-				return took
+				return tookMs
 			}
 			return 50
 		}
-		far := 0
-		s.serve(200, "w", func(node uint32) Outcome { far += int(node) / 3; return Succeeded })
-		fmt.Printf("%.0f ms here: %d of 200 cross\n", took, far)
+		crossed := 0
+		s.run(200, "w", func(node uint32) Outcome { crossed += int(node) / 3; return Succeeded })
+		fmt.Printf("%.0f ms here: %d of 200 cross\n", tookMs, crossed)
 	}
 	// Output:
 	// 50 ms here: 0 of 200 cross
@@ -432,13 +432,13 @@
 
 // A marshal that stood still takes what it finds then as evidence of nothing: no node is left for silence.
 func Example_ownStall() {
-	s := begin("idempotent", nil)
-	s.serve(20, "w", well)
+	s := newExample("idempotent", nil)
+	s.run(20, "w", succeed)
 	s.arrive("a")
 	s.now += 2000
-	s.b.TimerFired(wakeSilent)
+	s.b.TimerFired(timerCheck)
 	s.end("a", TimedOut)
-	fmt.Println("failures known:", s.b.posterior(1)[1].bad)
+	fmt.Println("failures known:", s.b.posterior(1)[1].failures)
 	// Output:
 	// 100400  dispatch a to node 2
 	// 102400  throttle a
@@ -449,19 +449,19 @@
 func Example_coldNodeOfMany() {
 	sent := 0
 	for i := range 100 {
-		s := begin("idempotent", Settings{"marshals": 100.0})
-		s.b = New(s, s.b.set, uint64(i))
+		s := newExample("idempotent", Settings{"marshals": 100.0})
+		s.b = New(s, s.b.settings, uint64(i))
 		s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}})
 		s.b.StageUpdate(1, 0, Released, 1, 60000, false)
 		for k := range 8 { // one in 500 ms: a warm node does one a second for each marshal
-			s.mute = true
+			s.quiet = true
 			s.arrive(fmt.Sprint("w", k))
 			s.end(fmt.Sprint("w", k), Succeeded)
-			s.until(s.now + 500)
+			s.advanceTo(s.now + 500)
 		}
 		s.b.NodesListed(true, []Node{{ID: 5, Ver: 1, Size: 1, Started: s.now}})
 		s.arrive("x")
-		sent += s.sent["x"]
+		sent += s.dispatches["x"]
 	}
 	fmt.Println("of 100 marshals", sent, "send it one; its budget is 51")
 	// Output:
@@ -469,23 +469,23 @@
 }
 
 // One failing node of two does not send its build back.
-func Example_oneSickTrialNode() {
-	s := begin("idempotent", Settings{"rollout.allowance": 40.0})
-	s.serve(300, "w", well)
+func Example_oneOutlierTrialNode() {
+	s := newExample("idempotent", Settings{"rollout.allowance": 40.0})
+	s.run(300, "w", succeed)
 	s.b.NodesListed(false, []Node{{ID: 10, Ver: 2, Size: 1}})
-	s.trial(6000)
-	s.serve(250, "x", failing(10))
+	s.startTrial(6000)
+	s.run(250, "x", failOn(10))
 	// Output:
 	// 107000  vote on on build 2 at stage 0
 }
 
 // Errors are seen through the time-outs of an overloaded fleet.
 func Example_errorsUnderLoad() {
-	s := begin("side-effecting", Settings{"rollout.allowance": 40.0})
+	s := newExample("side-effecting", Settings{"rollout.allowance": 40.0})
 	i := 0
-	s.serve(900, "w", func(uint32) Outcome { i++; return []Outcome{Succeeded, TimedOut}[i%10/9] })
-	s.trial(6000)
-	s.serve(400, "x", func(node uint32) Outcome {
+	s.run(900, "w", func(uint32) Outcome { i++; return []Outcome{Succeeded, TimedOut}[i%10/9] })
+	s.startTrial(6000)
+	s.run(400, "x", func(node uint32) Outcome {
 		i++
 		if node == 9 && i%7 == 0 {
 			return Failed
@@ -498,13 +498,13 @@
 
 // The cap of a stage comes before its nodes do: those listed get their part of it, not all.
 func Example_shareFollowsList() {
-	s := begin("idempotent", Settings{"rollout.stage-share": []float64{0.8, 1}, "rollout.allowance": 500.0})
-	s.serve(300, "w", well)
+	s := newExample("idempotent", Settings{"rollout.stage-share": []float64{0.8, 1}, "rollout.allowance": 500.0})
+	s.run(300, "w", succeed)
 	s.b.NodesListed(false, []Node{{ID: 9, Ver: 2, Size: 1}})
 	s.b.StageUpdate(2, 0, OnTrial, 1, 0, false)
-	s.until(s.now + 3000)
+	s.advanceTo(s.now + 3000)
 	count := 0
-	s.serve(200, "x", func(node uint32) Outcome {
+	s.run(200, "x", func(node uint32) Outcome {
 		if node == 9 {
 			count++
 		}
@@ -518,11 +518,11 @@
 
 // A trial node with much more in flight than an earlier one gives way to it.
 func Example_busyTrialNode() {
-	s := begin("idempotent", Settings{"rollout.allowance": 500.0, "rollout.stage-share": []float64{0.2, 1}})
-	s.serve(300, "w", well)
+	s := newExample("idempotent", Settings{"rollout.allowance": 500.0, "rollout.stage-share": []float64{0.2, 1}})
+	s.run(300, "w", succeed)
 	s.b.NodesListed(false, []Node{{ID: 9, Ver: 2, Size: 1}})
 	s.b.StageUpdate(2, 0, OnTrial, 1, 0, false)
-	s.until(s.now + 3000)
+	s.advanceTo(s.now + 3000)
 	for i := range 6 {
 		s.arrive(fmt.Sprint("x", i))
 	}
@@ -537,12 +537,12 @@
 
 // A failed vote is tried again later, never at once; one that timed out may count and stands for a while.
 func Example_voteNotAnswered() {
-	for _, how := range []Outcome{Failed, TimedOut} {
-		s := begin("idempotent", nil)
-		s.trial(6000)
-		s.until(s.now + 4600)
-		s.b.VoteFailed(how)
-		s.until(s.now + 2500)
+	for _, outcome := range []Outcome{Failed, TimedOut} {
+		s := newExample("idempotent", nil)
+		s.startTrial(6000)
+		s.advanceTo(s.now + 4600)
+		s.b.VoteFailed(outcome)
+		s.advanceTo(s.now + 2500)
 	}
 	// Output:
 	// 104000  vote on on build 2 at stage 0
@@ -553,12 +553,12 @@
 
 // Where stages move by a clock it is held while the build looks worse, and never for want of outcomes.
 func Example_clock() {
-	s := begin("idempotent", Settings{"rollout.gate-mode": "clock"})
-	s.serve(300, "w", well)
-	s.trial(6000)
-	s.until(s.now + 5000)
+	s := newExample("idempotent", Settings{"rollout.gate-mode": "clock"})
+	s.run(300, "w", succeed)
+	s.startTrial(6000)
+	s.advanceTo(s.now + 5000)
 	n := 0
-	s.serve(200, "x", func(node uint32) Outcome {
+	s.run(200, "x", func(node uint32) Outcome {
 		if node != 9 {
 			return Succeeded
 		}
@@ -574,10 +574,10 @@
 
 // The list is watched where it has to be asked for, and asked for again when that fails.
 func Example_watch() {
-	s := begin("idempotent", Settings{"discovery": "subscribe"})
+	s := newExample("idempotent", Settings{"discovery": "subscribe"})
 	s.b.NodeListFailed()
 	s.b.NodeListFailed()
-	s.until(s.now + 4000)
+	s.advanceTo(s.now + 4000)
 	// Output:
 	// 100000  watch the list
 	// 102191  watch the list
@@ -586,13 +586,13 @@
 // Invocations that err at every node are at fault themselves; a build that errs where others do not is not spared.
 func Example_badRequests() {
 	for _, everywhere := range []bool{true, false} {
-		s := begin("idempotent", nil)
-		s.serve(300, "w", well)
+		s := newExample("idempotent", nil)
+		s.run(300, "w", succeed)
 		s.b.NodesListed(true, []Node{{ID: 9, Ver: 2, Size: 1}, {ID: 10, Ver: 2, Size: 1}})
 		s.b.StageUpdate(2, 1, Released, 1, 0, false)
 		i := 0
 		for n := range 300 {
-			s.serve(1, fmt.Sprint("x", n, "-"), func(uint32) Outcome {
+			s.run(1, fmt.Sprint("x", n, "-"), func(uint32) Outcome {
 				i++
 				return []Outcome{Succeeded, Failed}[map[bool]int{true: n % 3 / 2, false: i % 3 / 2}[everywhere]]
 			})
@@ -606,17 +606,17 @@
 }
 
 // queue has an invocation arrive every so many ms for a while, and the oldest dispatch answered every so many.
-func (s *stand) queue(name string, lasts, every, answers float64) {
+func (s *exampleHost) runQueue(name string, durationMs, arrivalMs, answerMs float64) {
 	var open []string
 	from, n := s.now, 0.0
-	for s.mute = true; s.now < from+lasts; s.until(s.now + 10) {
-		for ; n*every <= s.now-from; n++ {
+	for s.quiet = true; s.now < from+durationMs; s.advanceTo(s.now + 10) {
+		for ; n*arrivalMs <= s.now-from; n++ {
 			inv := fmt.Sprint(name, n)
-			if s.arrive(inv); s.sent[inv] > 0 {
+			if s.arrive(inv); s.dispatches[inv] > 0 {
 				open = append(open, inv)
 			}
 		}
-		if len(open) > 0 && int(s.now-from)%int(answers) == 0 {
+		if len(open) > 0 && int(s.now-from)%int(answerMs) == 0 {
 			s.end(open[0], Succeeded)
 			open = open[1:]
 		}
@@ -624,30 +624,30 @@
 	for _, inv := range open {
 		s.end(inv, Succeeded)
 	}
-	s.mute = false
+	s.quiet = false
 }
 
 // A build under which the fleet answers less goes back, though both builds are slow alike; not so in a burst, in which
 // more comes and no less is answered, nor in trouble that began before the build.
-func Example_fleetSags() {
-	for _, what := range []string{"the fleet sags", "a burst", "it sagged before"} {
-		s := begin("idempotent", Settings{"rollout.stage-share": []float64{0.1, 1, 1}})
-		s.queue("w", 10000, 20, 20)
-		if what == "it sagged before" {
-			s.queue("v", 3000, 20, 100)
+func Example_throughputDrops() {
+	for _, scenario := range []string{"the fleet sags", "a burst", "it sagged before"} {
+		s := newExample("idempotent", Settings{"rollout.stage-share": []float64{0.1, 1, 1}})
+		s.runQueue("w", 10000, 20, 20)
+		if scenario == "it sagged before" {
+			s.runQueue("v", 3000, 20, 100)
 		}
-		s.trial(6000)
-		switch what {
+		s.startTrial(6000)
+		switch scenario {
 		case "the fleet sags":
-			s.queue("x", 1000, 20, 20)
-			s.queue("y", 6000, 20, 100)
+			s.runQueue("x", 1000, 20, 20)
+			s.runQueue("y", 6000, 20, 100)
 		case "a burst":
-			s.queue("x", 1000, 20, 20)
-			s.queue("y", 6000, 10, 20)
+			s.runQueue("x", 1000, 20, 20)
+			s.runQueue("y", 6000, 10, 20)
 		default:
-			s.queue("y", 6000, 20, 100)
+			s.runQueue("y", 6000, 20, 100)
 		}
-		fmt.Println(what)
+		fmt.Println(scenario)
 	}
 	// Output:
 	// 113500  vote back on build 2 at stage 0
@@ -659,21 +659,21 @@
 }
 
 // What is given up does not widen the bound on what is out: a fleet that answers nothing gets no more for it.
-func Example_givenUpIsNoPace() {
-	s := begin("idempotent", nil)
-	s.queue("w", 10000, 20, 20)
-	for _, how := range []Outcome{Succeeded, TimedOut} {
-		s.mute = true
+func Example_abandonedNotCounted() {
+	s := newExample("idempotent", nil)
+	s.runQueue("w", 10000, 20, 20)
+	for _, outcome := range []Outcome{Succeeded, TimedOut} {
+		s.quiet = true
 		for i := range 100 {
-			inv := fmt.Sprint(how, "-", i)
-			if s.arrive(inv); s.sent[inv] > 0 {
-				s.b.DispatchEnded(inv, 0, s.where[inv], how, 900, true, nil)
+			inv := fmt.Sprint(outcome, "-", i)
+			if s.arrive(inv); s.dispatches[inv] > 0 {
+				s.b.DispatchEnded(inv, 0, s.lastNode[inv], outcome, 900, true, nil)
 			}
-			s.until(s.now + 10)
+			s.advanceTo(s.now + 10)
 		}
-		s.mute = false
-		s.until(s.now + 400)
-		fmt.Printf("%.3f answered a ms, %.0f ended a second\n", s.b.pace, s.b.flow)
+		s.quiet = false
+		s.advanceTo(s.now + 400)
+		fmt.Printf("%.3f answered a ms, %.0f ended a second\n", s.b.answerRate, s.b.throughput)
 	}
 	// Output:
 	// 0.100 answered a ms, 100 ended a second
@@ -682,14 +682,14 @@
 
 // Where lost nodes, still listed as serving, are all that is left of the earlier build, the build on trial takes what
 // its cap allows.
-func Example_lostNodesLeft() {
-	s := begin("idempotent", nil)
-	s.serve(200, "w", well)
+func Example_unreachableNodesLeft() {
+	s := newExample("idempotent", nil)
+	s.run(200, "w", succeed)
 	s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Size: 1}, {ID: 10, Ver: 2, Size: 1}})
 	s.b.StageUpdate(2, 1, OnTrial, 1, 0, false)
 	lost, served := 0, 0
 	for i := range 300 {
-		s.serve(1, fmt.Sprint("x", i, "-"), func(node uint32) Outcome {
+		s.run(1, fmt.Sprint("x", i, "-"), func(node uint32) Outcome {
 			if node < 9 {
 				lost++
 				return ConnectFailed
@@ -706,21 +706,21 @@
 
 // While the fleet is overloaded, what would be turned away tries a trial node that has nothing to do.
 func Example_idleTrialNode() {
-	s := begin("idempotent", Settings{"rollout.most-shares": []float64{1}})
-	s.serve(200, "w", well)
+	s := newExample("idempotent", Settings{"rollout.most-shares": []float64{1}})
+	s.run(200, "w", succeed)
 	s.b.NodesListed(false, []Node{{ID: 9, Ver: 2, Size: 1}})
 	s.b.StageUpdate(2, 0, OnTrial, 0.1, 0, false)
-	s.mute = true
+	s.quiet = true
 	for i := range 30 {
 		s.arrive(fmt.Sprint("x", i))
 	}
 	on9 := 0
-	for _, n := range s.where {
+	for _, n := range s.lastNode {
 		if n == 9 {
 			on9++
 		}
 	}
-	fmt.Println("sent", len(s.where)-200, "to the trial node", on9)
+	fmt.Println("sent", len(s.lastNode)-200, "to the trial node", on9)
 	// Output:
 	// sent 16 to the trial node 1
 }
--- a/balance/host.go
+++ b/balance/host.go
@@ -20,16 +20,16 @@
 // Module is what can happen to an instance: a Balancer's methods.
 type Module interface {
 	InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool)
-	DispatchEnded(id string, no int, node uint32, how Outcome, took float64, done bool, report map[string]float64)
-	ResponseStarted(id string, no int, node uint32, took float64)
+	DispatchEnded(id string, attempt int, node uint32, outcome Outcome, tookMs float64, done bool, report map[string]float64)
+	ResponseStarted(id string, attempt int, node uint32, tookMs float64)
 	ClientTimedOut(id string)
 	NodesListed(whole bool, list []Node)
 	NodeListFailed()
 	StageUpdate(ver, stage int, phase Phase, cap, age float64, reply bool)
-	VoteFailed(how Outcome)
+	VoteFailed(outcome Outcome)
 	BuildStats(ver, op, samples, errors int, mean, age float64)
 	WrongAnswer(node uint32, op int, age float64)
-	ProbeEnded(node uint32, how Outcome, took float64, report map[string]float64)
+	ProbeEnded(node uint32, outcome Outcome, tookMs float64, report map[string]float64)
 	PeerMessage(from int, text string)
 	TimerFired(handle int64)
 }
--- a/balance/index.go
+++ b/balance/index.go
@@ -11,274 +11,274 @@
 // side by side. Nothing here decides.
 
 // class is the serving nodes of the build on trial, or of all others.
-type class struct {
-	list     []*node // by id
-	zones    []zone  // the same, in the order in which the zones first appear
-	low, top int     // the least and the newest build among them
+type nodeClass struct {
+	nodes          []*node     // by id
+	zones          []zoneNodes // the same, in the order in which the zones first appear
+	minVer, maxVer int         // the least and the newest build among them
 }
 
-type zone struct {
-	zone int
-	list []*node
+type zoneNodes struct {
+	number int
+	nodes  []*node
 }
 
-type index struct {
-	stale          bool // the list or the builds have changed
-	trial, earlier class
-	odd            []*node // by id
-	quiet          float64 // until then none of the others can have fallen silent
-	out            float64 // dispatches out at serving nodes
-	scan           bool    // only a test sets it: every node is looked at
+type nodeIndex struct {
+	stale           bool // the list or the builds have changed
+	trial, baseline nodeClass
+	irregular       []*node // by id
+	regularUntil    float64 // until then none of the others can have fallen silent
+	inFlight        float64 // dispatches out at serving nodes
+	fullScan        bool    // only a test sets it: every node is looked at
 }
 
 const (
-	soonQuiet = 2.0  // ms; a node that may be silent by then is odd already
-	rounding  = 0.01 // ms; the bound on a silence is taken lower by this
+	unresponsiveSoonMs = 2.0  // ms; a node that may be silent by then is odd already
+	roundingMs         = 0.01 // ms; the bound on a silence is taken lower by this
 )
 
 // indexed brings the index up to date for now.
-func (b *Balancer) indexed(now float64) {
+func (b *Balancer) refreshIndex(now float64) {
 	x := &b.index
 	if x.stale {
-		b.reindex(now)
+		b.rebuildIndex(now)
 	}
-	if !(now < x.quiet) {
-		x.quiet = math.Inf(1)
-		for _, c := range [2]*class{&x.trial, &x.earlier} {
-			for _, n := range c.list {
-				b.doubt(n, now)
+	if !(now < x.regularUntil) {
+		x.regularUntil = math.Inf(1)
+		for _, c := range [2]*nodeClass{&x.trial, &x.baseline} {
+			for _, n := range c.nodes {
+				b.recheck(n, now)
 			}
 		}
 	}
-	x.odd = slices.DeleteFunc(x.odd, func(n *node) bool {
-		n.odd = !b.plain(n, now)
-		return !n.odd
+	x.irregular = slices.DeleteFunc(x.irregular, func(n *node) bool {
+		n.irregular = !b.isRegular(n, now)
+		return !n.irregular
 	})
 }
 
 // reindex sorts the nodes anew.
-func (b *Balancer) reindex(now float64) {
+func (b *Balancer) rebuildIndex(now float64) {
 	x := &b.index
-	x.stale, x.out, x.quiet, x.odd = false, 0, math.Inf(1), x.odd[:0]
-	for _, c := range [2]*class{&x.trial, &x.earlier} {
-		c.list, c.zones, c.low, c.top = c.list[:0], c.zones[:0], math.MaxInt, -1
+	x.stale, x.inFlight, x.regularUntil, x.irregular = false, 0, math.Inf(1), x.irregular[:0]
+	for _, c := range [2]*nodeClass{&x.trial, &x.baseline} {
+		c.nodes, c.zones, c.minVer, c.maxVer = c.nodes[:0], c.zones[:0], math.MaxInt, -1
 	}
-	seen, tried := -1, false
-	for _, n := range b.order {
-		n.class, n.odd = nil, false
+	lastVer, isTrial := -1, false
+	for _, n := range b.nodesByID {
+		n.class, n.irregular = nil, false
 		if n.Health != Serving {
 			continue
 		}
-		if n.Ver != seen {
-			seen, tried = n.Ver, b.onTrial(n.Ver)
+		if n.Ver != lastVer {
+			lastVer, isTrial = n.Ver, b.isOnTrial(n.Ver)
 		}
-		c := &x.earlier
-		if tried {
+		c := &x.baseline
+		if isTrial {
 			c = &x.trial
 		}
-		n.class, n.at, c.list = c, len(c.list), append(c.list, n)
-		c.low, c.top = min(c.low, n.Ver), max(c.top, n.Ver)
-		i := slices.IndexFunc(c.zones, func(z zone) bool { return z.zone == n.Zone })
+		n.class, n.classIndex, c.nodes = c, len(c.nodes), append(c.nodes, n)
+		c.minVer, c.maxVer = min(c.minVer, n.Ver), max(c.maxVer, n.Ver)
+		i := slices.IndexFunc(c.zones, func(z zoneNodes) bool { return z.number == n.Zone })
 		if i < 0 {
-			i, c.zones = len(c.zones), append(c.zones, zone{zone: n.Zone})
+			i, c.zones = len(c.zones), append(c.zones, zoneNodes{number: n.Zone})
 		}
 		z := &c.zones[i]
-		n.atZone, z.list = len(z.list), append(z.list, n)
-		x.out += float64(n.inflight)
-		b.doubt(n, now)
+		n.zoneIndex, z.nodes = len(z.nodes), append(z.nodes, n)
+		x.inFlight += float64(n.inFlight)
+		b.recheck(n, now)
 	}
 }
 
 // doubt takes a node among the odd ones if it is not plain.
-func (b *Balancer) doubt(n *node, now float64) {
-	if n.class == nil || n.odd || b.plain(n, now) {
+func (b *Balancer) recheck(n *node, now float64) {
+	if n.class == nil || n.irregular || b.isRegular(n, now) {
 		return
 	}
-	n.odd = true
-	i, _ := slices.BinarySearchFunc(b.index.odd, n.ID, byID)
-	b.index.odd = slices.Insert(b.index.odd, i, n)
+	n.irregular = true
+	i, _ := slices.BinarySearchFunc(b.index.irregular, n.ID, compareID)
+	b.index.irregular = slices.Insert(b.index.irregular, i, n)
 }
 
 // doubtAll is for when what all nodes are measured by has changed.
-func (b *Balancer) doubtAll(now float64) {
-	for _, n := range b.order {
-		b.doubt(n, now)
+func (b *Balancer) recheckAll(now float64) {
+	for _, n := range b.nodesByID {
+		b.recheck(n, now)
 	}
 }
 
 // plain says that a serving node is warm and well and will not be silent for a while.
-func (b *Balancer) plain(n *node, now float64) bool {
-	if now < n.full || b.sick(n) || b.cold(n, now) < 1 {
+func (b *Balancer) isRegular(n *node, now float64) bool {
+	if now < n.avoidUntil || b.isOutlier(n) || b.capacityShare(n, now) < 1 {
 		return false
 	}
-	until := b.quietUntil(n)
-	if !(now+soonQuiet < until) {
+	until := b.responsiveUntil(n)
+	if !(now+unresponsiveSoonMs < until) {
 		return false
 	}
-	b.index.quiet = min(b.index.quiet, until)
+	b.index.regularUntil = min(b.index.regularUntil, until)
 	return true
 }
 
 // quietUntil is a time before which a node can't be silent: patience is never under half the SLO time.
-func (b *Balancer) quietUntil(n *node) float64 {
-	sum, each := 1.0, 0.0
-	for _, o := range n.open {
-		part := 2 / b.sloOf(o.inv.op)
-		sum += part * max(n.answered, o.inv.sent[o.no].sent)
-		each += part
+func (b *Balancer) responsiveUntil(n *node) float64 {
+	sum, total := 1.0, 0.0
+	for _, o := range n.dispatches {
+		weight := 2 / b.sloOf(o.inv.op)
+		sum += weight * max(n.lastAnswer, o.inv.dispatches[o.attempt].sentAt)
+		total += weight
 	}
-	if each == 0 {
+	if total == 0 {
 		return math.Inf(1)
 	}
-	return sum/each - rounding
+	return sum/total - roundingMs
 }
 
 // pool is nodes to choose from, by id: some, or those of a class or of one of its zones but for a few.
-type pool struct {
-	some []*node
-	of   *class
-	zone *zone
-	out  []*node // by id
+type candidates struct {
+	nodes    []*node
+	class    *nodeClass
+	zone     *zoneNodes
+	excluded []*node // by id
 }
 
-func (p pool) list() []*node {
+func (p candidates) base() []*node {
 	switch {
-	case p.of == nil:
-		return p.some
+	case p.class == nil:
+		return p.nodes
 	case p.zone != nil:
-		return p.zone.list
+		return p.zone.nodes
 	}
-	return p.of.list
+	return p.class.nodes
 }
 
-func (p pool) size() int { return len(p.list()) - len(p.out) }
+func (p candidates) size() int { return len(p.base()) - len(p.excluded) }
 
 // at is the k-th of the pool.
-func (p pool) at(k int) *node {
-	for _, o := range p.out {
-		place := o.at
+func (p candidates) at(k int) *node {
+	for _, o := range p.excluded {
+		position := o.classIndex
 		if p.zone != nil {
-			place = o.atZone
+			position = o.zoneIndex
 		}
-		if place > k {
+		if position > k {
 			break
 		}
 		k++
 	}
-	return p.list()[k]
+	return p.base()[k]
 }
 
 // all are the nodes of a pool, in a room of the Balancer's.
-func (b *Balancer) all(room int, p pool) []*node {
-	if p.of == nil {
-		return p.some
+func (b *Balancer) expand(buffer int, p candidates) []*node {
+	if p.class == nil {
+		return p.nodes
 	}
-	some, out := b.room[room][:0], p.out
-	for _, n := range p.list() {
-		if len(out) > 0 && out[0] == n {
-			out = out[1:]
+	nodes, excluded := b.scratch[buffer][:0], p.excluded
+	for _, n := range p.base() {
+		if len(excluded) > 0 && excluded[0] == n {
+			excluded = excluded[1:]
 			continue
 		}
-		some = append(some, n)
+		nodes = append(nodes, n)
 	}
-	b.room[room] = some
-	return some
+	b.scratch[buffer] = nodes
+	return nodes
 }
 
 // but is a pool without the odd ones for which something holds, in a room of the Balancer's; no other may be such.
-func (b *Balancer) but(room int, p pool, holds func(*node) bool) pool {
-	if p.of == nil {
-		p.some = b.those(room, p.some, func(n *node) bool { return !holds(n) })
+func (b *Balancer) exclude(buffer int, p candidates, drop func(*node) bool) candidates {
+	if p.class == nil {
+		p.nodes = b.filterNodes(buffer, p.nodes, func(n *node) bool { return !drop(n) })
 		return p
 	}
-	out, gone := b.room[room][:0], p.out
-	for _, n := range b.index.odd {
-		if n.class != p.of {
+	excluded, previous := b.scratch[buffer][:0], p.excluded
+	for _, n := range b.index.irregular {
+		if n.class != p.class {
 			continue
 		}
-		if len(gone) > 0 && gone[0] == n {
-			gone = gone[1:]
-			out = append(out, n)
-		} else if holds(n) {
-			out = append(out, n)
+		if len(previous) > 0 && previous[0] == n {
+			previous = previous[1:]
+			excluded = append(excluded, n)
+		} else if drop(n) {
+			excluded = append(excluded, n)
 		}
 	}
-	b.room[room] = out
-	p.out = out
+	b.scratch[buffer] = excluded
+	p.excluded = excluded
 	return p
 }
 
 // within is what a pool has in one zone.
-func (b *Balancer) within(room int, p pool, number int) pool {
-	if p.of == nil {
-		p.some = b.those(room, p.some, func(n *node) bool { return n.Zone == number })
+func (b *Balancer) inZone(buffer int, p candidates, number int) candidates {
+	if p.class == nil {
+		p.nodes = b.filterNodes(buffer, p.nodes, func(n *node) bool { return n.Zone == number })
 		return p
 	}
-	i := slices.IndexFunc(p.of.zones, func(z zone) bool { return z.zone == number })
+	i := slices.IndexFunc(p.class.zones, func(z zoneNodes) bool { return z.number == number })
 	if i < 0 {
-		return pool{}
+		return candidates{}
 	}
-	p.zone, p.out = &p.of.zones[i], b.those(room, p.out, func(n *node) bool { return n.Zone == number })
+	p.zone, p.excluded = &p.class.zones[i], b.filterNodes(buffer, p.excluded, func(n *node) bool { return n.Zone == number })
 	return p
 }
 
 // others are the zones of a pool but one, in the order in which they first appear.
-func (b *Balancer) others(p pool, own int) (zones []int) {
-	zones = b.zones[:0]
-	if p.of == nil {
-		last := own
-		for _, n := range p.some {
-			if n.Zone != own && n.Zone != last && !slices.Contains(zones, n.Zone) {
+func (b *Balancer) otherZones(p candidates, ownZone int) (zones []int) {
+	zones = b.scratchZones[:0]
+	if p.class == nil {
+		last := ownZone
+		for _, n := range p.nodes {
+			if n.Zone != ownZone && n.Zone != last && !slices.Contains(zones, n.Zone) {
 				zones = append(zones, n.Zone)
 			}
 			last = n.Zone
 		}
-		b.zones = zones
+		b.scratchZones = zones
 		return zones
 	}
 	var first [16]int
-	for i := range p.of.zones {
-		z := &p.of.zones[i]
-		q := pool{of: p.of, zone: z, out: b.those(6, p.out, func(n *node) bool { return n.Zone == z.zone })}
-		if z.zone == own || q.size() == 0 || len(zones) == len(first) {
+	for i := range p.class.zones {
+		z := &p.class.zones[i]
+		q := candidates{class: p.class, zone: z, excluded: b.filterNodes(6, p.excluded, func(n *node) bool { return n.Zone == z.number })}
+		if z.number == ownZone || q.size() == 0 || len(zones) == len(first) {
 			continue
 		}
-		at, k := q.at(0).at, len(zones)
-		zones = append(zones, z.zone)
+		at, k := q.at(0).classIndex, len(zones)
+		zones = append(zones, z.number)
 		for ; k > 0 && first[k-1] > at; k-- {
 			zones[k], first[k] = zones[k-1], first[k-1]
 		}
-		zones[k], first[k] = z.zone, at
+		zones[k], first[k] = z.number, at
 	}
-	b.zones = zones
+	b.scratchZones = zones
 	return zones
 }
 
 // known gives the nodes an invocation may have, of each class, where the index can tell: of the first dispatch, and
 // of few builds.
-func (b *Balancer) known(inv *invocation, now float64) (trial, earlier pool, ok bool) {
+func (b *Balancer) indexedCandidates(inv *invocation, now float64) (trial, baseline candidates, ok bool) {
 	x := &b.index
-	b.indexed(now)
-	bound := max(b.floor, b.bound[inv.key])
-	if x.scan || len(inv.sent) > 0 || b.noLink >= linkTrouble || x.trial.low < x.trial.top ||
-		inv.key != "" && bound > x.earlier.low || len(x.trial.zones)+len(x.earlier.zones) > 15 {
-		return trial, earlier, false
+	b.refreshIndex(now)
+	minVer := max(b.minVer, b.minVerByKey[inv.key])
+	if x.fullScan || len(inv.dispatches) > 0 || b.connectFailureRate >= connectFailureLimit || x.trial.minVer < x.trial.maxVer ||
+		inv.key != "" && minVer > x.baseline.minVer || len(x.trial.zones)+len(x.baseline.zones) > 15 {
+		return trial, baseline, false
 	}
-	not := func(n *node) bool { return now < n.full || b.tooCold(n, now) }
-	earlier = b.but(1, pool{of: &x.earlier}, not)
-	if trial = b.but(0, pool{of: &x.trial}, not); trial.size() > 0 && !b.mayExpose(x.trial.low, inv.op, now) {
-		trial = pool{}
+	drop := func(n *node) bool { return now < n.avoidUntil || b.coldBudgetSpent(n, now) }
+	baseline = b.exclude(1, candidates{class: &x.baseline}, drop)
+	if trial = b.exclude(0, candidates{class: &x.trial}, drop); trial.size() > 0 && !b.mayExpose(x.trial.minVer, inv.op, now) {
+		trial = candidates{}
 	}
-	return trial, earlier, true
+	return trial, baseline, true
 }
 
 // loose says that some node of a pool has next to nothing to do; it looks at a few.
-func (b *Balancer) loose(p pool, now, enough float64) bool {
-	if b.index.scan {
+func (b *Balancer) hasLowLoad(p candidates, now, maxLoad float64) bool {
+	if b.index.fullScan {
 		return false
 	}
 	for k := range min(p.size(), 4) {
-		if b.load(p.at(k), now) <= enough {
+		if b.load(p.at(k), now) <= maxLoad {
 			return true
 		}
 	}
--- a/balance/shared_test.go
+++ b/balance/shared_test.go
@@ -10,34 +10,34 @@
 
 // The instances of one marshal round a cold node's budget together as one does: whatever the node, each of them may
 // start on what its lot says, and all together on no more than the whole budget and one invocation.
-func TestLotsTogether(t *testing.T) {
+func TestColdRoundingAddsUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		many := rapid.IntRange(2, 16).Draw(t, "instances")
+		instances := rapid.IntRange(2, 16).Draw(t, "instances")
 		l := Node{ID: rapid.Uint32().Draw(t, "node"), Started: rapid.Float64Range(1, 1e9).Draw(t, "started")}
-		part := rapid.Float64Range(0, 1).Draw(t, "part") // of one invocation that each may send
-		may := 0
-		for i := range many {
-			b := newBalancer(&calm{now: 1e6}, Settings{"number": 3.0, "instance": float64(i), "instances": float64(many)}, uint64(i))
-			if b.drawLot(l) < part {
-				may++
+		fraction := rapid.Float64Range(0, 1).Draw(t, "part") // of one invocation that each may send
+		sending := 0
+		for i := range instances {
+			b := newBalancer(&benchHost{now: 1e6}, Settings{"number": 3.0, "instance": float64(i), "instances": float64(instances)}, uint64(i))
+			if b.drawColdRounding(l) < fraction {
+				sending++
 			}
 		}
-		if whole := part * float64(many); math.Abs(float64(may)-whole) > 1+1e-9 {
-			t.Fatalf("%d of %d instances may send where the budget is %g", may, many, whole)
+		if expected := fraction * float64(instances); math.Abs(float64(sending)-expected) > 1+1e-9 {
+			t.Fatalf("%d of %d instances may send where the budget is %g", sending, instances, expected)
 		}
 	})
 }
 
 // What another instance of the marshal saw of a node counts as though this one had: it is left alone as soon. Votes are
 // the chair's, and a build on trial takes a lease.
-func Example_elsewhere() {
-	c := &calm{now: 1e6}
+func Example_siblingDispatchEnded() {
+	c := &benchHost{now: 1e6}
 	c.b = New(c, Settings{"instance": 1.0, "instances": 2.0, "limits.most-tries": 2.0, "rollout.counted-over-ms": 4000.0,
 		"rollout.cap-scope": "all", "discovery": "automatic", "operations": []Settings{{"repeat": "idempotent", "slo-ms": 500.0}}}, 7)
 	c.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}, {ID: 3, Ver: 2, Size: 1}})
 	c.b.StageUpdate(2, 0, OnTrial, 0.5, 0, false)
 	for range 20 {
-		c.pass(50)
+		c.advance(50)
 	}
 	for range 8 {
 		c.b.SiblingDispatchEnded(1, 1, 0, Failed, 5, false, nil)
@@ -46,14 +46,14 @@
 	to := map[uint32]int{}
 	for i := range 40 {
 		c.invoke(fmt.Sprint(i), "")
-		to[c.node]++
+		to[c.lastNode]++
 	}
 	fmt.Println("without a lease:", to)
 	c.b.SetLease(2, -1, 2, c.now+100)
-	c.b.share, to = 1, map[uint32]int{}
+	c.b.trialShare, to = 1, map[uint32]int{}
 	for i := range 5 {
 		c.invoke(fmt.Sprint(i), "")
-		to[c.node]++
+		to[c.lastNode]++
 	}
 	fmt.Println("with one of 2:  ", to)
 	// Output:
