--- a/balance/balance.go
+++ b/balance/balance.go
@@ -76,7 +76,7 @@
 }
 
 // StageUpdate reports the stage and phase of the newest build. isVoteReply is set if it answers this instance's vote.
-func (b *Balancer) StageUpdate(ver, stage int, phase Phase, cap, age float64, isVoteReply bool) {
+func (b *Balancer) StageUpdate(ver, stage int, phase Phase, cap, ageMs float64, isVoteReply bool) {
 	now := b.host.Now()
 	if isVoteReply {
 		b.voteInFlight = false
@@ -96,7 +96,7 @@
 		}
 	}
 	b.newestVer, b.stage, b.phase, b.cap, b.announced = ver, stage, phase, cap, true
-	b.stageStarted, b.index.stale = now-age, true
+	b.stageStarted, b.index.stale = now-ageMs, true
 }
 
 // VoteFailed reports the outcome of a vote that was not answered.
@@ -110,9 +110,9 @@
 }
 
 // InvocationArrived accepts an invocation, which from now on must get exactly one final answer within budget.
-func (b *Balancer) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, isRetry, isWrite bool) {
+func (b *Balancer) InvocationArrived(id string, op, tenant int, key string, budgetMs, cost float64, isRetry, isWrite bool) {
 	now := b.host.Now()
-	inv := &invocation{id: id, op: op, tenant: tenant, key: key, arrivedAt: now, deadline: now + budget, cost: cost}
+	inv := &invocation{id: id, op: op, tenant: tenant, key: key, arrivedAt: now, deadline: now + budgetMs, cost: cost}
 	b.recordArrival(inv)
 	inv.overflow = b.isOverloaded(inv)
 	b.route(inv)
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -15,7 +15,7 @@
 	loadReport func(node uint32) map[string]float64
 }
 
-func (s *exampleHost) print(format string, a ...any) {
+func (s *exampleHost) printf(format string, a ...any) {
 	if !s.quiet {
 		fmt.Printf("%6.0f  "+format+"\n", append([]any{s.now}, a...)...)
 	}
@@ -25,22 +25,22 @@
 func (s *exampleHost) Dispatch(inv string, node uint32, timeLimit float64) {
 	s.dispatches[inv]++
 	s.lastNode[inv] = node
-	s.print("dispatch %s to node %d", inv, node)
+	s.printf("dispatch %s to node %d", inv, node)
 }
 func (s *exampleHost) Cancel(inv string, dispatch int) {
-	s.print("cancel %s dispatch %d", inv, dispatch)
+	s.printf("cancel %s dispatch %d", inv, dispatch)
 }
-func (s *exampleHost) Throttle(inv string, comeBack float64) { s.print("throttle %s", inv) }
-func (s *exampleHost) Terminate(inv string)                  { s.print("terminate %s", inv) }
-func (s *exampleHost) Probe(node uint32)                     { s.print("probe node %d", node) }
-func (s *exampleHost) FetchNodes()                           { s.print("fetch the list") }
-func (s *exampleHost) WatchNodes(on bool)                    { s.print("watch the list") }
-func (s *exampleHost) SendToPeer(peer int, text string)      { s.print("tell %d %q", peer, text) }
+func (s *exampleHost) Throttle(inv string, comeBack float64) { s.printf("throttle %s", inv) }
+func (s *exampleHost) Terminate(inv string)                  { s.printf("terminate %s", inv) }
+func (s *exampleHost) Probe(node uint32)                     { s.printf("probe node %d", node) }
+func (s *exampleHost) FetchNodes()                           { s.printf("fetch the list") }
+func (s *exampleHost) WatchNodes(on bool)                    { s.printf("watch the list") }
+func (s *exampleHost) SendToPeer(peer int, text string)      { s.printf("tell %d %q", peer, text) }
 func (s *exampleHost) Log(text string)                       {}
 func (s *exampleHost) Vote(ver, stage int, verdict Verdict) {
 	defer func(mute bool) { s.quiet = mute }(s.quiet)
 	s.quiet = false // votes are always told
-	s.print("vote %s on build %d at stage %d", [...]string{"none", "on", "hold", "back"}[verdict], ver, stage)
+	s.printf("vote %s on build %d at stage %d", [...]string{"none", "on", "hold", "back"}[verdict], ver, stage)
 }
 func (s *exampleHost) SetTimer(after float64, handle int64) {
 	s.timerTimes = append(s.timerTimes, s.now+after)
--- a/balance/host.go
+++ b/balance/host.go
@@ -1,87 +1,88 @@
 package balance
 
-// Host is what a marshal does for its Balancer. Every call takes effect at once, in the order made.
-// Times are milliseconds; invocation ids are opaque.
+// Host carries out what a Balancer decides. Every call takes effect at once, in the order made. Times are in
+// milliseconds, invocation ids are opaque.
 type Host interface {
-	Now() float64                                        // the clock; only ever grows
-	Dispatch(inv string, node uint32, timeLimit float64) // numbered 0, 1, 2 ... within the invocation
-	Cancel(inv string, dispatch int)                     // stop waiting for one dispatch
-	Throttle(inv string, comeBack float64)               // final answer: not done, trying again is harmless
-	Terminate(inv string)                                // final answer: failed, no promise about effects
-	Probe(node uint32)                                   // answered by Probed
-	FetchNodes()                                         // ask for the whole list once
-	WatchNodes(on bool)                                  // ask for changes of the list from now on
-	Vote(ver, stage int, verdict Verdict)                // answered by Staged
-	SetTimer(after float64, handle int64)                // answered by Woke
-	SendToPeer(peer int, text string)                    // a message to one marshal, or to all with Everyone
-	Log(text string)                                     // a line for people
+	Now() float64                                          // the clock, which never goes back
+	Dispatch(inv string, node uint32, timeLimitMs float64) // numbered 0, 1, 2 ... within the invocation
+	Cancel(inv string, attempt int)                        // stop waiting for one dispatch
+	Throttle(inv string, retryAfterMs float64)             // final answer: not done, trying again is harmless
+	Terminate(inv string)                                  // final answer: failed, no promise about effects
+	Probe(node uint32)                                     // answered by ProbeEnded
+	FetchNodes()                                           // fetch the complete node list once
+	WatchNodes(on bool)                                    // subscribe to changes of the node list, or stop
+	Vote(ver, stage int, verdict Verdict)                  // answered by StageUpdate or VoteFailed
+	SetTimer(afterMs float64, handle int64)                // answered by TimerFired
+	SendToPeer(peer int, text string)                      // a message to one marshal, or to all with AllPeers
+	Log(text string)                                       // a line for operators
 }
 
-// Module is what can happen to an instance: a Balancer's methods.
+// Module receives the events of an instance. Balancer implements it and documents each event.
 type Module interface {
-	InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool)
-	DispatchEnded(id string, attempt int, node uint32, outcome Outcome, tookMs float64, done bool, report map[string]float64)
+	InvocationArrived(id string, op, tenant int, key string, budgetMs, cost float64, isRetry, isWrite bool)
+	DispatchEnded(id string, attempt int, node uint32, outcome Outcome, tookMs float64, answered bool,
+		report map[string]float64)
 	ResponseStarted(id string, attempt int, node uint32, tookMs float64)
 	ClientTimedOut(id string)
-	NodesListed(whole bool, list []Node)
+	NodesListed(complete bool, list []Node)
 	NodeListFailed()
-	StageUpdate(ver, stage int, phase Phase, cap, age float64, reply bool)
+	StageUpdate(ver, stage int, phase Phase, cap, ageMs float64, isVoteReply bool)
 	VoteFailed(outcome Outcome)
-	BuildStats(ver, op, samples, errors int, mean, age float64)
-	WrongAnswer(node uint32, op int, age float64)
+	BuildStats(ver, op, samples, errors int, meanMs, ageMs float64)
+	WrongAnswer(node uint32, op int, ageMs float64)
 	ProbeEnded(node uint32, outcome Outcome, tookMs float64, report map[string]float64)
 	PeerMessage(from int, text string)
 	TimerFired(handle int64)
 }
 
-// AllPeers as the peer of Tell names all other marshals.
+// AllPeers addresses SendToPeer to all other marshals.
 const AllPeers = -1
 
-// Settings are names and values: float64, bool, string, []float64, []string or, for lists of
-// things with names of their own, []Settings. docs/settings.md lists them.
+// Settings maps names to values of type float64, bool, string, []float64, []string or, for lists of objects, []Settings.
+// docs/settings.md lists them.
 type Settings map[string]any
 
-// Node is one line of the list of nodes.
+// Node is one entry of the node list.
 type Node struct {
 	ID      uint32
-	Ver     int     // the build it runs
-	Zone    int     // its data centre
-	Model   int     // its kind of machine
-	Cell    int     // nodes of one cell share which keys they have seen
-	Health  Health  // whether it may be sent anything
-	Size    float64 // to be set against other nodes' sizes
-	Started float64 // clock time it last started, 0 if long ago
+	Ver     int     // version number of the build it runs
+	Zone    int     // data centre
+	Model   int     // machine type
+	Cell    int     // nodes of one cell drop repeats of each other's invocations
+	Health  Health  // whether it may get dispatches
+	Size    float64 // capacity relative to other nodes
+	Started float64 // clock time of its last start, 0 if long ago
 }
 
-// Health is what the list says of a node.
+// Health is the state of a node according to the node list.
 type Health int
 
-// The list's words for a node.
+// States of a node.
 const (
-	Serving Health = iota
-	Draining
-	Gone
+	Serving  Health = iota // accepts dispatches
+	Draining               // finishes what it has
+	Gone                   // no longer listed
 )
 
 // Outcome is how a dispatch, a probe or a vote ended.
 type Outcome int
 
-// The endings; docs/settings.md tells what each one proves.
+// Outcomes; docs/settings.md lists what each one proves.
 const (
-	Succeeded Outcome = iota
-	Failed
-	Rejected
-	TimedOut
-	ConnectFailed
-	ConnectionReset
-	Canceled
-	Ignored
+	Succeeded       Outcome = iota
+	Failed                  // answered with an error
+	Rejected                // refused before any work began
+	TimedOut                // not answered in time; it may have run
+	ConnectFailed           // no connection; it never ran
+	ConnectionReset         // the connection broke; it may have run
+	Canceled                // canceled by the marshal; it may have run
+	Ignored                 // never sent, or a vote out of date
 )
 
-// Phase is where the newest build stands.
+// Phase is the phase of the newest build.
 type Phase int
 
-// The phases of a build.
+// Phases of a build.
 const (
 	OnTrial Phase = iota
 	RollingBack
@@ -89,10 +90,10 @@
 	Withdrawn
 )
 
-// Verdict is what a vote says.
+// Verdict is the content of a vote.
 type Verdict int
 
-// The verdicts of a vote.
+// Verdicts of a vote.
 const (
 	NoVote Verdict = iota
 	Advance
--- a/balance/state.go
+++ b/balance/state.go
@@ -236,12 +236,12 @@
 }
 
 // BuildStats brings what the platform counted of all marshals' dispatches, a build and operation at a time.
-func (b *Balancer) BuildStats(ver, op, samples, errors int, mean, age float64) {
+func (b *Balancer) BuildStats(ver, op, samples, errors int, meanMs, ageMs float64) {
 	if op < len(b.ops) {
 		if ver == b.newestVer && samples > 0 { // its first answers, whoever got them
-			b.firstAnswerAt = min(b.firstAnswerAt, b.host.Now()-age-b.settings.number("rollout.metrics-period-ms", 0))
+			b.firstAnswerAt = min(b.firstAnswerAt, b.host.Now()-ageMs-b.settings.number("rollout.metrics-period-ms", 0))
 		}
-		b.periodStats[exposureKey{ver, op}] = posterior{successes: float64(samples - errors), failures: float64(errors), mean: mean}
+		b.periodStats[exposureKey{ver, op}] = posterior{successes: float64(samples - errors), failures: float64(errors), mean: meanMs}
 	}
 }
 
@@ -255,7 +255,7 @@
 // ProbeEnded and Flagged bring what no decision has been shown to gain from yet: docs/design.md.
 func (b *Balancer) ProbeEnded(nodeID uint32, outcome Outcome, tookMs float64, report map[string]float64) {
 }
-func (b *Balancer) WrongAnswer(nodeID uint32, op int, age float64) {}
+func (b *Balancer) WrongAnswer(nodeID uint32, op int, ageMs float64) {}
 
 func newBalancer(h Host, settings Settings, seed uint64) *Balancer {
 	b := &Balancer{host: h, settings: settings, rng: rand.New(pcg.New(seed)), startedAt: h.Now()}
