--- a/balance/shared.go
+++ b/balance/shared.go
@@ -2,26 +2,26 @@
 
 import "fmt"
 
-// What an instance is told where one marshal has several, and what it keeps of that; docs/cores.md. Nothing here
-// decides.
+// Events and state of an instance whose marshal has several instances, see docs/cores.md. No decisions are made here.
 
-// sharedState is of the marshal whose instance this is one of.
+// siblingState is what an instance shares with, or learns from, the other instances of its marshal.
 type siblingState struct {
 	leases         map[exposureKey]lease
-	notCoordinator bool // another instance votes
-	siblingScratch struct {
-		inv invocation
-		d   dispatch
+	notCoordinator bool     // another instance votes for the marshal
+	siblingScratch struct { // reused by SiblingDispatchEnded
+		inv      invocation
+		dispatch dispatch
 	}
 }
 
-// lease is how much of a build, or of one operation at it, this instance may still expose, and until when.
+// lease allows this instance to send dispatches to a trial build, or to one operation of it.
 type lease struct {
-	remaining int
-	expires   float64
+	remaining int     // dispatches left
+	expires   float64 // clock time
 }
 
-// SetLease says what the instance may expose by a lease; the one before it is over.
+// SetLease replaces the instance's lease on a trial build: remaining dispatches of the operation, or of all together if
+// op is -1, until the clock time expires.
 func (b *Balancer) SetLease(ver, op, remaining int, expires float64) {
 	if remaining > 0 {
 		b.leases[exposureKey{ver, op}] = lease{remaining, expires}
@@ -30,9 +30,10 @@
 	}
 }
 
-// OnTrial says whether a build is on trial for this instance: what is sent to it needs a lease.
+// OnTrial reports whether a build is on trial for this instance, so that dispatches to it need a lease.
 func (b *Balancer) OnTrial(ver int) bool { return b.isOnTrial(ver) }
 
+// spendLease counts a dispatch against its lease, if there is one.
 func (b *Balancer) spendLease(ver, op int) {
 	if l, ok := b.leases[exposureKey{ver, op}]; ok {
 		l.remaining--
@@ -40,11 +41,13 @@
 	}
 }
 
-// SetCoordinator says whether this instance votes for its marshal; until told it does.
+// SetCoordinator sets whether this instance votes for its marshal, which is the default.
 func (b *Balancer) SetCoordinator(isCoordinator bool) { b.notCoordinator = !isCoordinator }
 
-// SiblingDispatchEnded brings how a dispatch ended that another instance of this marshal made: evidence as its own are.
-func (b *Balancer) SiblingDispatchEnded(nodeID uint32, ver, op int, outcome Outcome, tookMs float64, shortLimit bool, report map[string]float64) {
+// SiblingDispatchEnded reports the outcome of a dispatch by another instance of this marshal. It is evidence like that
+// of the instance's own dispatches.
+func (b *Balancer) SiblingDispatchEnded(nodeID uint32, ver, op int, outcome Outcome, tookMs float64, shortLimit bool,
+	report map[string]float64) {
 	n, now := b.nodes[nodeID], b.host.Now()
 	if n == nil || n.Ver != ver || op >= len(b.ops) {
 		return
@@ -56,16 +59,18 @@
 		b.firstAnswerAt = min(b.firstAnswerAt, now)
 	}
 	b.siblingScratch.inv = invocation{op: op, dispatches: b.siblingScratch.inv.dispatches[:0]}
-	b.siblingScratch.d = dispatch{node: n, ver: ver, recentlyStarted: b.isRecentlyStarted(n, now-tookMs), shortLimit: shortLimit}
-	b.recordEvidence(&b.siblingScratch.inv, &b.siblingScratch.d, outcome, tookMs, now)
+	b.siblingScratch.dispatch = dispatch{node: n, ver: ver, recentlyStarted: b.isRecentlyStarted(n, now-tookMs),
+		shortLimit: shortLimit}
+	b.recordEvidence(&b.siblingScratch.inv, &b.siblingScratch.dispatch, outcome, tookMs, now)
 }
 
-// drawLot draws a node's lot for what is left over of its cold budget. Instances of one marshal draw lots that lie
-// evenly apart, so that together they round as one does.
+// drawColdRounding draws the number in [0, 1) that decides how the fraction of an invocation left in a node's cold budget
+// is rounded. The draws of a marshal's instances are evenly spaced, so that together they round as one instance does.
 func (b *Balancer) drawColdRounding(l Node) float64 {
 	draw := b.rng.Float64()
 	if b.cfg.instances > 1 {
-		draw = hashToUnit(fmt.Sprint(b.cfg.marshalNumber, " ", l.ID, " ", l.Started, " ", l.ID)) + b.cfg.instance/b.cfg.instances
+		draw = hashToUnit(fmt.Sprint(b.cfg.marshalNumber, " ", l.ID, " ", l.Started, " ", l.ID)) +
+			b.cfg.instance/b.cfg.instances
 		draw -= float64(int(draw))
 	}
 	return draw
