--- a/balance/index.go
+++ b/balance/index.go
@@ -5,38 +5,39 @@
 	"slices"
 )
 
-// The index keeps the serving nodes by class and zone, so that no invocation has to look at all of them. Most nodes
-// are plain: warm, well, and not to be doubted for a while. The few that are not are the odd ones, and each is looked
-// at every time. What comes of it is what a look at every node would give, in the same order: TestIndexed holds both
-// side by side. Nothing here decides.
+// The index keeps the serving nodes by class and zone, so that no invocation has to scan all of them. Most nodes are
+// regular: warm, healthy and responsive for some time to come. The few irregular nodes are checked for each invocation.
+// The result is that of a scan of all nodes, in the same order: TestIndexed compares the two. No decisions are made here.
 
-// class is the serving nodes of the build on trial, or of all others.
+// nodeClass is the serving nodes of the builds on trial, or those of all other builds.
 type nodeClass struct {
 	nodes          []*node     // by id
-	zones          []zoneNodes // the same, in the order in which the zones first appear
-	minVer, maxVer int         // the least and the newest build among them
+	zones          []zoneNodes // the same nodes, by zone, in the order of the first node of each zone
+	minVer, maxVer int         // the oldest and the newest build among them
 }
 
+// zoneNodes is the nodes of a class in one zone.
 type zoneNodes struct {
 	number int
-	nodes  []*node
+	nodes  []*node // by id
 }
 
+// nodeIndex is the serving nodes by class.
 type nodeIndex struct {
-	stale           bool // the list or the builds have changed
+	stale           bool // the node list or the builds have changed
 	trial, baseline nodeClass
 	irregular       []*node // by id
-	regularUntil    float64 // until then none of the others can have fallen silent
-	inFlight        float64 // dispatches out at serving nodes
-	fullScan        bool    // only a test sets it: every node is looked at
+	regularUntil    float64 // until then no regular node can become unresponsive
+	inFlight        float64 // dispatches in flight at serving nodes
+	fullScan        bool    // scan all nodes instead; set by a test only
 }
 
 const (
-	unresponsiveSoonMs = 2.0  // ms; a node that may be silent by then is odd already
-	roundingMs         = 0.01 // ms; the bound on a silence is taken lower by this
+	unresponsiveSoonMs = 2.0  // a node that may be unresponsive within this time is irregular already
+	roundingMs         = 0.01 // safety margin for rounding errors in responsiveUntil
 )
 
-// indexed brings the index up to date for now.
+// refreshIndex brings the index up to date.
 func (b *Balancer) refreshIndex(now float64) {
 	x := &b.index
 	if x.stale {
@@ -56,7 +57,7 @@
 	})
 }
 
-// reindex sorts the nodes anew.
+// rebuildIndex builds the index from the node list.
 func (b *Balancer) rebuildIndex(now float64) {
 	x := &b.index
 	x.stale, x.inFlight, x.regularUntil, x.irregular = false, 0, math.Inf(1), x.irregular[:0]
@@ -89,7 +90,7 @@
 	}
 }
 
-// doubt takes a node among the odd ones if it is not plain.
+// recheck adds a node to the irregular ones if it is not regular any more.
 func (b *Balancer) recheck(n *node, now float64) {
 	if n.class == nil || n.irregular || b.isRegular(n, now) {
 		return
@@ -99,14 +100,14 @@
 	b.index.irregular = slices.Insert(b.index.irregular, i, n)
 }
 
-// doubtAll is for when what all nodes are measured by has changed.
+// recheckAll rechecks all nodes after a change of the values they are compared with.
 func (b *Balancer) recheckAll(now float64) {
 	for _, n := range b.nodesByID {
 		b.recheck(n, now)
 	}
 }
 
-// plain says that a serving node is warm and well and will not be silent for a while.
+// isRegular reports whether a serving node is warm and healthy and will stay responsive for some time.
 func (b *Balancer) isRegular(n *node, now float64) bool {
 	if now < n.avoidUntil || b.isOutlier(n) || b.capacityShare(n, now) < 1 {
 		return false
@@ -119,7 +120,8 @@
 	return true
 }
 
-// quietUntil is a time before which a node can't be silent: patience is never under half the SLO time.
+// responsiveUntil is a time before which a node can't become unresponsive. It follows from responseTimeout, which is
+// never less than half the SLO time.
 func (b *Balancer) responsiveUntil(n *node) float64 {
 	sum, total := 1.0, 0.0
 	for _, o := range n.dispatches {
@@ -133,14 +135,16 @@
 	return sum/total - roundingMs
 }
 
-// pool is nodes to choose from, by id: some, or those of a class or of one of its zones but for a few.
+// candidates is the nodes to choose from, by id: either a list of nodes, or the nodes of a class or of one of its zones
+// without the excluded ones.
 type candidates struct {
-	nodes    []*node
+	nodes    []*node // used if class is nil
 	class    *nodeClass
-	zone     *zoneNodes
-	excluded []*node // by id
+	zone     *zoneNodes // nil: all zones of the class
+	excluded []*node    // by id
 }
 
+// base is the candidates with the excluded ones.
 func (p candidates) base() []*node {
 	switch {
 	case p.class == nil:
@@ -153,7 +157,7 @@
 
 func (p candidates) size() int { return len(p.base()) - len(p.excluded) }
 
-// at is the k-th of the pool.
+// at returns the k-th candidate.
 func (p candidates) at(k int) *node {
 	for _, o := range p.excluded {
 		position := o.classIndex
@@ -168,7 +172,7 @@
 	return p.base()[k]
 }
 
-// all are the nodes of a pool, in a room of the Balancer's.
+// expand returns the candidates as a list, in a scratch buffer.
 func (b *Balancer) expand(buffer int, p candidates) []*node {
 	if p.class == nil {
 		return p.nodes
@@ -185,7 +189,8 @@
 	return nodes
 }
 
-// but is a pool without the odd ones for which something holds, in a room of the Balancer's; no other may be such.
+// exclude leaves out the candidates that drop selects. It uses a scratch buffer. Of the nodes of a class only irregular
+// ones are tested, so drop must not select a regular one.
 func (b *Balancer) exclude(buffer int, p candidates, drop func(*node) bool) candidates {
 	if p.class == nil {
 		p.nodes = b.filterNodes(buffer, p.nodes, func(n *node) bool { return !drop(n) })
@@ -208,7 +213,7 @@
 	return p
 }
 
-// within is what a pool has in one zone.
+// inZone limits candidates to one zone.
 func (b *Balancer) inZone(buffer int, p candidates, number int) candidates {
 	if p.class == nil {
 		p.nodes = b.filterNodes(buffer, p.nodes, func(n *node) bool { return n.Zone == number })
@@ -222,7 +227,7 @@
 	return p
 }
 
-// others are the zones of a pool but one, in the order in which they first appear.
+// otherZones returns the zones of the candidates except the own one, in the order of their first candidates.
 func (b *Balancer) otherZones(p candidates, ownZone int) (zones []int) {
 	zones = b.scratchZones[:0]
 	if p.class == nil {
@@ -239,7 +244,9 @@
 	var first [16]int
 	for i := range p.class.zones {
 		z := &p.class.zones[i]
-		q := candidates{class: p.class, zone: z, excluded: b.filterNodes(6, p.excluded, func(n *node) bool { return n.Zone == z.number })}
+		q := candidates{class: p.class, zone: z, excluded: b.filterNodes(6, p.excluded, func(n *node) bool {
+			return n.Zone == z.number
+		})}
 		if z.number == ownZone || q.size() == 0 || len(zones) == len(first) {
 			continue
 		}
@@ -254,25 +261,28 @@
 	return zones
 }
 
-// known gives the nodes an invocation may have, of each class, where the index can tell: of the first dispatch, and
-// of few builds.
+// indexedCandidates returns the nodes that an invocation may be sent to, by class. ok is unset where the index can't tell
+// and all nodes must be scanned: for repeats, several trial builds, keys bound to a build or many zones, and while
+// connects often fail.
 func (b *Balancer) indexedCandidates(inv *invocation, now float64) (trial, baseline candidates, ok bool) {
 	x := &b.index
 	b.refreshIndex(now)
 	minVer := max(b.minVer, b.minVerByKey[inv.key])
-	if x.fullScan || len(inv.dispatches) > 0 || b.connectFailureRate >= connectFailureLimit || x.trial.minVer < x.trial.maxVer ||
+	if x.fullScan || len(inv.dispatches) > 0 || b.connectFailureRate >= connectFailureLimit ||
+		x.trial.minVer < x.trial.maxVer ||
 		inv.key != "" && minVer > x.baseline.minVer || len(x.trial.zones)+len(x.baseline.zones) > 15 {
 		return trial, baseline, false
 	}
 	drop := func(n *node) bool { return now < n.avoidUntil || b.coldBudgetSpent(n, now) }
 	baseline = b.exclude(1, candidates{class: &x.baseline}, drop)
-	if trial = b.exclude(0, candidates{class: &x.trial}, drop); trial.size() > 0 && !b.mayExpose(x.trial.minVer, inv.op, now) {
+	if trial = b.exclude(0, candidates{class: &x.trial}, drop); trial.size() > 0 &&
+		!b.mayExpose(x.trial.minVer, inv.op, now) {
 		trial = candidates{}
 	}
 	return trial, baseline, true
 }
 
-// loose says that some node of a pool has next to nothing to do; it looks at a few.
+// hasLowLoad reports whether one of the first few candidates has at most this load.
 func (b *Balancer) hasLowLoad(p candidates, now, maxLoad float64) bool {
 	if b.index.fullScan {
 		return false
