--- a/balance/balance.go
+++ b/balance/balance.go
@@ -109,8 +109,9 @@
 	b.vote, b.nextVoteAt = NoVote, b.host.Now()+1000
 }
 
-// InvocationArrived accepts an invocation, which from now on must get exactly one final answer within budget.
-func (b *Balancer) InvocationArrived(id string, op, tenant int, key string, budgetMs, cost float64, isRetry, isWrite bool) {
+// InvocationArrived accepts an invocation, which from now on must get exactly one final answer within budgetMs.
+func (b *Balancer) InvocationArrived(id string, op, tenant int, key string, budgetMs, cost float64,
+	isRetry, isWrite bool) {
 	now := b.host.Now()
 	inv := &invocation{id: id, op: op, tenant: tenant, key: key, arrivedAt: now, deadline: now + budgetMs, cost: cost}
 	b.recordArrival(inv)
--- a/balance/state.go
+++ b/balance/state.go
@@ -12,17 +12,18 @@
 	"arrowcleat/internal/pcg"
 )
 
-// State by how long it lives, and the plain helpers it needs. Nothing here decides.
+// The state, grouped by lifetime, and helpers for it. No decisions are made here.
 
-// Balancer is one marshal's instance; all of its state dies with it. What it holds is grouped by how long it lasts.
+// Balancer is the decision module of a marshal, or of one of its instances. All of its state is in memory, grouped by
+// lifetime.
 type Balancer struct {
 	host         Host
 	settings     Settings
 	cfg          config
 	ops          []operation
 	rng          *rand.Rand
-	scratch      [7][]*node // for choosing among nodes: what is in them lasts for one choice
-	scratchZones []int      // and this
+	scratch      [7][]*node // buffers for lists of nodes, valid during one choice of a node
+	scratchZones []int      // a buffer for otherZones
 	startedAt    float64
 	index        nodeIndex
 
@@ -34,64 +35,65 @@
 	siblingState
 }
 
-// fixed are the settings that each invocation asks for, read once.
+// config holds settings that are needed for each invocation, read once.
 type config struct {
+	// coldShare is the share of its capacity that a node has when it starts.
 	coldShare, warmUpMs, coldWindowMs, coldWorkMultiple             float64
 	exposureWindowMs, exposureAllowance, crossZonePrice, connIdleMs float64
 	shieldedStages                                                  float64
 	maxTries, zone                                                  int
 	forwardOnly, worthByWork, capPerOperation                       bool
-	firstStageCap                                                   float64 // of a build not yet announced
-	marshalNumber, instance, instances                              float64 // of the marshal, and within it
+	firstStageCap                                                   float64 // cap for a build without a stage update
+	marshalNumber, instance, instances                              float64 // instance is its number within the marshal
 }
 
-// operation is one kind of invocation.
+// operation holds the settings of one operation.
 type operation struct {
 	repeatPolicy, repeatGroup    string
 	memoryMs, sloMs, billedValue float64
 }
 
-// fleetState is of the nodes: as long as each of them is known.
+// fleetState is the state of the nodes. It lasts as long as a node is known.
 type fleetState struct {
 	nodes              map[uint32]*node
-	nodesByID          []*node          // by id, so that nothing hangs on map order
-	lateShares         map[int]*float64 // share of dispatches to a zone not answered soon, lately
-	medianFailureRate  float64          // of the nodes' shares of failures
-	connectFailureRate float64          // share of dispatches that got no connection, lately
-	warmNodeRate       float64          // work a warm node does for this marshal, a ms
+	nodesByID          []*node          // ordered, so that nothing depends on map order
+	lateShares         map[int]*float64 // recent share of dispatches not answered within the SLO time, by zone
+	medianFailureRate  float64          // of the serving nodes
+	connectFailureRate float64          // recent share of dispatches that got no connection
+	warmNodeRate       float64          // work a warm node does for this marshal, per ms
 	completedWork      slidingSum
 }
 
-// invState is of the invocations that are open.
+// invocationState is the state of the open invocations.
 type invocationState struct {
 	invocations map[string]*invocation
-	queued      []*invocation
+	queued      []*invocation // those that can't be dispatched now
 }
 
-// buildState is of the newest build told of, and of those before it that still matter.
+// buildState is the state of the newest announced build and of earlier builds that still matter.
 type buildState struct {
-	newestVer       int // its stage, phase, cap and when that began
-	stage           int
+	newestVer       int
+	stage           int // stage, phase and cap of the newest build
 	phase           Phase
 	cap             float64
 	stageStarted    float64
-	announced       bool
-	trialShare      float64 // of invocations that go to the trial build
-	accepted        map[int]*slidingSum
-	exposures       map[exposureKey]*slidingSum
-	minVerByKey     map[string]int            // the newest build that has answered a key
-	minVer          int                       // a build that stands for all keys: no earlier one is left
-	posteriors      map[int][]posterior       // by build, one for each operation
-	periodStats     map[exposureKey]posterior // the platform's last counts
-	fleetPosteriors [2][]posterior            // what the fleet knows of the newest build, and of the earlier one meanwhile
-	baselineAtStart []posterior               // of the earlier build, when the newest came
+	announced       bool                        // a stage update was received
+	trialShare      float64                     // share of invocations that go to the trial build
+	accepted        map[int]*slidingSum         // recent invocations by operation, and in total under -1
+	exposures       map[exposureKey]*slidingSum // recent dispatches
+	minVerByKey     map[string]int              // the newest build that has answered a key; the key goes to no earlier one
+	minVer          int                         // the same for all keys, once no node of an earlier build is left
+	posteriors      map[int][]posterior         // by build: one for each operation and one for all together
+	periodStats     map[exposureKey]posterior   // the last build statistics of the platform
+	fleetPosteriors [2][]posterior              // evidence of the fleet on the newest build and the baseline
+	baselineAtStart []posterior                 // the baseline's posteriors when the newest build came
 	peers           map[int]peerCounts
-	nextPeerReport  float64
-	firstAnswerAt   float64 // when the newest build first answered
-	degradedSince   float64 // since when misses are far over the usual
+	nextPeerReport  float64 // clock time of the next message to the peers
+	firstAnswerAt   float64 // clock time at which the newest build first answered
+	degradedSince   float64 // clock time since which the miss rate is far above the usual
 }
 
-// voteState is of the vote that stands or is on its way.
+// voteState is the state of the vote that stands or is in flight.
 type voteState struct {
 	vote              Verdict
 	voteVer           int
@@ -102,37 +104,37 @@
 	watchRetryPending bool
 }
 
-// traffic is what the whole of the traffic is like, fading: as long as the instance.
+// trafficState describes the traffic as a whole. It lasts as long as the instance; old values decay.
 type trafficState struct {
-	usualLatency                []float64  // what the fleet's dispatches of an operation take usually
-	fleetSlowdown               float64    // and how much longer they take now
-	lastCheck, lastStall        float64    // when the last look was, and the last that came late
+	usualLatency                []float64  // usual latency of the fleet's dispatches by operation
+	fleetSlowdown               float64    // present latency over the usual
+	lastCheck, lastStall        float64    // clock times of the last check, and of the last one that was late
 	recentLatency               []float64  // latency of each operation on the whole fleet
-	latencySamples              []float64  // and of how many answers it is
-	recentEnds, recentAnswers   slidingSum // those that have, lately, and of them those that were answered
-	answerRate                  float64    // and how many a ms were
-	throughput, usualThroughput float64    // how many have in a second, now and in untroubled times
-	throughputDrops             float64    // the intervals of late in which that sagged
-	usualInFlight               float64    // what was out at a node while nothing was turned away
-	meanSLO, meanCost           float64    // the mean SLO time and cost of what arrives
-	arrivals                    float64
-	missRate, usualMissRate     float64 // share of invocations not answered in time, lately and usually
-	overloadRatio               float64 // share of invocations late or given up, lately
-	repeatErrorRate             float64 // share of invocations that, having erred, err again, lately
-	rejectedInInterval          bool    // something was turned away in this interval
-}
-
-// dispatch is one sending of an invocation.
+	latencySamples              []float64  // answers that recentLatency is based on
+	recentEnds, recentAnswers   slidingSum // dispatches that may have run and ended, and those that were answered
+	answerRate                  float64    // recent answers per ms
+	throughput, usualThroughput float64    // dispatches ended in the last two intervals, and usually
+	throughputDrops             float64    // recent intervals with a drop in throughput
+	usualInFlight               float64    // mean dispatches in flight per node while nothing was rejected
+	meanSLO, meanCost           float64    // mean SLO time and cost of the invocations
+	arrivals                    float64    // invocations since the start
+	missRate, usualMissRate     float64    // share of invocations not answered in time, recently and usually
+	overloadRatio               float64    // recent share of dispatched invocations that were late or abandoned
+	repeatErrorRate             float64    // recent share of invocations with an error that get an error again
+	rejectedInInterval          bool       // an invocation exceeded the limit in this interval
+}
+
+// dispatch is one attempt to run an invocation on a node.
 type dispatch struct {
 	node            *node
-	ver             int // the build the node ran when it was sent
+	ver             int // the build that the node ran when it was sent
 	sentAt          float64
-	recentlyStarted bool // the node was too young to give evidence
-	shortLimit      bool // its time limit was cut below the SLO time
+	recentlyStarted bool // the node had started too recently to give evidence
+	shortLimit      bool // its time limit was less than the SLO time
 	inFlight        bool
-	noCancel        bool // it was cancelled
+	noCancel        bool // canceled already, or its answer has started
 	failed          bool // it ended in an error
-	mayHaveRun      bool // it may have run (true while it is open)
+	mayHaveRun      bool // true while it is in flight
 }
 
 // invocation lives from its arrival until it is answered and its last dispatch has ended.
@@ -142,49 +144,49 @@
 	tenant     int
 	key        string
 	arrivedAt  float64
-	deadline   float64 // when the client gives up
+	deadline   float64 // when the client stops waiting
 	cost       float64
 	dispatches []dispatch
-	finished   bool
-	overflow   bool // it goes to the build on trial instead of being turned away
+	finished   bool // it has its final answer
+	overflow   bool // too much for the fleet: sent to an idle trial node or abandoned
 }
 
-// node lives as long as the instance knows its id; it starts over when its process does.
+// node is the state of a node while its id is known. It is reset when the node's process restarts.
 type node struct {
 	Node
-	updatedAt         float64 // when the list last said something new of it
+	updatedAt         float64 // when the node list last mentioned it
 	inFlight          int
-	dispatches        []nodeDispatch // what is out, oldest first
-	lastAnswer        float64        // when it last answered anything
-	successes         float64        // recent outcomes, fading
+	dispatches        []nodeDispatch // those in flight, oldest first
+	lastAnswer        float64        // when it last answered a dispatch, or restarted
+	successes         float64        // recent outcomes, decaying
 	failures          float64
-	connectedAt       float64    // when its connection was last seen to work
-	coldWork          slidingSum // work sent while cold
-	coldRounding      float64    // drawn for this start of it, for what is left over of its budget
-	retryAt           float64    // when a sick node is next tried
-	workPerInvocation float64    // what an invocation is for it, by its reports
-	ejectionMs        float64    // and how long after that again
-	avoidUntil        float64    // until when it is left alone
+	connectedAt       float64    // when its connection last worked
+	coldWork          slidingSum // work sent while it warms up
+	coldRounding      float64    // draw in [0, 1) for this start, rounds its cold budget
+	retryAt           float64    // when an outlier is next tried
+	workPerInvocation float64    // work of one invocation, by its load reports
+	ejectionMs        float64    // length of an ejection, grows with its failures
+	avoidUntil        float64    // it gets no dispatches before this time
 
-	class                 *nodeClass // it is listed in, with its places there
-	classIndex, zoneIndex int
-	irregular             bool
+	class                 *nodeClass // its class in the index, nil if it is not serving
+	classIndex, zoneIndex int        // its positions in the class and in the zone of the class
+	irregular             bool       // checked for each invocation
 }
 
-// opening is a dispatch that is out, as its node sees it.
+// nodeDispatch refers to a dispatch in flight at a node.
 type nodeDispatch struct {
 	inv     *invocation
 	attempt int
 }
 
-// posterior is what is known of one build at one operation.
+// posterior is the evidence on one operation of a build.
 type posterior struct {
 	successes, failures       float64
-	errors                    float64 // of bad, what was answered with an error
-	samples, mean, sumSquares float64 // latency: Welford's running mean and sum of squares
+	errors                    float64 // failures that were answered with an error
+	samples, mean, sumSquares float64 // latency in ms: Welford's running mean and sum of squares
 }
 
-// outcome counts a success with its latency, if that is to count, or a failure.
+// record counts a failure, or a success with its latency if timed is set.
 func (p *posterior) record(outcome Outcome, tookMs float64, timed bool) {
 	switch outcome {
 	case Succeeded:
@@ -200,6 +202,7 @@
 	}
 }
 
+// add adds the evidence of o, multiplied by weight.
 func (p *posterior) add(o posterior, weight float64) {
 	p.successes += o.successes * weight
 	p.failures += o.failures * weight
@@ -223,51 +226,64 @@
 	return p.sumSquares / (p.samples - 1)
 }
 
-// Listed brings the list of nodes, or what has changed of it.
+// NodesListed receives the complete node list, or its changes.
 func (b *Balancer) NodesListed(complete bool, list []Node) {
 	b.mergeNodes(complete, list, b.host.Now())
 }
 
-// ResponseStarted says that a streamed answer has started; the dispatch is the client's from here on.
+// ResponseStarted reports that a streamed answer has started. The dispatch must not be canceled any more.
 func (b *Balancer) ResponseStarted(id string, attempt int, _ uint32, tookMs float64) {
 	if inv := b.invocations[id]; inv != nil && attempt < len(inv.dispatches) {
-		inv.dispatches[attempt].noCancel = true // never to be cancelled
+		inv.dispatches[attempt].noCancel = true
 	}
 }
 
-// BuildStats brings what the platform counted of all marshals' dispatches, a build and operation at a time.
+// BuildStats receives the platform's counts of all marshals' dispatches for one build and operation.
 func (b *Balancer) BuildStats(ver, op, samples, errors int, meanMs, ageMs float64) {
 	if op < len(b.ops) {
-		if ver == b.newestVer && samples > 0 { // its first answers, whoever got them
+		if ver == b.newestVer && samples > 0 { // its first answers, whichever marshal got them
 			b.firstAnswerAt = min(b.firstAnswerAt, b.host.Now()-ageMs-b.settings.number("rollout.metrics-period-ms", 0))
 		}
-		b.periodStats[exposureKey{ver, op}] = posterior{successes: float64(samples - errors), failures: float64(errors), mean: meanMs}
+		b.periodStats[exposureKey{ver, op}] = posterior{successes: float64(samples - errors), failures: float64(errors),
+			mean: meanMs}
 	}
 }
 
-// PeerMessage brings a peer's counts.
+// PeerMessage receives the counts of another marshal. Messages that can't be parsed are dropped.
 func (b *Balancer) PeerMessage(from int, text string) {
 	if p, ok := parseCounts(text, len(b.ops)); ok {
 		b.peers[from] = p
 	}
 }
 
-// ProbeEnded and Flagged bring what no decision has been shown to gain from yet: docs/design.md.
+// ProbeEnded reports the outcome of a probe. It is ignored: no decision has been shown to gain from it, see
+// docs/design.md.
 func (b *Balancer) ProbeEnded(nodeID uint32, outcome Outcome, tookMs float64, report map[string]float64) {
 }
+
+// WrongAnswer reports that a node gave a wrong answer. It is ignored: no decision has been shown to gain from it, see
+// docs/design.md.
 func (b *Balancer) WrongAnswer(nodeID uint32, op int, ageMs float64) {}
 
 func newBalancer(h Host, settings Settings, seed uint64) *Balancer {
 	b := &Balancer{host: h, settings: settings, rng: rand.New(pcg.New(seed)), startedAt: h.Now()}
 	b.cfg = config{coldShare: settings.number("rules.cold-from", 0.1), warmUpMs: settings.number("rules.warm-up-ms", 10000),
-		coldWindowMs: settings.number("rules.fall-ms", 2000), coldWorkMultiple: settings.number("rules.fall-multiple", 1),
-		exposureWindowMs: settings.number("rollout.counted-over-ms", 0), exposureAllowance: settings.number("rollout.allowance", 0),
-		crossZonePrice: settings.number("prices.cross-zone", 0), connIdleMs: settings.number("limits.conn-idle-ms", 10000),
-		shieldedStages: settings.number("rollout.shielded", math.Inf(1)), maxTries: int(settings.number("limits.most-tries", 1)),
-		zone: int(settings.number("zone", 0)), forwardOnly: settings.enabled("rollout.forward-only"),
-		worthByWork: settings.text("worth-by", "") == "work", capPerOperation: settings.text("rollout.cap-scope", "each_class") == "each_class",
-		firstStageCap: append(slices.Clone(settings.numbers("rollout.most-shares")), 0)[0],
-		marshalNumber: settings.number("number", 0), instance: settings.number("instance", 0), instances: settings.number("instances", 1)}
+		coldWindowMs:      settings.number("rules.fall-ms", 2000),
+		coldWorkMultiple:  settings.number("rules.fall-multiple", 1),
+		exposureWindowMs:  settings.number("rollout.counted-over-ms", 0),
+		exposureAllowance: settings.number("rollout.allowance", 0),
+		crossZonePrice:    settings.number("prices.cross-zone", 0),
+		connIdleMs:        settings.number("limits.conn-idle-ms", 10000),
+		shieldedStages:    settings.number("rollout.shielded", math.Inf(1)),
+		maxTries:          int(settings.number("limits.most-tries", 1)),
+		zone:              int(settings.number("zone", 0)),
+		forwardOnly:       settings.enabled("rollout.forward-only"),
+		worthByWork:       settings.text("worth-by", "") == "work",
+		capPerOperation:   settings.text("rollout.cap-scope", "each_class") == "each_class",
+		firstStageCap:     append(slices.Clone(settings.numbers("rollout.most-shares")), 0)[0],
+		marshalNumber:     settings.number("number", 0),
+		instance:          settings.number("instance", 0),
+		instances:         settings.number("instances", 1)}
 	b.leases = map[exposureKey]lease{}
 	for _, o := range settings.children("operations") {
 		b.ops = append(b.ops, operation{o.text("repeat", ""), o.text("group", ""), o.number("memory-ms", 0),
@@ -277,11 +293,12 @@
 	b.nodes, b.lateShares, b.invocations = map[uint32]*node{}, map[int]*float64{}, map[string]*invocation{}
 	b.accepted, b.exposures, b.minVerByKey = map[int]*slidingSum{}, map[exposureKey]*slidingSum{}, map[string]int{}
 	b.periodStats, b.peers, b.posteriors = map[exposureKey]posterior{}, map[int]peerCounts{}, map[int][]posterior{}
-	b.lastCheck, b.usualLatency, b.recentLatency, b.latencySamples = h.Now(), make([]float64, n), make([]float64, n), make([]float64, n)
+	b.lastCheck, b.usualLatency, b.recentLatency, b.latencySamples = h.Now(), make([]float64, n),
+		make([]float64, n), make([]float64, n)
 	return b
 }
 
-// capacity adds up what the serving nodes for which something holds can do while some are cold.
+// totalCapacity is the number of serving nodes that keep selects, each counted by its capacity share.
 func (b *Balancer) totalCapacity(now float64, keep func(*node) bool) (sum float64) {
 	for _, n := range b.nodesByID {
 		if n.Health == Serving && keep(n) {
@@ -291,11 +308,13 @@
 	return sum
 }
 
+// anyNode selects all nodes.
 func anyNode(*node) bool { return true }
 
+// runsNewest selects the nodes of the newest build.
 func (b *Balancer) runsNewest(n *node) bool { return n.Ver == b.newestVer }
 
-// those picks the nodes for which something holds, into a room of the Balancer's.
+// filterNodes returns the nodes that keep selects, in a scratch buffer.
 func (b *Balancer) filterNodes(buffer int, from []*node, keep func(*node) bool) []*node {
 	kept := b.scratch[buffer][:0]
 	for _, n := range from {
@@ -307,7 +326,7 @@
 	return kept
 }
 
-// fade moves a share towards yes or no.
+// updateShare updates an exponential moving average of the share of hits.
 func updateShare(share *float64, hit bool, rate float64) {
 	target := 0.0
 	if hit {
@@ -316,7 +335,7 @@
 	*share += (target - *share) * rate
 }
 
-// opened records a dispatch that goes out.
+// recordDispatch records a dispatch that is about to be sent.
 func (b *Balancer) recordDispatch(inv *invocation, d dispatch) {
 	n := d.node
 	d.inFlight, d.mayHaveRun = true, true
@@ -329,7 +348,7 @@
 	}
 	for _, op := range [2]int{inv.op, -1} {
 		s := b.exposureSum(n.Ver, op)
-		s.sumSince(d.sentAt - b.cfg.exposureWindowMs - timeMarginMs) // what is older no rule asks for
+		s.sumSince(d.sentAt - b.cfg.exposureWindowMs - timeMarginMs) // drops what no rule needs any more
 		s.add(d.sentAt, 1)
 	}
 	b.spendLease(n.Ver, b.exposureScope(inv.op))
@@ -338,10 +357,11 @@
 	}
 }
 
-// closed records how it ended.
+// recordEnd records the end of a dispatch.
 func (b *Balancer) recordEnd(inv *invocation, attempt int, outcome Outcome, now float64) *dispatch {
 	d := &inv.dispatches[attempt]
-	d.inFlight, d.failed, d.mayHaveRun = false, outcome == Failed, outcome != Rejected && outcome != ConnectFailed && outcome != Ignored
+	d.inFlight, d.failed, d.mayHaveRun = false, outcome == Failed,
+		outcome != Rejected && outcome != ConnectFailed && outcome != Ignored
 	n := d.node
 	n.inFlight--
 	if n.class != nil {
@@ -358,12 +378,12 @@
 		}
 	}
 	if outcome == Succeeded && inv.key != "" && b.cfg.forwardOnly && d.ver >= b.newestVer && d.ver > b.minVer {
-		b.minVerByKey[inv.key] = max(b.minVerByKey[inv.key], d.ver) // also after its release: it can still go back
+		b.minVerByKey[inv.key] = max(b.minVerByKey[inv.key], d.ver) // also after its release: it can still be rolled back
 	}
 	return d
 }
 
-// counted is the mean time and the number of an operation's answers by the platform's last counts.
+// periodLatency is the mean latency and the number of an operation's successes in the last build statistics.
 func (b *Balancer) periodLatency(op int) (mean, n float64) {
 	for _, ver := range []int{b.newestVer, b.baseline()} {
 		p := b.periodStats[exposureKey{ver, op}]
@@ -372,15 +392,15 @@
 	return mean / max(n, 1), n
 }
 
-// place puts a key between 0 and 1.
+// hashToUnit hashes a key to [0, 1).
 func hashToUnit(key string) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(key))
 	return float64(h.Sum32()) / (1 << 32)
 }
 
-// workRatios are, sorted, what an invocation is for each of the newest build's nodes that tell and may, against the mean of
-// the earlier builds' nodes of its model.
+// workRatios returns, sorted, the work of an invocation on each of the newest build's nodes over the mean work on nodes
+// of earlier builds with the same machine type. Only nodes with load reports that include selects count.
 func (b *Balancer) workRatios(include func(*node) bool) (ratios []float64) {
 	reporting := func(n *node) bool { return n.Health == Serving && n.workPerInvocation > 0 && include(n) }
 	sum, count := map[int]float64{}, map[int]float64{}
@@ -399,7 +419,7 @@
 	return ratios
 }
 
-// sendHeld sends on what has been held.
+// routeQueued tries to dispatch all queued invocations.
 func (b *Balancer) routeQueued() {
 	queued := b.queued
 	b.queued = nil
@@ -410,15 +430,15 @@
 	}
 }
 
-// The handles of the instance's timers.
+// Handles of the timers.
 const (
-	timerInterval = iota
-	timerQueue
-	timerWatch
-	timerCheck
+	timerInterval = iota // sets the trial share and judges the trial build
+	timerQueue           // tries queued invocations again
+	timerWatch           // subscribes to the node list again
+	timerCheck           // checks for unresponsive nodes
 )
 
-// leastLoads are the least in the own zone and among all of some nodes, of none without bound.
+// minLoads returns the least load of the nodes in the own zone, and of all the nodes; of no nodes it is infinite.
 func (b *Balancer) minLoads(nodes []*node, now float64) (own, all float64) {
 	own, all = math.Inf(1), math.Inf(1)
 	for _, n := range nodes {
@@ -431,16 +451,17 @@
 	return own, all
 }
 
+// sloOf is the SLO time of an operation in ms.
 func (b *Balancer) sloOf(op int) float64 { return b.ops[op].sloMs }
 
-// renew starts over what is known of the newest build.
+// resetNewest resets the evidence on the newest build, which is now ver.
 func (b *Balancer) resetNewest(ver int, now float64) {
 	b.trialShare, b.firstAnswerAt, b.degradedSince = 0, math.Inf(1), now
 	b.baselineAtStart = slices.Clone(b.posterior(b.baselineBefore(ver)))
 	b.fleetPosteriors = [2][]posterior{make([]posterior, len(b.ops)+1), make([]posterior, len(b.ops)+1)}
 }
 
-// take counts an invocation that has arrived.
+// recordArrival counts an invocation that has arrived.
 func (b *Balancer) recordArrival(inv *invocation) {
 	b.invocations[inv.id] = inv
 	b.countEvent(b.acceptedSum(-1), inv.arrivedAt)
@@ -450,6 +471,7 @@
 	b.meanCost += (b.costOrOne(inv.cost) - b.meanCost) / min(100, b.arrivals)
 }
 
+// lateShare is the entry of lateShares for a zone, which it creates if needed.
 func (b *Balancer) lateShare(zone int) *float64 {
 	if b.lateShares[zone] == nil {
 		b.lateShares[zone] = new(float64)
@@ -457,7 +479,7 @@
 	return b.lateShares[zone]
 }
 
-// scope is what exposure is counted by: the operation, or all together.
+// exposureScope is the scope of the cap: the operation, or -1 for all together.
 func (b *Balancer) exposureScope(op int) int {
 	if b.cfg.capPerOperation {
 		return op
@@ -465,7 +487,7 @@
 	return -1
 }
 
-// ClientTimedOut says that the client of an invocation is gone.
+// ClientTimedOut reports that the client of an invocation doesn't wait any more.
 func (b *Balancer) ClientTimedOut(id string) {
 	if inv := b.invocations[id]; inv != nil && !inv.finished {
 		b.recordMiss(true, true)
@@ -473,7 +495,7 @@
 	}
 }
 
-// untried leaves out the nodes that an invocation has been sent to.
+// excludeTried leaves out the nodes that an invocation has been sent to.
 func excludeTried(nodes []*node, inv *invocation) []*node {
 	if len(inv.dispatches) == 0 {
 		return nodes
@@ -483,12 +505,12 @@
 	})
 }
 
-// mayHaveRun says that a dispatch of it may have had its effect.
+// mayHaveRun reports whether a dispatch of the invocation may have had its effect.
 func (inv *invocation) mayHaveRun() bool {
 	return slices.ContainsFunc(inv.dispatches, func(d dispatch) bool { return d.mayHaveRun })
 }
 
-// serving counts the nodes listed as serving for which something holds.
+// countServing counts the serving nodes that keep selects.
 func (b *Balancer) countServing(keep func(*node) bool) (count float64) {
 	for _, n := range b.nodesByID {
 		if n.Health == Serving && keep(n) {
@@ -498,7 +520,7 @@
 	return count
 }
 
-// medianFailing is the lower median of the shares of failures of the serving nodes for which something holds.
+// medianFailure is the lower median of the failure rates of the serving nodes that keep selects.
 func (b *Balancer) medianFailure(keep func(*node) bool) float64 {
 	var shares []float64
 	for _, n := range b.nodesByID {
@@ -513,9 +535,10 @@
 	return shares[(len(shares)-1)/2]
 }
 
-// earlier is the build before the newest, or -1.
+// baseline is the version of the build before the newest, or -1.
 func (b *Balancer) baseline() int { return b.baselineBefore(b.newestVer) }
 
+// baselineBefore is the newest known version before ver, or -1.
 func (b *Balancer) baselineBefore(ver int) int {
 	baseline := -1
 	for _, n := range b.nodesByID {
@@ -531,13 +554,14 @@
 	return baseline
 }
 
-// peer is what another marshal has counted: by operation the newest build's successes and failures, and the
-// earlier one's meanwhile.
+// peerCounts is the counts of another marshal: for each operation the successes and failures of its newest build, then
+// those of the baseline over the same time.
 type peerCounts struct {
 	ver    int
 	counts [][4]float64
 }
 
+// ownCounts is this marshal's counts in the form of peerCounts.
 func (b *Balancer) ownCounts(baselineVer int) [][4]float64 {
 	c := make([][4]float64, len(b.ops))
 	newest, baseline := b.posterior(b.newestVer), b.posterior(baselineVer)
@@ -551,6 +575,7 @@
 	return c
 }
 
+// countsMessage is the message with ownCounts that is sent to the peers.
 func (b *Balancer) countsMessage(baselineVer int) string {
 	text := strconv.AppendInt(nil, int64(b.newestVer), 10)
 	for _, c := range b.ownCounts(baselineVer) {
@@ -561,6 +586,7 @@
 	return string(text)
 }
 
+// parseCounts parses a peer's message for a number of operations.
 func parseCounts(text string, ops int) (p peerCounts, ok bool) {
 	f := strings.Fields(text)
 	if len(f) != 1+4*ops {
@@ -580,7 +606,7 @@
 	return p, true
 }
 
-// heard adds up what the peers tell of the newest build and what this marshal has counted itself.
+// aggregateCounts adds up the counts of the peers with the same newest build and those of this marshal.
 func (b *Balancer) aggregateCounts(baselineVer int) (fleet [2][]posterior) {
 	fleet = [2][]posterior{make([]posterior, len(b.ops)+1), make([]posterior, len(b.ops)+1)}
 	add := func(counts [][4]float64) {
@@ -600,11 +626,11 @@
 	return fleet
 }
 
-// sliding adds up what happened within a window that slides.
+// slidingSum is a sum over a sliding time window.
 type slidingSum struct {
 	times  []float64
 	values []float64
-	sum    float64
+	sum    float64 // of the values from head on
 	head   int
 }
 
@@ -613,7 +639,7 @@
 	s.sum += value
 }
 
-// since drops all that is older than from and gives the sum of the rest.
+// sumSince drops the values before from and returns the sum of the rest.
 func (s *slidingSum) sumSince(from float64) float64 {
 	for s.head < len(s.times) && s.times[s.head] < from {
 		s.sum -= s.values[s.head]
@@ -629,9 +655,10 @@
 	return s.sum
 }
 
-// exposure is what one build, or one operation at it, was sent within the rule's window.
+// exposureKey names a build and one of its operations, or all of them with -1.
 type exposureKey struct{ ver, op int }
 
+// acceptedSum counts the recent invocations of an operation, or all with -1.
 func (b *Balancer) acceptedSum(op int) *slidingSum {
 	if b.accepted[op] == nil {
 		b.accepted[op] = &slidingSum{}
@@ -639,12 +666,13 @@
 	return b.accepted[op]
 }
 
+// countEvent adds one to a sum over the exposure window.
 func (b *Balancer) countEvent(s *slidingSum, now float64) {
 	s.sumSince(now - b.cfg.exposureWindowMs)
 	s.add(now, 1)
 }
 
-// finish marks an invocation as answered; it is forgotten once its last dispatch has ended.
+// finish marks an invocation as answered. It is removed once its last dispatch has ended.
 func (b *Balancer) finish(inv *invocation) {
 	inv.finished = true
 	for _, d := range inv.dispatches {
@@ -655,6 +683,7 @@
 	delete(b.invocations, inv.id)
 }
 
+// posterior is the evidence on a build, by operation and for all together in the last element.
 func (b *Balancer) posterior(ver int) []posterior {
 	if b.posteriors[ver] == nil {
 		b.posteriors[ver] = make([]posterior, len(b.ops)+1)
@@ -662,6 +691,7 @@
 	return b.posteriors[ver]
 }
 
+// costOrOne is the cost of an invocation, 1 if it is not known.
 func (b *Balancer) costOrOne(cost float64) float64 {
 	if cost > 0 {
 		return cost
@@ -671,7 +701,7 @@
 
 func compareID(n *node, id uint32) int { return cmp.Compare(n.ID, id) }
 
-// merge brings the known nodes up to date; one whose process is another starts over.
+// mergeNodes updates the known nodes. A node with a new process is reset.
 func (b *Balancer) mergeNodes(complete bool, list []Node, now float64) {
 	b.index.stale = true
 	listed := map[uint32]bool{}
@@ -686,7 +716,7 @@
 			b.nodesByID = slices.Insert(b.nodesByID, i, n)
 			continue
 		}
-		if n.Started != l.Started || n.Ver != l.Ver { // another process, perhaps another machine
+		if n.Started != l.Started || n.Ver != l.Ver { // a new process, perhaps on another machine
 			n.successes, n.failures, n.retryAt, n.ejectionMs, n.workPerInvocation, n.lastAnswer = 0, 0, 0, 0, 0, now
 			n.coldRounding = b.drawColdRounding(l)
 		}
@@ -701,6 +731,7 @@
 	}
 }
 
+// exposureSum counts the recent dispatches to a build and operation, or to the build with -1.
 func (b *Balancer) exposureSum(ver, op int) *slidingSum {
 	e := exposureKey{ver, op}
 	if b.exposures[e] == nil {
