--- a/balance/bench_test.go
+++ b/balance/bench_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// calm is a Host that does nothing but keep time and run the instance's timers.
+// benchHost is a Host that only keeps time, fires the timers and remembers the node of the last dispatch.
 type benchHost struct {
 	b      *Balancer
 	now    float64
@@ -28,24 +28,26 @@
 func (c *benchHost) Vote(int, int, Verdict)                 {}
 func (c *benchHost) SendToPeer(int, string)                 {}
 func (c *benchHost) Log(string)                             {}
-func (c *benchHost) SetTimer(after float64, handle int64) {
+func (c *benchHost) SetTimer(afterMs float64, handle int64) {
 	c.timers = append(c.timers, struct {
 		at     float64
 		handle int64
-	}{c.now + after, handle})
+	}{c.now + afterMs, handle})
 }
 
+// advance advances the clock and fires the timers that are due.
 func (c *benchHost) advance(ms float64) {
 	c.now += ms
 	for i := 0; i < len(c.timers); i++ {
-		if w := c.timers[i]; w.at <= c.now {
+		if timer := c.timers[i]; timer.at <= c.now {
 			c.timers = append(c.timers[:i], c.timers[i+1:]...)
 			i--
-			c.b.TimerFired(w.handle)
+			c.b.TimerFired(timer.handle)
 		}
 	}
 }
 
+// newBenchHost starts a Balancer with warm nodes of build 1 in three zones.
 func newBenchHost(nodes int, forwardOnly bool) *benchHost {
 	c := &benchHost{now: 1e6}
 	c.b = New(c, Settings{"limits.most-tries": 4.0, "discovery": "automatic", "rollout.counted-over-ms": 4000.0,
@@ -61,14 +63,14 @@
 	return c
 }
 
-// invoke sends one invocation through, half a ms after the one before.
+// invoke processes one invocation in half a ms.
 func (c *benchHost) invoke(id, key string) {
 	c.b.InvocationArrived(id, 0, 0, key, 1000, 0, false, false)
 	c.advance(0.5)
 	c.b.DispatchEnded(id, 0, c.lastNode, Succeeded, 20, true, nil)
 }
 
-// What one invocation costs the module: arrival, dispatch, answer and its part of the timers.
+// BenchmarkInvocation measures the cost of one invocation: arrival, dispatch, answer and its part of the timers.
 func BenchmarkInvocation(b *testing.B) {
 	for _, nodes := range []int{15, 300, 3000} {
 		b.Run(fmt.Sprint(nodes), func(b *testing.B) {
@@ -81,7 +83,8 @@
 	}
 }
 
-// An instance holds no more after hours of nodes, builds and keys that come and go than after minutes.
+// TestStateBounded checks that an instance holds no more after hours of nodes, builds and keys that come and go than
+// after minutes.
 func TestStateBounded(t *testing.T) {
 	c := newBenchHost(20, true)
 	size := func() int {
@@ -95,7 +98,7 @@
 	}
 	next, ver, earlySize, earlyHeap := uint32(1000), 1, 0, int64(0)
 	for minute := range 120 {
-		if minute%10 == 5 { // a build comes, on every node, and is released
+		if minute%10 == 5 { // a new build comes to every node and is released
 			ver++
 			c.b.StageUpdate(ver, 0, OnTrial, 0.1, 0, false)
 		}
@@ -115,18 +118,18 @@
 		}
 	}
 	if lateSize := size(); lateSize > earlySize+20 {
-		t.Errorf("it held %d things after 20 minutes and %d after two hours", earlySize, lateSize)
+		t.Errorf("the instance holds %d entries after 20 minutes and %d after two hours", earlySize, lateSize)
 	}
 	if growth := heap() - earlyHeap; growth > 1<<20 {
-		t.Errorf("its heap grew by %d bytes from 20 minutes to two hours", growth)
+		t.Errorf("the heap grew by %d bytes between 20 minutes and two hours", growth)
 	}
 	runtime.KeepAlive(c)
 	for ver, s := range c.b.exposures {
 		if len(s.times) > 2000 {
-			t.Errorf("%d sends to build %v are remembered", len(s.times), ver)
+			t.Errorf("%d dispatches to build %v are kept", len(s.times), ver)
 		}
 	}
 	if c.b.minVer != ver {
-		t.Errorf("the floor is build %d, not %d", c.b.minVer, ver)
+		t.Errorf("minVer is build %d, want %d", c.b.minVer, ver)
 	}
 }
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -2,9 +2,10 @@
 
 import "fmt"
 
+// succeed makes all dispatches succeed.
 func succeed(uint32) Outcome { return Succeeded }
 
-// failing makes one node fail all it is sent.
+// failOn makes one node fail all dispatches.
 func failOn(bad uint32) func(uint32) Outcome {
 	return func(node uint32) Outcome {
 		if node == bad {
@@ -14,13 +15,13 @@
 	}
 }
 
-// trial brings build 2 to stage 0 on node 9, which started age ms ago.
-func (s *exampleHost) startTrial(age float64) {
-	s.b.NodesListed(false, []Node{{ID: 9, Ver: 2, Size: 1, Started: s.now - age}})
+// startTrial brings build 2 to stage 0 on node 9, which started ageMs ago.
+func (s *exampleHost) startTrial(ageMs float64) {
+	s.b.NodesListed(false, []Node{{ID: 9, Ver: 2, Size: 1, Started: s.now - ageMs}})
 	s.b.StageUpdate(2, 0, OnTrial, 0.1, 0, false)
 }
 
-// An idempotent invocation that fails goes again; once its tries are used up it is throttled.
+// An idempotent invocation that fails is repeated, and throttled once its tries are used up.
 func Example_idempotent() {
 	s := newExample("idempotent", nil)
 	s.arrive("a")
@@ -35,7 +36,7 @@
 	// 100000  throttle a
 }
 
-// A side-effecting one goes again only after a dispatch that provably never ran.
+// A side-effecting invocation is repeated only after a dispatch that provably never ran.
 func Example_sideEffecting() {
 	s := newExample("side-effecting", nil)
 	s.arrive("a")
@@ -50,13 +51,13 @@
 	// 100000  dispatch b to node 4
 }
 
-// A fingerprinted one that may have run goes again in its zone only, and only while the nodes remember it.
+// A fingerprinted invocation that may have run is repeated only in its zone, and only while the nodes remember it.
 func Example_fingerprinted() {
 	s := newExample("fingerprinted", nil)
 	s.arrive("a")
 	s.end("a", Failed)
 	s.end("a", ConnectionReset)
-	fmt.Println("the next one is answered after the memory window")
+	fmt.Println("the next one ends after the memory window")
 	s.b.InvocationArrived("b", 0, 0, "", 9000, 0, false, false)
 	s.advanceTo(s.now + 3001)
 	s.end("b", TimedOut)
@@ -64,14 +65,14 @@
 	// 100000  dispatch a to node 1
 	// 100000  dispatch a to node 2
 	// 100000  dispatch a to node 2
-	// the next one is answered after the memory window
+	// the next one ends after the memory window
 	// 100000  dispatch b to node 4
 	// 100900  cancel a dispatch 2
 	// 100900  cancel b dispatch 0
 	// 103001  terminate b
 }
 
-// With every node gone an invocation is held, and throttled while its client still waits.
+// With all nodes gone an invocation is queued, then throttled while its client still waits.
 func Example_nowhereToGo() {
 	s := newExample("side-effecting", nil)
 	s.b.NodesListed(true, nil)
@@ -81,7 +82,7 @@
 	// 100380  throttle a
 }
 
-// Nothing new goes to a node that drains.
+// A draining node gets no new dispatches.
 func Example_drain() {
 	s := newExample("idempotent", nil)
 	s.b.NodesListed(false, []Node{{ID: 1, Ver: 1, Health: Draining}, {ID: 2, Ver: 1, Health: Gone},
@@ -93,7 +94,7 @@
 	// 100000  dispatch b to node 4
 }
 
-// A node that has just started gets little, whatever is in flight elsewhere; a warm one gets its part.
+// A node that has just started gets few dispatches, whatever the load elsewhere; a warmer one gets its part.
 func Example_coldNode() {
 	s := newExample("idempotent", Settings{"rules.fall-multiple": 1.0})
 	s.run(300, "w", succeed)
@@ -113,7 +114,7 @@
 	// started 6000 ms ago: 8 of 50
 }
 
-// A node that fails where the others do not is left out; its build's other nodes are not.
+// A node that fails while others do not is ejected; other nodes of its build are not.
 func Example_outlierNode() {
 	s := newExample("idempotent", nil)
 	count := 0
@@ -129,7 +130,7 @@
 	// the failing node was sent 3 of 200
 }
 
-// A node that answers nothing for seven mean latencies is left; its invocation goes elsewhere.
+// At a node without an answer for seven mean latencies the dispatch is canceled and the invocation repeated elsewhere.
 func Example_unresponsiveNode() {
 	s := newExample("idempotent", nil)
 	s.arrive("a")
@@ -142,7 +143,7 @@
 	// 100900  dispatch a to node 3
 }
 
-// What is out stays within what the fleet answers in half the SLO time; the rest is throttled at once.
+// No more is in flight than the fleet answers in half the SLO time; the rest is throttled at once.
 func Example_overload() {
 	s := newExample("idempotent", nil)
 	s.run(100, "w", succeed)
@@ -156,7 +157,7 @@
 	// 102000  throttle x39
 }
 
-// Of two operations the one worth less for its work is throttled first.
+// Of two operations the one that is worth less for its work is throttled first.
 func Example_worthFirst() {
 	op := func(worth float64) Settings {
 		return Settings{"repeat": "idempotent", "slo-ms": 500.0, "billed-value": worth}
@@ -175,7 +176,7 @@
 	// dispatched of 30 each: [5 10]
 }
 
-// The trial build gets no more than allowance and cap allow; in a shielded stage only what is idempotent.
+// The trial build gets no more than allowance and cap permit, and only idempotent invocations in a shielded stage.
 func Example_exposure() {
 	for _, shielded := range []float64{0, 1} {
 		s := newExample("side-effecting", Settings{"rollout.shielded": shielded})
@@ -197,7 +198,7 @@
 	// shielded 1: 0 of 200 in 4 s
 }
 
-// Where the cap counts by operation, what one operation leaves is not the other's.
+// Where the cap counts by operation, one operation can't use what another leaves.
 func Example_exposureByOperation() {
 	op := Settings{"repeat": "idempotent", "slo-ms": 500.0}
 	s := newExample("", Settings{"rollout.cap-scope": "each_class", "operations": []Settings{op, op}})
@@ -212,7 +213,7 @@
 	// 105000  dispatch a3 to node 9
 }
 
-// A marshal that has just started may have used its allowance up before: at first only the cap counts.
+// A marshal that has just started may have used up its allowance before: at first only the cap counts.
 func Example_restart() {
 	s := newExample("idempotent", nil)
 	s.b.NodesListed(true, []Node{{ID: 9, Ver: 2, Size: 1}})
@@ -224,7 +225,7 @@
 	// 100000  dispatch b to node 9
 }
 
-// A build that the news do not name yet counts as in the first stage; at cap 0 nothing goes there.
+// A listed build without a stage update counts as in its first stage. At cap 0 it gets nothing.
 func Example_unannounced() {
 	s := newExample("idempotent", nil)
 	s.run(300, "w", succeed)
@@ -245,7 +246,7 @@
 	// 108260  throttle y
 }
 
-// A key that the new build has answered goes to no earlier one until the build goes back.
+// A key that the new build has answered goes to no earlier build until the new one is rolled back.
 func Example_forwardOnly() {
 	s := newExample("idempotent", Settings{"rollout.forward-only": true})
 	s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Size: 1}})
@@ -265,7 +266,7 @@
 	// 105120  dispatch again to node 1
 }
 
-// News that an earlier build went back, late, free no key that a later build has answered already.
+// A late update that an earlier build was withdrawn frees no key that a later build has answered.
 func Example_lateStageUpdate() {
 	s := newExample("idempotent", Settings{"rollout.forward-only": true})
 	s.advanceTo(s.now + 5000)
@@ -284,7 +285,7 @@
 	// 105120  dispatch again to node 1
 }
 
-// A build that fails is voted back.
+// A marshal votes to roll back a build that fails.
 func Example_rollBack() {
 	s := newExample("idempotent", nil)
 	s.run(300, "w", succeed)
@@ -294,7 +295,7 @@
 	// 107500  vote back on build 2 at stage 0
 }
 
-// Without a verdict the vote is on after 4 s of a stage, and again when it has lapsed.
+// Without a verdict the marshal votes to advance after 4 s in a stage, and again when that vote has expired.
 func Example_onAfterFourSeconds() {
 	s := newExample("idempotent", nil)
 	s.startTrial(6000)
@@ -306,7 +307,7 @@
 	// 108500  vote on on build 2 at stage 0
 }
 
-// A build that fails nothing but needs three times the work goes back, if its nodes say so and it is seen.
+// A build without failures that needs three times the work is rolled back, if load reports and latencies show it.
 func Example_heavierBuild() {
 	for _, factor := range []float64{1, 3} {
 		s := newExample("idempotent", Settings{"rollout.allowance": 40.0})
@@ -333,8 +334,8 @@
 	// 107000  vote back on build 2 at stage 0
 }
 
-// Trouble that begins under a build and lasts sends it back, though both builds are late alike, if the
-// platform's counts say that the whole fleet takes twice as long and more. It is thrice here.
+// Lasting degradation that begins under a build rolls it back, though both builds are equally late, if by the platform's
+// statistics the whole fleet takes at least twice as long. Here it takes 3 times as long.
 func Example_degradationUnderBuild() {
 	for _, factor := range []float64{1, 3} {
 		s := newExample("idempotent", nil)
@@ -359,7 +360,7 @@
 	// 3 times
 }
 
-// Of a hundred marshals none is sure by itself: one with bad luck waits for what the fleet counts.
+// Of a hundred marshals none decides on its own: one with unlucky outcomes waits for the counts of the fleet.
 func Example_fleetAgrees() {
 	for _, failed := range []int{1, 20} {
 		s := newExample("idempotent", Settings{"marshals": 100.0})
@@ -376,7 +377,7 @@
 	// 20 of 100 counted as failed
 }
 
-// Peers' counts do the same where marshals may tell each other; what makes no sense of it is dropped.
+// The counts of peers serve the same purpose where marshals exchange them. Messages that can't be parsed are dropped.
 func Example_peersAgree() {
 	for _, message := range []string{"2 999 1 990 9", "2 80 20 990 9"} {
 		s := newExample("idempotent", Settings{"marshals": 100.0, "limits.may-tell": true})
@@ -388,14 +389,14 @@
 		fmt.Println(message)
 	}
 	// Output:
-	// 106500  tell -1 "2 0 0 25 0"
+	// 106500  send to -1 "2 0 0 25 0"
 	// 2 999 1 990 9
-	// 106500  tell -1 "2 0 0 25 0"
+	// 106500  send to -1 "2 0 0 25 0"
 	// 107000  vote back on build 2 at stage 0
 	// 2 80 20 990 9
 }
 
-// Once new connections fail often, nodes whose connection is known to work are kept to.
+// Once new connections fail often, nodes with a connection that is known to work are preferred.
 func Example_knownConnections() {
 	s := newExample("idempotent", nil)
 	count := map[uint32]int{}
@@ -406,12 +407,12 @@
 		}
 		return Succeeded
 	})
-	fmt.Println(count[1]+count[2], "to the two that accept,", count[3]+count[4], "to the others")
+	fmt.Println(count[1]+count[2], "to the two that accept connections,", count[3]+count[4], "to the others")
 	// Output:
-	// 100 to the two that accept, 4 to the others
+	// 100 to the two that accept connections, 4 to the others
 }
 
-// Traffic crosses to another zone once that answers more in time by more than crossing costs.
+// Traffic crosses to another zone once the gain in answers on time exceeds the price of crossing.
 func Example_crossZone() {
 	for _, tookMs := range []float64{50, 700} {
 		s := newExample("idempotent", Settings{"prices.cross-zone": 0.1})
@@ -423,14 +424,14 @@
 		}
 		crossed := 0
 		s.run(200, "w", func(node uint32) Outcome { crossed += int(node) / 3; return Succeeded })
-		fmt.Printf("%.0f ms here: %d of 200 cross\n", tookMs, crossed)
+		fmt.Printf("%.0f ms in the own zone: %d of 200 cross\n", tookMs, crossed)
 	}
 	// Output:
-	// 50 ms here: 0 of 200 cross
-	// 700 ms here: 178 of 200 cross
+	// 50 ms in the own zone: 0 of 200 cross
+	// 700 ms in the own zone: 178 of 200 cross
 }
 
-// A marshal that stood still takes what it finds then as evidence of nothing: no node is left for silence.
+// After a stall of the marshal outcomes are no evidence, and no node counts as unresponsive.
 func Example_ownStall() {
 	s := newExample("idempotent", nil)
 	s.run(20, "w", succeed)
@@ -438,14 +439,14 @@
 	s.now += 2000
 	s.b.TimerFired(timerCheck)
 	s.end("a", TimedOut)
-	fmt.Println("failures known:", s.b.posterior(1)[1].failures)
+	fmt.Println("failures counted:", s.b.posterior(1)[1].failures)
 	// Output:
 	// 100400  dispatch a to node 2
 	// 102400  throttle a
-	// failures known: 0
+	// failures counted: 0
 }
 
-// A cold node's budget below one invocation is right over a hundred marshals, neither none nor one of each.
+// A cold node's budget of less than one invocation is kept over a hundred marshals: not none or all of them send one.
 func Example_coldNodeOfMany() {
 	sent := 0
 	for i := range 100 {
@@ -453,7 +454,7 @@
 		s.b = New(s, s.b.settings, uint64(i))
 		s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}})
 		s.b.StageUpdate(1, 0, Released, 1, 60000, false)
-		for k := range 8 { // one in 500 ms: a warm node does one a second for each marshal
+		for k := range 8 { // one per 500 ms: each warm node does one per second for each marshal
 			s.quiet = true
 			s.arrive(fmt.Sprint("w", k))
 			s.end(fmt.Sprint("w", k), Succeeded)
@@ -463,12 +464,12 @@
 		s.arrive("x")
 		sent += s.dispatches["x"]
 	}
-	fmt.Println("of 100 marshals", sent, "send it one; its budget is 51")
+	fmt.Println("of 100 marshals", sent, "send it one; the budget is 51")
 	// Output:
-	// of 100 marshals 53 send it one; its budget is 51
+	// of 100 marshals 53 send it one; the budget is 51
 }
 
-// One failing node of two does not send its build back.
+// A build is not rolled back because one of its two nodes fails.
 func Example_oneOutlierTrialNode() {
 	s := newExample("idempotent", Settings{"rollout.allowance": 40.0})
 	s.run(300, "w", succeed)
@@ -479,7 +480,7 @@
 	// 107000  vote on on build 2 at stage 0
 }
 
-// Errors are seen through the time-outs of an overloaded fleet.
+// Errors of a build are detected among the time-outs of an overloaded fleet.
 func Example_errorsUnderLoad() {
 	s := newExample("side-effecting", Settings{"rollout.allowance": 40.0})
 	i := 0
@@ -496,7 +497,7 @@
 	// 122000  vote back on build 2 at stage 0
 }
 
-// The cap of a stage comes before its nodes do: those listed get their part of it, not all.
+// The cap of a stage is announced before its nodes are listed: those listed get their part of it, not all.
 func Example_shareFollowsList() {
 	s := newExample("idempotent", Settings{"rollout.stage-share": []float64{0.8, 1}, "rollout.allowance": 500.0})
 	s.run(300, "w", succeed)
@@ -510,13 +511,13 @@
 		}
 		return Succeeded
 	})
-	fmt.Printf("one node of four that are to come, cap 1: %d of 200\n", count)
+	fmt.Printf("one of four planned nodes, cap 1: %d of 200\n", count)
 	// Output:
 	// 110000  vote on on build 2 at stage 0
-	// one node of four that are to come, cap 1: 43 of 200
+	// one of four planned nodes, cap 1: 43 of 200
 }
 
-// A trial node with much more in flight than an earlier one gives way to it.
+// A baseline node is used instead of a trial node with a much higher load.
 func Example_busyTrialNode() {
 	s := newExample("idempotent", Settings{"rollout.allowance": 500.0, "rollout.stage-share": []float64{0.2, 1}})
 	s.run(300, "w", succeed)
@@ -535,7 +536,7 @@
 	// 109000  throttle x5
 }
 
-// A failed vote is tried again later, never at once; one that timed out may count and stands for a while.
+// A failed vote is repeated later, never at once. One that timed out may have been counted and stands for a while.
 func Example_voteNotAnswered() {
 	for _, outcome := range []Outcome{Failed, TimedOut} {
 		s := newExample("idempotent", nil)
@@ -551,7 +552,7 @@
 	// 107000  vote on on build 2 at stage 0
 }
 
-// Where stages move by a clock it is held while the build looks worse, and never for want of outcomes.
+// Where stages advance by a clock the marshal votes to hold while the build looks worse, and never for lack of outcomes.
 func Example_clock() {
 	s := newExample("idempotent", Settings{"rollout.gate-mode": "clock"})
 	s.run(300, "w", succeed)
@@ -572,7 +573,7 @@
 	// 114500  vote hold on build 2 at stage 0
 }
 
-// The list is watched where it has to be asked for, and asked for again when that fails.
+// The node list is watched where it must be subscribed to, and again after a failure.
 func Example_watch() {
 	s := newExample("idempotent", Settings{"discovery": "subscribe"})
 	s.b.NodeListFailed()
@@ -583,7 +584,7 @@
 	// 102191  watch the list
 }
 
-// Invocations that err at every node are at fault themselves; a build that errs where others do not is not spared.
+// Invocations that fail at every node are at fault themselves. A build that fails where others do not is rolled back.
 func Example_badRequests() {
 	for _, everywhere := range []bool{true, false} {
 		s := newExample("idempotent", nil)
@@ -605,7 +606,7 @@
 	// at every node: false
 }
 
-// queue has an invocation arrive every so many ms for a while, and the oldest dispatch answered every so many.
+// runQueue runs for durationMs: every arrivalMs an invocation arrives, every answerMs the oldest dispatch succeeds.
 func (s *exampleHost) runQueue(name string, durationMs, arrivalMs, answerMs float64) {
 	var open []string
 	from, n := s.now, 0.0
@@ -627,18 +628,18 @@
 	s.quiet = false
 }
 
-// A build under which the fleet answers less goes back, though both builds are slow alike; not so in a burst, in which
-// more comes and no less is answered, nor in trouble that began before the build.
+// A build under which the throughput drops is rolled back, though both builds are equally slow. It is not in a burst, in
+// which more arrives and no less is answered, nor if the drop began before the build.
 func Example_throughputDrops() {
-	for _, scenario := range []string{"the fleet sags", "a burst", "it sagged before"} {
+	for _, scenario := range []string{"throughput drops", "a burst", "it dropped before"} {
 		s := newExample("idempotent", Settings{"rollout.stage-share": []float64{0.1, 1, 1}})
 		s.runQueue("w", 10000, 20, 20)
-		if scenario == "it sagged before" {
+		if scenario == "it dropped before" {
 			s.runQueue("v", 3000, 20, 100)
 		}
 		s.startTrial(6000)
 		switch scenario {
-		case "the fleet sags":
+		case "throughput drops":
 			s.runQueue("x", 1000, 20, 20)
 			s.runQueue("y", 6000, 20, 100)
 		case "a burst":
@@ -651,14 +652,14 @@
 	}
 	// Output:
 	// 113500  vote back on build 2 at stage 0
-	// the fleet sags
+	// throughput drops
 	// 112000  vote on on build 2 at stage 0
 	// a burst
 	// 118500  vote on on build 2 at stage 0
-	// it sagged before
+	// it dropped before
 }
 
-// What is given up does not widen the bound on what is out: a fleet that answers nothing gets no more for it.
+// Dispatches that time out don't raise the limit in flight: the answer rate counts answers only.
 func Example_abandonedNotCounted() {
 	s := newExample("idempotent", nil)
 	s.runQueue("w", 10000, 20, 20)
@@ -673,38 +674,39 @@
 		}
 		s.quiet = false
 		s.advanceTo(s.now + 400)
-		fmt.Printf("%.3f answered a ms, %.0f ended a second\n", s.b.answerRate, s.b.throughput)
+		fmt.Printf("%.3f answered per ms, %.0f ended per second\n", s.b.answerRate, s.b.throughput)
 	}
 	// Output:
-	// 0.100 answered a ms, 100 ended a second
-	// 0.000 answered a ms, 90 ended a second
+	// 0.100 answered per ms, 100 ended per second
+	// 0.000 answered per ms, 90 ended per second
 }
 
-// Where lost nodes, still listed as serving, are all that is left of the earlier build, the build on trial takes what
-// its cap allows.
+// Where only unreachable nodes, still listed as serving, are left of the baseline, the trial build gets what its cap
+// permits.
 func Example_unreachableNodesLeft() {
 	s := newExample("idempotent", nil)
 	s.run(200, "w", succeed)
-	s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Size: 1}, {ID: 10, Ver: 2, Size: 1}})
+	s.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}, {ID: 9, Ver: 2, Size: 1},
+		{ID: 10, Ver: 2, Size: 1}})
 	s.b.StageUpdate(2, 1, OnTrial, 1, 0, false)
-	lost, served := 0, 0
+	unreachable, served := 0, 0
 	for i := range 300 {
 		s.run(1, fmt.Sprint("x", i, "-"), func(node uint32) Outcome {
 			if node < 9 {
-				lost++
+				unreachable++
 				return ConnectFailed
 			}
 			served++
 			return Succeeded
 		})
 	}
-	fmt.Println("served", served, "of 300, sent to lost nodes", lost)
+	fmt.Println("served", served, "of 300, sent to unreachable nodes", unreachable)
 	// Output:
 	// 105000  vote on on build 2 at stage 1
-	// served 297 of 300, sent to lost nodes 12
+	// served 297 of 300, sent to unreachable nodes 12
 }
 
-// While the fleet is overloaded, what would be turned away tries a trial node that has nothing to do.
+// While the fleet is overloaded, an idle trial node gets an invocation that would else be rejected.
 func Example_idleTrialNode() {
 	s := newExample("idempotent", Settings{"rollout.most-shares": []float64{1}})
 	s.run(200, "w", succeed)
--- a/balance/helper_test.go
+++ b/balance/helper_test.go
@@ -2,16 +2,16 @@
 
 import "fmt"
 
-// stand is a Host for the examples: a clock set by hand, and every act printed as a short line.
+// exampleHost is a Host for the examples: its clock is set by hand, and each action is printed as a short line.
 type exampleHost struct {
 	b          *Balancer
 	now        float64
 	quiet      bool
-	timerFuncs []func() // timers, by when they fall due
-	timerTimes []float64
+	timerFuncs []func()  // pending timers
+	timerTimes []float64 // when each of them fires
 	dispatches map[string]int
-	lastNode   map[string]uint32
-	latencyMs  func(node uint32) float64 // how long a dispatch takes, and what its node reports
+	lastNode   map[string]uint32         // node of each invocation's last dispatch
+	latencyMs  func(node uint32) float64 // duration of a dispatch
 	loadReport func(node uint32) map[string]float64
 }
 
@@ -22,32 +22,32 @@
 }
 
 func (s *exampleHost) Now() float64 { return s.now }
-func (s *exampleHost) Dispatch(inv string, node uint32, timeLimit float64) {
+func (s *exampleHost) Dispatch(inv string, node uint32, timeLimitMs float64) {
 	s.dispatches[inv]++
 	s.lastNode[inv] = node
 	s.printf("dispatch %s to node %d", inv, node)
 }
-func (s *exampleHost) Cancel(inv string, dispatch int) {
-	s.printf("cancel %s dispatch %d", inv, dispatch)
+func (s *exampleHost) Cancel(inv string, attempt int) {
+	s.printf("cancel %s dispatch %d", inv, attempt)
 }
-func (s *exampleHost) Throttle(inv string, comeBack float64) { s.printf("throttle %s", inv) }
-func (s *exampleHost) Terminate(inv string)                  { s.printf("terminate %s", inv) }
-func (s *exampleHost) Probe(node uint32)                     { s.printf("probe node %d", node) }
-func (s *exampleHost) FetchNodes()                           { s.printf("fetch the list") }
-func (s *exampleHost) WatchNodes(on bool)                    { s.printf("watch the list") }
-func (s *exampleHost) SendToPeer(peer int, text string)      { s.printf("tell %d %q", peer, text) }
-func (s *exampleHost) Log(text string)                       {}
+func (s *exampleHost) Throttle(inv string, retryAfterMs float64) { s.printf("throttle %s", inv) }
+func (s *exampleHost) Terminate(inv string)                      { s.printf("terminate %s", inv) }
+func (s *exampleHost) Probe(node uint32)                         { s.printf("probe node %d", node) }
+func (s *exampleHost) FetchNodes()                               { s.printf("fetch the list") }
+func (s *exampleHost) WatchNodes(on bool)                        { s.printf("watch the list") }
+func (s *exampleHost) SendToPeer(peer int, text string)          { s.printf("send to %d %q", peer, text) }
+func (s *exampleHost) Log(text string)                           {}
 func (s *exampleHost) Vote(ver, stage int, verdict Verdict) {
-	defer func(mute bool) { s.quiet = mute }(s.quiet)
-	s.quiet = false // votes are always told
+	defer func(quiet bool) { s.quiet = quiet }(s.quiet)
+	s.quiet = false // votes are always printed
 	s.printf("vote %s on build %d at stage %d", [...]string{"none", "on", "hold", "back"}[verdict], ver, stage)
 }
-func (s *exampleHost) SetTimer(after float64, handle int64) {
-	s.timerTimes = append(s.timerTimes, s.now+after)
+func (s *exampleHost) SetTimer(afterMs float64, handle int64) {
+	s.timerTimes = append(s.timerTimes, s.now+afterMs)
 	s.timerFuncs = append(s.timerFuncs, func() { s.b.TimerFired(handle) })
 }
 
-// until lets time pass and timers fall due.
+// advanceTo advances the clock and fires the timers that are due.
 func (s *exampleHost) advanceTo(t float64) {
 	for {
 		first := -1
@@ -60,15 +60,15 @@
 			s.now = t
 			return
 		}
-		act := s.timerFuncs[first]
+		fire := s.timerFuncs[first]
 		s.now = max(s.now, s.timerTimes[first])
 		s.timerTimes = append(s.timerTimes[:first], s.timerTimes[first+1:]...)
 		s.timerFuncs = append(s.timerFuncs[:first], s.timerFuncs[first+1:]...)
-		act()
+		fire()
 	}
 }
 
-// begin starts a marshal with one operation of the given kind, changed settings, and four nodes of build 1.
+// newExample starts a Balancer with one operation, some settings overridden, and four nodes of build 1.
 func newExample(repeatPolicy string, overrides Settings) *exampleHost {
 	settings := Settings{"marshals": 1.0, "zone": 0.0, "discovery": "automatic", "limits.most-tries": 4.0,
 		"limits.second-copies": false, "rules.fall-ms": 1000.0, "rules.fall-multiple": 2.0,
@@ -90,18 +90,18 @@
 	return s
 }
 
-// arrive brings an invocation with the client's patience of a second.
+// arrive reports an invocation with a time limit of one second.
 func (s *exampleHost) arrive(inv string) {
 	s.b.InvocationArrived(inv, 0, 0, "k"+inv, 1000, 0, false, false)
 }
 
-// end ends an invocation's last dispatch.
+// end reports the outcome of an invocation's last dispatch.
 func (s *exampleHost) end(inv string, outcome Outcome) {
 	attempt, node := s.dispatches[inv]-1, s.lastNode[inv]
 	s.b.DispatchEnded(inv, attempt, node, outcome, s.latencyMs(node), outcome == Succeeded, s.loadReport(node))
 }
 
-// serve sends n invocations through, 20 ms apart, and prints none of it but votes.
+// run processes n invocations, 20 ms apart, and prints nothing but votes.
 func (s *exampleHost) run(n int, name string, end func(node uint32) Outcome) {
 	for i := range n {
 		inv := fmt.Sprint(name, i)
--- a/balance/index_test.go
+++ b/balance/index_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// twin is a Host that notes what its instance does and keeps what is out.
+// recordingHost is a Host that records the actions of its instance and the dispatches in flight.
 type recordingHost struct {
 	benchHost
 	actions  []string
@@ -24,8 +24,8 @@
 	t.actions = append(t.actions, fmt.Sprint("cancel ", id, attempt))
 }
 
-// Whatever happens, the index gives what a look at every node gives: two instances that differ in this alone act
-// alike, and what is out at living nodes is what a count says.
+// TestIndexed compares an instance that uses the index with one that scans all nodes: whatever happens, both act alike,
+// and the dispatches in flight at responsive nodes are those that a count over all nodes gives.
 func TestIndexed(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := Settings{"limits.most-tries": 3.0, "discovery": "automatic", "rollout.counted-over-ms": 4000.0,
@@ -43,7 +43,7 @@
 				f(h)
 			}
 			if !slices.Equal(hosts[0].actions, hosts[1].actions) {
-				t.Fatalf("with the index %v, without %v", hosts[0].actions, hosts[1].actions)
+				t.Fatalf("actions differ: with the index %v, without %v", hosts[0].actions, hosts[1].actions)
 			}
 			b := hosts[0].b
 			inFlight, nodes := 0.0, 0.0
@@ -53,7 +53,7 @@
 				}
 			}
 			if o, n := b.responsiveInFlight(hosts[0].now); o != inFlight || n != nodes {
-				t.Fatalf("%v out at %v living nodes, it says %v at %v", inFlight, nodes, o, n)
+				t.Fatalf("%v dispatches in flight at %v responsive nodes, the index says %v at %v", inFlight, nodes, o, n)
 			}
 			for _, h := range hosts {
 				h.actions = h.actions[:0]
@@ -83,7 +83,8 @@
 					return
 				}
 				i := rapid.IntRange(0, len(hosts[0].inFlight)-1).Draw(t, "which")
-				outcome := rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut, ConnectFailed, ConnectionReset}).Draw(t, "how")
+				outcome := rapid.SampledFrom([]Outcome{Succeeded, Succeeded, Succeeded, Failed, Rejected, TimedOut,
+					ConnectFailed, ConnectionReset}).Draw(t, "how")
 				each(func(h *recordingHost) {
 					id := h.inFlight[i]
 					h.inFlight = slices.Delete(h.inFlight, i, i+1)
@@ -99,7 +100,8 @@
 				each(func(h *recordingHost) { h.b.NodesListed(true, nodes) })
 			},
 			"stage": func(t *rapid.T) {
-				ver, phase := rapid.IntRange(1, 3).Draw(t, "ver"), rapid.SampledFrom([]Phase{OnTrial, Released, RollingBack}).Draw(t, "phase")
+				ver, phase := rapid.IntRange(1, 3).Draw(t, "ver"),
+					rapid.SampledFrom([]Phase{OnTrial, Released, RollingBack}).Draw(t, "phase")
 				each(func(h *recordingHost) { h.b.StageUpdate(ver, 1, phase, 0.5, 0, false) })
 			},
 		})
--- a/balance/shared_test.go
+++ b/balance/shared_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// The instances of one marshal round a cold node's budget together as one does: whatever the node, each of them may
-// start on what its lot says, and all together on no more than the whole budget and one invocation.
+// TestColdRoundingAddsUp checks that the instances of one marshal round a cold node's budget together as one does:
+// whatever their draws, together they differ from the whole budget by at most one invocation.
 func TestColdRoundingAddsUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(2, 16).Draw(t, "instances")
@@ -17,23 +17,25 @@
 		fraction := rapid.Float64Range(0, 1).Draw(t, "part") // of one invocation that each may send
 		sending := 0
 		for i := range instances {
-			b := newBalancer(&benchHost{now: 1e6}, Settings{"number": 3.0, "instance": float64(i), "instances": float64(instances)}, uint64(i))
+			b := newBalancer(&benchHost{now: 1e6}, Settings{"number": 3.0, "instance": float64(i),
+				"instances": float64(instances)}, uint64(i))
 			if b.drawColdRounding(l) < fraction {
 				sending++
 			}
 		}
 		if expected := fraction * float64(instances); math.Abs(float64(sending)-expected) > 1+1e-9 {
-			t.Fatalf("%d of %d instances may send where the budget is %g", sending, instances, expected)
+			t.Fatalf("%d of %d instances may send; the budget is %g", sending, instances, expected)
 		}
 	})
 }
 
-// What another instance of the marshal saw of a node counts as though this one had: it is left alone as soon. Votes are
-// the chair's, and a build on trial takes a lease.
+// Outcomes that another instance of the marshal saw count like its own: a failing node is ejected as soon. Dispatches to
+// a build on trial need a lease.
 func Example_siblingDispatchEnded() {
 	c := &benchHost{now: 1e6}
 	c.b = New(c, Settings{"instance": 1.0, "instances": 2.0, "limits.most-tries": 2.0, "rollout.counted-over-ms": 4000.0,
-		"rollout.cap-scope": "all", "discovery": "automatic", "operations": []Settings{{"repeat": "idempotent", "slo-ms": 500.0}}}, 7)
+		"rollout.cap-scope": "all", "discovery": "automatic",
+		"operations": []Settings{{"repeat": "idempotent", "slo-ms": 500.0}}}, 7)
 	c.b.NodesListed(true, []Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}, {ID: 3, Ver: 2, Size: 1}})
 	c.b.StageUpdate(2, 0, OnTrial, 0.5, 0, false)
 	for range 20 {
