--- a/balance/state.go
+++ b/balance/state.go
@@ -212,6 +212,7 @@
 	}
 }
 
+// addLatency updates the running mean and sum of squares.
 func (p *posterior) addLatency(tookMs float64) {
 	p.samples++
 	d := tookMs - p.mean
@@ -219,6 +220,7 @@
 	p.sumSquares += d * (tookMs - p.mean)
 }
 
+// variance is the sample variance of the latency, 0 for fewer than two samples.
 func (p *posterior) variance() float64 {
 	if p.samples < 2 {
 		return 0
@@ -267,7 +269,9 @@
 
 func newBalancer(h Host, settings Settings, seed uint64) *Balancer {
 	b := &Balancer{host: h, settings: settings, rng: rand.New(pcg.New(seed)), startedAt: h.Now()}
-	b.cfg = config{coldShare: settings.number("rules.cold-from", 0.1), warmUpMs: settings.number("rules.warm-up-ms", 10000),
+	b.cfg = config{
+		coldShare:         settings.number("rules.cold-from", 0.1),
+		warmUpMs:          settings.number("rules.warm-up-ms", 10000),
 		coldWindowMs:      settings.number("rules.fall-ms", 2000),
 		coldWorkMultiple:  settings.number("rules.fall-multiple", 1),
 		exposureWindowMs:  settings.number("rollout.counted-over-ms", 0),
@@ -283,7 +287,8 @@
 		firstStageCap:     append(slices.Clone(settings.numbers("rollout.most-shares")), 0)[0],
 		marshalNumber:     settings.number("number", 0),
 		instance:          settings.number("instance", 0),
-		instances:         settings.number("instances", 1)}
+		instances:         settings.number("instances", 1),
+	}
 	b.leases = map[exposureKey]lease{}
 	for _, o := range settings.children("operations") {
 		b.ops = append(b.ops, operation{o.text("repeat", ""), o.text("group", ""), o.number("memory-ms", 0),
@@ -634,6 +639,7 @@
 	head   int
 }
 
+// add adds a value at the time now.
 func (s *slidingSum) add(now, value float64) {
 	s.times, s.values = append(s.times, now), append(s.values, value)
 	s.sum += value
@@ -699,6 +705,7 @@
 	return 1
 }
 
+// compareID orders nodes by id, for binary searches.
 func compareID(n *node, id uint32) int { return cmp.Compare(n.ID, id) }
 
 // mergeNodes updates the known nodes. A node with a new process is reset.
