--- a/divide/example_test.go
+++ b/divide/example_test.go
@@ -60,7 +60,7 @@
 	a, _ := fullWindowAccount(4, 0, 0.5, 100)
 	l := a.Draw(0, a.Join(0), allOperations)
 	fmt.Println(l.Size, "invalid:", a.Invalid(l))
-	a.StageUpdate(2, balance.GoingBack, 0)
+	a.StageUpdate(2, balance.RollingBack, 0)
 	fmt.Println("invalid:", a.Invalid(l), "new:", a.Draw(1, a.Join(1), allOperations).Size, "counted:", a.Snapshot().Scopes[0].Exposed)
 	// Output:
 	// 6 invalid: false
--- a/divide/model_test.go
+++ b/divide/model_test.go
@@ -148,7 +148,7 @@
 		add("tick", func(c *model) { c.now, c.ticks = c.now+tickMs, c.ticks+1 })
 	}
 	if m.capChanges == 0 && !m.restarted {
-		add("the cap falls", func(c *model) { c.capChanges++; c.account.StageUpdate(2, balance.GoingBack, 0) })
+		add("the cap falls", func(c *model) { c.capChanges++; c.account.StageUpdate(2, balance.RollingBack, 0) })
 		add("the cap rises", func(c *model) { c.capChanges++; c.account.StageUpdate(2, balance.OnTrial, 1) })
 	}
 	for i := range instances {
--- a/divide/part.go
+++ b/divide/part.go
@@ -16,16 +16,16 @@
 type Module interface {
 	balance.Module
 	OnTrial(ver int) bool
-	Leased(ver, op, left int, untilMs float64)
-	Chair(votes bool)
-	Elsewhere(node uint32, ver, op int, outcome balance.Ending, tookMs float64, shortLimit bool, report map[string]float64)
+	SetLease(ver, op, left int, untilMs float64)
+	SetCoordinator(votes bool)
+	SiblingDispatchEnded(node uint32, ver, op int, outcome balance.Outcome, tookMs float64, shortLimit bool, report map[string]float64)
 }
 
 // DispatchOutcome is how one dispatch ended, as the instances report it to each other.
 type DispatchOutcome struct {
 	Node       uint32
 	Ver, Op    int
-	Outcome    balance.Ending
+	Outcome    balance.Outcome
 	TookMs     float64
 	ShortLimit bool // its time limit was under the SLO time
 	Report     map[string]float64
@@ -97,12 +97,12 @@
 func (s *Shard) Attach(m Module) *Shard {
 	s.Module = m
 	s.heartbeat()
-	s.Host.Wake(tickIntervalMs, tickHandle)
+	s.Host.SetTimer(tickIntervalMs, tickHandle)
 	return s
 }
 
-// Arrived counts an invocation as accepted and draws the leases that the module may need for it.
-func (s *Shard) Arrived(id string, op, tenant int, key string, budgetMs, cost float64, retry, write bool) {
+// InvocationArrived counts an invocation as accepted and draws the leases that the module may need for it.
+func (s *Shard) InvocationArrived(id string, op, tenant int, key string, budgetMs, cost float64, retry, write bool) {
 	if !slices.ContainsFunc(s.accepted, func(n int) bool { return n > 0 }) {
 		s.acceptedSince = s.Host.Now()
 	}
@@ -114,7 +114,7 @@
 	*inv = invocation{op: op}
 	s.invocations[id] = inv
 	s.ensureLeases(op)
-	s.Module.Arrived(id, op, tenant, key, budgetMs, cost, retry, write)
+	s.Module.InvocationArrived(id, op, tenant, key, budgetMs, cost, retry, write)
 }
 
 // ensureLeases draws a lease on each trial build for which the module has no usable one.
@@ -142,7 +142,7 @@
 		if !l.outstanding {
 			l.nextDrawMs = now + drawRetryMs
 		}
-		s.Module.Leased(scope.Ver, scope.Op, l.Size, l.UntilMs)
+		s.Module.SetLease(scope.Ver, scope.Op, l.Size, l.UntilMs)
 	}
 }
 
@@ -150,7 +150,7 @@
 func (s *Shard) settle(scope Scope, l *lease) {
 	s.account.Settle(s.instance, s.incarnation, scope, l.exposed)
 	l.outstanding = false
-	s.Module.Leased(scope.Ver, scope.Op, 0, 0)
+	s.Module.SetLease(scope.Ver, scope.Op, 0, 0)
 }
 
 // reportAccepted adds the accepted invocations to the account.
@@ -184,8 +184,8 @@
 	s.Host.Dispatch(id, node, limitMs)
 }
 
-// Ended keeps the outcome for the other instances. Unless the invocation is answered, it draws leases for a repeat.
-func (s *Shard) Ended(id string, no int, node uint32, outcome balance.Ending, tookMs float64, answered bool,
+// DispatchEnded keeps the outcome for the other instances. Unless the invocation is answered, it draws leases for a repeat.
+func (s *Shard) DispatchEnded(id string, no int, node uint32, outcome balance.Outcome, tookMs float64, answered bool,
 	report map[string]float64) {
 	inv := s.invocations[id]
 	if inv != nil {
@@ -198,7 +198,7 @@
 			s.ensureLeases(inv.op)
 		}
 	}
-	s.Module.Ended(id, no, node, outcome, tookMs, answered, report)
+	s.Module.DispatchEnded(id, no, node, outcome, tookMs, answered, report)
 	s.deleteIfDone(id)
 	if len(s.outcomes) >= maxOutcomes {
 		s.shareOutcomes()
@@ -220,9 +220,9 @@
 	}
 }
 
-// Lapsed notes that the invocation needs no answer any more.
-func (s *Shard) Lapsed(id string) {
-	s.Module.Lapsed(id)
+// ClientTimedOut notes that the invocation needs no answer any more.
+func (s *Shard) ClientTimedOut(id string) {
+	s.Module.ClientTimedOut(id)
 	s.setAnswered(id)
 }
 
@@ -256,12 +256,12 @@
 // ReceiveOutcomes passes the outcomes of another instance's dispatches to the module.
 func (s *Shard) ReceiveOutcomes(outcomes []DispatchOutcome) {
 	for _, o := range outcomes {
-		s.Module.Elsewhere(o.Node, o.Ver, o.Op, o.Outcome, o.TookMs, o.ShortLimit, o.Report)
+		s.Module.SiblingDispatchEnded(o.Node, o.Ver, o.Op, o.Outcome, o.TookMs, o.ShortLimit, o.Report)
 	}
 }
 
-// Listed keeps the list of nodes and updates which builds are on trial.
-func (s *Shard) Listed(whole bool, list []balance.Node) {
+// NodesListed keeps the list of nodes and updates which builds are on trial.
+func (s *Shard) NodesListed(whole bool, list []balance.Node) {
 	if whole {
 		clear(s.nodes)
 	}
@@ -270,13 +270,13 @@
 			delete(s.nodes, n.ID)
 		}
 	}
-	s.Module.Listed(whole, list)
+	s.Module.NodesListed(whole, list)
 	s.updateTrialBuilds()
 }
 
-// Staged updates which builds are on trial.
-func (s *Shard) Staged(ver, stage int, phase balance.Phase, cap, ageMs float64, reply bool) {
-	s.Module.Staged(ver, stage, phase, cap, ageMs, reply)
+// StageUpdate updates which builds are on trial.
+func (s *Shard) StageUpdate(ver, stage int, phase balance.Phase, cap, ageMs float64, reply bool) {
+	s.Module.StageUpdate(ver, stage, phase, cap, ageMs, reply)
 	s.updateTrialBuilds()
 }
 
@@ -291,17 +291,17 @@
 	slices.Sort(s.trialBuilds)
 }
 
-// Woke handles a timer. Before one of the module's, it draws leases, as the module may dispatch waiting invocations.
+// TimerFired handles a timer. Before one of the module's, it draws leases, as the module may dispatch waiting invocations.
 // On its own, it sends a heartbeat, reports accepted invocations and outcomes, and settles leases that became invalid.
-func (s *Shard) Woke(handle int64) {
+func (s *Shard) TimerFired(handle int64) {
 	if handle != tickHandle {
 		for op := range s.accepted {
 			s.ensureLeases(op)
 		}
-		s.Module.Woke(handle)
+		s.Module.TimerFired(handle)
 		return
 	}
-	s.Host.Wake(tickIntervalMs, tickHandle)
+	s.Host.SetTimer(tickIntervalMs, tickHandle)
 	s.heartbeat()
 	s.reportAccepted()
 	s.shareOutcomes()
@@ -319,7 +319,7 @@
 func (s *Shard) heartbeat() {
 	if isCoordinator := s.account.Heartbeat(s.instance); isCoordinator != s.isCoordinator {
 		s.isCoordinator = isCoordinator
-		s.Module.Chair(isCoordinator)
+		s.Module.SetCoordinator(isCoordinator)
 	}
 }
 
@@ -332,17 +332,17 @@
 	s.Module.VoteFailed(balance.Ignored)
 }
 
-// Tell sends the coordinator's messages to other marshals. Those of the other instances are dropped: all instances have
+// SendToPeer sends the coordinator's messages to other marshals. Those of the other instances are dropped: all instances have
 // counted the same.
-func (s *Shard) Tell(peer int, text string) {
+func (s *Shard) SendToPeer(peer int, text string) {
 	if s.isCoordinator {
-		s.Host.Tell(peer, text)
+		s.Host.SendToPeer(peer, text)
 	}
 }
 
-// Watch requests or cancels notifications of changes to the list of nodes, once for all instances.
-func (s *Shard) Watch(on bool) {
+// WatchNodes requests or cancels notifications of changes to the list of nodes, once for all instances.
+func (s *Shard) WatchNodes(on bool) {
 	if s.account.SetWatching(on) {
-		s.Host.Watch(on)
+		s.Host.WatchNodes(on)
 	}
 }
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -40,7 +40,7 @@
 		return false, false, report
 	}
 	outcome.Status = h.Status
-	var result balance.Ending
+	var result balance.Outcome
 	if !complete && s.Protocol.MaxBodyBytes > 0 {
 		outcome.Err = h1.ErrTooLarge
 		nodeConn.Close()
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -245,7 +245,7 @@
 // terminateExchange terminates the invocation in progress, so that the worker stops waiting for a node.
 func (c *conn) terminateExchange() {
 	if x := c.exchange.Load(); x != nil {
-		x.Abrupt()
+		x.Abort()
 	}
 }
 
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -59,7 +59,7 @@
 }
 
 // detach ends the dispatch in flight, which can't be canceled any more, and returns its outcome.
-func (x *exchange) detach(outcome *back.Fate) balance.Ending {
+func (x *exchange) detach(outcome *back.Fate) balance.Outcome {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	outcome.Canceled = outcome.Canceled || x.canceled && outcome.Err != nil
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -39,12 +39,12 @@
 
 	acceptsTrailers bool // the client accepts trailers
 
-	body          *h1.Body       // the request's body, nil for an empty one
-	retained      []byte         // the part of the body that can be sent again
-	bodyRetained  bool           // the whole body is in retained
-	streamed      bool           // part of the rest has been sent: the request can't be sent again
-	readerResumed bool           // the reader was told that the body has been read
-	lastOutcome   balance.Ending // how the last dispatch ended
+	body          *h1.Body        // the request's body, nil for an empty one
+	retained      []byte          // the part of the body that can be sent again
+	bodyRetained  bool            // the whole body is in retained
+	streamed      bool            // part of the rest has been sent: the request can't be sent again
+	readerResumed bool            // the reader was told that the body has been read
+	lastOutcome   balance.Outcome // how the last dispatch ended
 
 	// A dispatch that may have been executed is repeated only while nodes remember the idempotency key: keyMemoryMs from the
 	// start of the first such dispatch.
@@ -82,7 +82,7 @@
 		}
 		x.acceptedBy.Store(int32(core) + 1)
 		if x.clientGone.Load() {
-			x.Let()
+			x.Discard()
 			return
 		}
 		// The time limit runs while the exchange is queued.
@@ -213,7 +213,7 @@
 func (x *exchange) Abort() { x.decide(command{kind: commandTerminate}) }
 
 // Discard abandons the dispatch in flight: nobody waits for it any more, and a connection that opens late must not carry it.
-func (x *exchange) Let() { x.endWith(command{kind: commandDiscard}) }
+func (x *exchange) Discard() { x.endWith(command{kind: commandDiscard}) }
 
 // endWith cancels the dispatch in flight and sends the worker the last command.
 func (x *exchange) endWith(cmd command) {
--- a/internal/marshal/guard.go
+++ b/internal/marshal/guard.go
@@ -41,8 +41,8 @@
 }
 
 // NeverRan reports whether an outcome proves that the dispatch did not run.
-func NeverRan(outcome balance.Ending) bool {
-	return outcome == balance.Full || outcome == balance.NoConnect || outcome == balance.Ignored
+func NeverRan(outcome balance.Outcome) bool {
+	return outcome == balance.Rejected || outcome == balance.ConnectFailed || outcome == balance.Ignored
 }
 
 // repeatRule returns the rule of an invocation's operation.
--- a/internal/marshal/guard_test.go
+++ b/internal/marshal/guard_test.go
@@ -14,11 +14,11 @@
 	nodes []uint32
 }
 
-func (r *repeatingModule) Arrived(id string, _, _ int, _ string, _, _ float64, _, _ bool) {
+func (r *repeatingModule) InvocationArrived(id string, _, _ int, _ string, _, _ float64, _, _ bool) {
 	r.h.Dispatch(id, r.nodes[0], 100)
 }
 
-func (r *repeatingModule) Ended(id string, no int, _ uint32, outcome balance.Ending, _ float64, answered bool, _ map[string]float64) {
+func (r *repeatingModule) DispatchEnded(id string, no int, _ uint32, outcome balance.Outcome, _ float64, answered bool, _ map[string]float64) {
 	switch {
 	case answered:
 	case no+1 < len(r.nodes) && outcome != balance.Ignored:
@@ -28,7 +28,7 @@
 	}
 }
 
-func (r *repeatingModule) Listed(bool, []balance.Node) {}
+func (r *repeatingModule) NodesListed(bool, []balance.Node) {}
 
 // recordingExchange records the calls that an exchange receives.
 type recordingExchange struct {
@@ -53,23 +53,23 @@
 	keyed := func(g DedupGroup) RepeatRule { return RepeatRule{Group: g, DedupWindowMs: 50} }
 	for name, c := range map[string]struct {
 		rule       RepeatRule
-		outcome    balance.Ending // of the first attempt
+		outcome    balance.Outcome // of the first attempt
 		secondNode uint32
 		afterMs    float64
 		sent       int
 		refused    bool
 	}{
-		"once, may have run":     {once, balance.Reset, 1, 0, 1, false},
+		"once, may have run":     {once, balance.ConnectionReset, 1, 0, 1, false},
 		"once, timed out":        {once, balance.TimedOut, 2, 0, 1, false},
-		"once, never ran":        {once, balance.NoConnect, 2, 0, 2, true},
-		"idempotent":             {RepeatRule{Idempotent: true}, balance.Reset, 3, 0, 2, true},
-		"keyed, all":             {keyed(AllNodes), balance.Reset, 3, 20, 2, true},
-		"keyed, all, too late":   {keyed(AllNodes), balance.Reset, 1, 60, 1, true},
-		"keyed, zone":            {keyed(SameZone), balance.Reset, 2, 20, 2, false},
-		"keyed, another zone":    {keyed(SameZone), balance.Reset, 3, 20, 1, false},
-		"keyed, cell":            {keyed(SameCell), balance.Reset, 1, 20, 2, false},
+		"once, never ran":        {once, balance.ConnectFailed, 2, 0, 2, true},
+		"idempotent":             {RepeatRule{Idempotent: true}, balance.ConnectionReset, 3, 0, 2, true},
+		"keyed, all":             {keyed(AllNodes), balance.ConnectionReset, 3, 20, 2, true},
+		"keyed, all, too late":   {keyed(AllNodes), balance.ConnectionReset, 1, 60, 1, true},
+		"keyed, zone":            {keyed(SameZone), balance.ConnectionReset, 2, 20, 2, false},
+		"keyed, another zone":    {keyed(SameZone), balance.ConnectionReset, 3, 20, 1, false},
+		"keyed, cell":            {keyed(SameCell), balance.ConnectionReset, 1, 20, 2, false},
 		"keyed, another cell":    {keyed(SameCell), balance.Canceled, 2, 20, 1, false},
-		"keyed, cell, never ran": {keyed(SameCell), balance.Full, 2, 90, 2, true},
+		"keyed, cell, never ran": {keyed(SameCell), balance.Rejected, 2, 90, 2, true},
 		"keyed, unknown group":   {keyed("rack"), balance.Failed, 1, 0, 1, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -84,7 +84,7 @@
 			s.core.DispatchEnded(id, 0, c.outcome, 5, false, nil)
 			s.runUntil(s.now + 1)
 			if len(x.nodes) == 2 { // the second attempt never ran
-				s.core.DispatchEnded(id, 1, balance.NoConnect, 5, false, nil)
+				s.core.DispatchEnded(id, 1, balance.ConnectFailed, 5, false, nil)
 			}
 			if len(x.nodes) != c.sent || x.refused != c.refused || x.terminated == c.refused {
 				t.Errorf("got nodes %v, refused %v, terminated %v; want %d dispatches, refused %v, terminated %v",
--- a/internal/marshal/marshal.go
+++ b/internal/marshal/marshal.go
@@ -107,12 +107,12 @@
 	id := c.prefix + strconv.FormatUint(c.lastID, 36)
 	c.invocations[id] = &invocation{exchange: x, op: op}
 	c.stats.Accepted++
-	c.module.Arrived(id, op, tenant, key, budgetMs, cost, retry, write)
+	c.module.InvocationArrived(id, op, tenant, key, budgetMs, cost, retry, write)
 	return id
 }
 
 // DispatchEnded reports how a dispatch ended. With answered, its response was the client's answer.
-func (c *Core) DispatchEnded(id string, no int, outcome balance.Ending, tookMs float64, answered bool, report map[string]float64) {
+func (c *Core) DispatchEnded(id string, no int, outcome balance.Outcome, tookMs float64, answered bool, report map[string]float64) {
 	c.stats.Outcomes[outcome]++
 	inv := c.invocations[id]
 	if inv == nil {
@@ -133,14 +133,14 @@
 			c.stats.Terminated++ // the response broke off after it had begun
 		}
 	}
-	c.module.Ended(id, no, inv.node, outcome, tookMs, inv.answered, report)
+	c.module.DispatchEnded(id, no, inv.node, outcome, tookMs, inv.answered, report)
 	c.deleteIfDone(id, inv)
 }
 
 // ResponseStarted reports that a response too long to be buffered has begun to go to the client.
 func (c *Core) ResponseStarted(id string, no int, tookMs float64) {
 	if inv := c.invocations[id]; inv != nil {
-		c.module.Began(id, no, inv.node, tookMs)
+		c.module.ResponseStarted(id, no, inv.node, tookMs)
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 	inv.answered = true
 	c.stats.ClientTimeouts++
-	c.module.Lapsed(id)
+	c.module.ClientTimedOut(id)
 	inv.exchange.Discard()
 	c.deleteIfDone(id, inv)
 }
@@ -184,14 +184,14 @@
 			delete(c.nodes, id)
 		}
 	}
-	c.module.Listed(whole, list)
+	c.module.NodesListed(whole, list)
 }
 
 // StageUpdate reports the stage, phase and cap of the newest build.
 func (c *Core) StageUpdate(ver, stage int, phase balance.Phase, cap, ageMs float64, reply bool) {
 	s := &c.stats
 	s.Ver, s.Stage, s.Phase, s.Cap = ver, stage, phase, cap
-	c.module.Staged(ver, stage, phase, cap, ageMs, reply)
+	c.module.StageUpdate(ver, stage, phase, cap, ageMs, reply)
 }
 
 // Module returns the module, for events that need no handling by the Core.
@@ -210,7 +210,7 @@
 	c.log.Warn("terminated without the module: the marshal was stalled", "inv", id, "node", inv.node)
 	inv.answered = true
 	c.stats.Terminated++
-	c.module.Lapsed(id)
+	c.module.ClientTimedOut(id)
 	c.deleteIfDone(id, inv)
 }
 
@@ -365,10 +365,10 @@
 }
 
 // Fetch requests the whole list of nodes once.
-func (c *Core) Fetch() { c.env.FetchNodes() }
+func (c *Core) FetchNodes() { c.env.FetchNodes() }
 
-// Watch turns notifications of changes to the list of nodes on or off.
-func (c *Core) Watch(on bool) { c.env.WatchNodes(on) }
+// WatchNodes turns notifications of changes to the list of nodes on or off.
+func (c *Core) WatchNodes(on bool) { c.env.WatchNodes(on) }
 
 // Vote sends a vote on the stage of a build.
 func (c *Core) Vote(ver, stage int, verdict balance.Verdict) {
@@ -376,13 +376,13 @@
 	c.env.Vote(ver, stage, verdict)
 }
 
-// Wake sets a timer of the module.
-func (c *Core) Wake(afterMs float64, handle int64) {
-	c.env.After(afterMs, func() { c.module.Woke(handle) })
+// SetTimer sets a timer of the module.
+func (c *Core) SetTimer(afterMs float64, handle int64) {
+	c.env.After(afterMs, func() { c.module.TimerFired(handle) })
 }
 
 // Tell sends a message to another marshal.
-func (c *Core) Tell(peer int, text string) { c.env.SendToPeer(peer, text) }
+func (c *Core) SendToPeer(peer int, text string) { c.env.SendToPeer(peer, text) }
 
 // Log logs a line of the module and keeps it in the statistics.
 func (c *Core) Log(text string) {
--- a/internal/marshal/marshal_test.go
+++ b/internal/marshal/marshal_test.go
@@ -57,7 +57,7 @@
 	h balance.Host
 }
 
-func (m forbiddenModule) Arrived(id string, op, _ int, _ string, _, _ float64, _, _ bool) {
+func (m forbiddenModule) InvocationArrived(id string, op, _ int, _ string, _, _ float64, _, _ bool) {
 	switch op {
 	case 0:
 		m.h.Dispatch(id, 1, 100)
@@ -70,11 +70,11 @@
 		m.h.Dispatch(id, 1, 100)
 	}
 }
-func (m forbiddenModule) Ended(id string, no int, _ uint32, outcome balance.Ending, _ float64, answered bool, _ map[string]float64) {
+func (m forbiddenModule) DispatchEnded(id string, no int, _ uint32, outcome balance.Outcome, _ float64, answered bool, _ map[string]float64) {
 	fmt.Printf("module: dispatch %d ended with outcome %d, answered %v\n", no, outcome, answered)
 }
-func (m forbiddenModule) Lapsed(string)               { fmt.Println("module: client timed out") }
-func (m forbiddenModule) Listed(bool, []balance.Node) {}
+func (m forbiddenModule) ClientTimedOut(string)            { fmt.Println("module: client timed out") }
+func (m forbiddenModule) NodesListed(bool, []balance.Node) {}
 
 // start makes a Core with two nodes.
 func start(newModule func(h balance.Host) Module) *simulator {
@@ -120,7 +120,7 @@
 	s.runUntil(s.now + 20)
 	s.core.DispatchEnded(a, 0, balance.Succeeded, 20, true, nil)
 	b := arrive("failed")
-	s.core.DispatchEnded(b, 0, balance.Reset, 5, false, nil)
+	s.core.DispatchEnded(b, 0, balance.ConnectionReset, 5, false, nil)
 	c := arrive("disconnected")
 	s.core.ClientTimedOut(c)
 	s.core.DispatchEnded(c, 0, balance.Succeeded, 30, false, nil)
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -148,12 +148,12 @@
 var _ marshal.Exchange = (*closedLoopClient)(nil)
 
 func (c *closedLoopClient) send() {
-	c.id = c.w.core.Arrived(c, 0, 0, "", 500, 0, false, false)
+	c.id = c.w.core.InvocationArrived(c, 0, 0, "", 500, 0, false, false)
 }
 
 func (c *closedLoopClient) Dispatch(no int, _ uint32, _ string, _ float64) {
 	c.w.loop.Post(func() {
-		c.w.core.Ended(c.id, no, balance.Succeeded, 5, true, nil)
+		c.w.core.DispatchEnded(c.id, no, balance.Succeeded, 5, true, nil)
 		c.completed()
 	})
 }
@@ -171,5 +171,5 @@
 func (c *closedLoopClient) Throttle(float64) { c.completed() }
 func (c *closedLoopClient) Terminate()       { c.completed() }
 func (c *closedLoopClient) Cancel(int)       {}
-func (c *closedLoopClient) Let()             {}
-func (c *closedLoopClient) Abrupt()          {}
+func (c *closedLoopClient) Discard()         {}
+func (c *closedLoopClient) Abort()           {}
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -63,8 +63,8 @@
 	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	home := -1
 	for i, w := range r.m.pools[0].workers {
-		if w.loop.Ask(func() {
-			if w.core.Open() == 1 {
+		if w.loop.Do(func() {
+			if w.core.OpenInvocations() == 1 {
 				home = i
 			}
 		}); home >= 0 {
@@ -95,7 +95,7 @@
 		}
 	}
 	key := 0
-	for divide.Home(fmt.Sprint(key), 3) != home {
+	for divide.AssignByName(fmt.Sprint(key), 3) != home {
 		key++
 	}
 	c := r.client()
@@ -103,7 +103,7 @@
 	c.expect("503 not-taken")
 	close(r.release) // the node answers what the stalled core has accepted, and the client gets the answer
 	accepted.expect("200 succeeded /once")
-	if stalledMs := r.m.Loops[home].Standing(); stalledMs < 100 {
+	if stalledMs := r.m.Loops[home].CurrentCallMs(); stalledMs < 100 {
 		t.Errorf("the stalled core reports a stall of only %v ms", stalledMs)
 	}
 }
@@ -151,7 +151,7 @@
 	b.send(get, "once/2")
 	r.waitFor("the node has both requests", func() bool { return r.received() == 2 })
 	key := 0
-	for divide.Home(fmt.Sprint(key), 2) != 0 {
+	for divide.AssignByName(fmt.Sprint(key), 2) != 0 {
 		key++
 	}
 	triggerPanic := func() {
@@ -241,9 +241,9 @@
 	onArrival func(key string)
 }
 
-func (o observedModule) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+func (o observedModule) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	o.onArrival(key)
-	o.Balancer.Arrived(id, op, tenant, key, budget, cost, retry, write)
+	o.Balancer.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
 // Eight cores with a small cap together stay within the exposure limit of the marshal. When the cap falls to 0, nothing
@@ -317,7 +317,7 @@
 				2+0.1*countBefore(sentAt, window-transit)+1)
 		}
 	}
-	p.stageUpdate(2, 0, balance.GoingBack, 0, 0, false)
+	p.stageUpdate(2, 0, balance.RollingBack, 0, 0, false)
 	if addr := r.nodeListeners[3].Addr().String(); !r.m.upstream.Late(addr) {
 		t.Error("a dispatch decided on before the cap fell is still written")
 	} else {
@@ -325,14 +325,14 @@
 		if r.m.upstream.Late(addr) {
 			t.Error("a node whose build may be exposed again is still blocked")
 		}
-		p.stageUpdate(2, 0, balance.GoingBack, 0, 0, false)
+		p.stageUpdate(2, 0, balance.RollingBack, 0, 0, false)
 	}
 	before := len(exposedAt)
 	load(16, 20)
 	if len(exposedAt) > before {
 		t.Errorf("%d exposed after the cap fell to 0", len(exposedAt)-before)
 	}
-	if account := p.account.Look(); account.Ver != 2 || account.Cap != 0 || account.Refused == 0 {
+	if account := p.account.Snapshot(); account.Ver != 2 || account.Cap != 0 || account.RefusedDraws == 0 {
 		t.Errorf("the account is %+v", account)
 	}
 }
@@ -353,7 +353,7 @@
 	}
 	// A dispatch decided on before the report is never written, so it never ran.
 	for _, w := range r.m.pools[0].workers {
-		w.loop.Ask(func() { w.core.Listed(false, []balance.Node{{ID: 1, Ver: 1, Size: 1}}, []string{addr}) })
+		w.loop.Do(func() { w.core.NodesListed(false, []balance.Node{{ID: 1, Ver: 1, Size: 1}}, []string{addr}) })
 	}
 	c := r.client()
 	c.send(get, "once")
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -47,7 +47,7 @@
 	instance int
 	loop     *loop.Loop
 	core     *marshal.Core
-	shard    *divide.Part // nil for a single worker
+	shard    *divide.Shard // nil for a single worker
 	recorder *record.Writer
 	restarts []float64 // clock times in ms of restarts after a panic
 }
@@ -58,9 +58,9 @@
 	for i, o := range operations {
 		switch o.Repeat {
 		case settings.Repeat_IDEMPOTENT:
-			rules[i].Free = true
+			rules[i].Idempotent = true
 		case settings.Repeat_FINGERPRINTED:
-			rules[i] = marshal.RepeatRule{Group: marshal.Group(o.Group), WithinMs: o.MemoryMs}
+			rules[i] = marshal.RepeatRule{Group: marshal.DedupGroup(o.Group), DedupWindowMs: o.MemoryMs}
 		}
 	}
 	return rules
@@ -72,11 +72,11 @@
 func (p *nodePool) connectControl(transport *Transport) {
 	listFailed := func() {
 		if p.account != nil {
-			p.account.ListFailed()
+			p.account.NodeListFailed()
 		}
-		p.postAll(func(w *worker) { w.module().ListFailed() })
+		p.postAll(func(w *worker) { w.module().NodeListFailed() })
 	}
-	voteFailed := func(outcome balance.Ending) {
+	voteFailed := func(outcome balance.Outcome) {
 		w := p.finishVote()
 		w.loop.Post(func() { w.module().VoteFailed(outcome) })
 	}
@@ -94,10 +94,10 @@
 			Staged: p.stageUpdate,
 			Failed: voteFailed,
 			Tallied: func(ver, op, samples, errors int, mean, age float64) {
-				p.postAll(func(w *worker) { w.module().Tallied(ver, op, samples, errors, mean, age) })
+				p.postAll(func(w *worker) { w.module().BuildStats(ver, op, samples, errors, mean, age) })
 			},
 			Flagged: func(node uint32, op int, age float64) {
-				p.postAll(func(w *worker) { w.module().Flagged(node, op, age) })
+				p.postAll(func(w *worker) { w.module().WrongAnswer(node, op, age) })
 			}}
 	}
 }
@@ -114,7 +114,7 @@
 	if p.account == nil {
 		return p.workers[0]
 	}
-	return p.workers[p.account.Answered()]
+	return p.workers[p.account.FinishVote()]
 }
 
 // stageUpdate passes a stage update to all workers and suppresses dispatches that it forbids. If reply is set, the
@@ -124,7 +124,7 @@
 	defer p.mu.Unlock()
 	var voting *worker
 	if p.account != nil {
-		p.account.Staged(ver, phase, cap)
+		p.account.StageUpdate(ver, phase, cap)
 	}
 	p.blockBuild(ver, cap <= 0 && phase != balance.Released)
 	if reply {
@@ -132,10 +132,10 @@
 	}
 	receivedAt := p.m.Loop.Clock().Now()
 	p.replayStage = func(w *worker) { // also for workers that restart later
-		w.core.Staged(ver, stage, phase, cap, age+max(0, w.loop.Now()-receivedAt), false)
+		w.core.StageUpdate(ver, stage, phase, cap, age+max(0, w.loop.Now()-receivedAt), false)
 	}
 	for _, w := range p.workers {
-		w.loop.News(func() { w.core.Staged(ver, stage, phase, cap, age, w == voting) })
+		w.loop.PostUrgent(func() { w.core.StageUpdate(ver, stage, phase, cap, age, w == voting) })
 	}
 	p.lowerCap(ver, phase, cap)
 }
@@ -193,7 +193,7 @@
 	seed += uint64(w.instance) << 32
 	w.core.Start(func(h balance.Host) marshal.Module {
 		if w.account != nil {
-			w.shard = divide.NewPart(w.account, w.instance, len(w.workers), h, w, moduleSettings)
+			w.shard = divide.NewShard(w.account, w.instance, len(w.workers), h, w, moduleSettings)
 			h = w.shard
 		}
 		var module divide.Module
@@ -204,12 +204,12 @@
 			module = recording.Before(hooks.NewModule(recording, moduleSettings, seed))
 		}
 		if w.account != nil {
-			return w.shard.Before(module)
+			return w.shard.Attach(module)
 		}
 		return module
 	})
 	if len(nodes) > 0 {
-		w.core.Listed(true, nodes, addresses)
+		w.core.NodesListed(true, nodes, addresses)
 	}
 }
 
@@ -226,13 +226,13 @@
 }
 
 // Share passes outcomes of dispatches to another worker, on its loop.
-func (w *worker) Share(to int, outcomes []divide.Outcome) {
+func (w *worker) ShareOutcomes(to int, outcomes []divide.DispatchOutcome) {
 	other := w.workers[to]
-	other.loop.Post(func() { other.shard.Heard(outcomes) })
+	other.loop.Post(func() { other.shard.ReceiveOutcomes(outcomes) })
 }
 
 // module returns the decision module, for events that need no processing by the core.
-func (w *worker) module() marshal.Module { return w.core.Events() }
+func (w *worker) module() marshal.Module { return w.core.Module() }
 
 // loadList returns the nodes that the transport knows, or else those of the list that a previous process of the marshal
 // saved.
@@ -277,7 +277,7 @@
 	defer p.mu.Unlock()
 	nodes, addresses := p.applyLines(lines)
 	for _, w := range p.workers {
-		w.loop.News(func() { w.core.Listed(complete, nodes, addresses) })
+		w.loop.PostUrgent(func() { w.core.NodesListed(complete, nodes, addresses) })
 	}
 	p.list.update(complete, lines)
 	p.firstListOnce.Do(func() { close(p.firstList) })
--- a/internal/serve/hooks.go
+++ b/internal/serve/hooks.go
@@ -46,7 +46,7 @@
 	FirstListTimeout   time.Duration     // how long the marshal waits for the first node list before it accepts invocations
 	NewRegistry        func(onNodes func(complete bool, lines []control.Line), onFailure func()) Registry
 	NewRolloutService  func(onStageUpdate func(ver, stage int, phase balance.Phase, cap, age float64, reply bool),
-		onVoteFailure func(balance.Ending)) RolloutService
+		onVoteFailure func(balance.Outcome)) RolloutService
 	// NewPeers may be nil: the marshal then has no peers.
 	NewPeers func(receive func(from int, text string)) (Peers, error)
 }
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -74,12 +74,12 @@
 	c.send("GET /look HTTP/1.1\nHost: x\n\n")
 	r.waitFor("the invocation is dispatched", func() bool { s, _ := r.m.Snapshot(); return s.Dispatches == 1 })
 	c.Close()
-	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Lapsed == 1 && s.Open == 0 })
+	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.ClientTimeouts == 1 && s.Open == 0 })
 	if got := drain(); got != "" {
 		t.Errorf("the node received %q", got)
 	}
-	if s, _ := r.m.Snapshot(); s.Dispatches != 1 || s.Endings[balance.Ignored]+s.Endings[balance.NoConnect] != 1 {
-		t.Errorf("%d dispatches, outcomes %v", s.Dispatches, s.Endings)
+	if s, _ := r.m.Snapshot(); s.Dispatches != 1 || s.Outcomes[balance.Ignored]+s.Outcomes[balance.ConnectFailed] != 1 {
+		t.Errorf("%d dispatches, outcomes %v", s.Dispatches, s.Outcomes)
 	}
 }
 
@@ -105,7 +105,7 @@
 	case <-time.After(2 * time.Second):
 		t.Error("the connection to the node stays open")
 	}
-	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Endings[balance.Canceled] == 1 })
+	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Outcomes[balance.Canceled] == 1 })
 }
 
 // finalResponse reads the last response of a connection. It returns "200", "200 kept" if the connection stays open,
@@ -331,7 +331,7 @@
 	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	c.Conn.(*net.TCPConn).CloseWrite()
 	c.expect("502 terminated")
-	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Lapsed == 1 })
+	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.ClientTimeouts == 1 })
 	if n := r.m.Front.Counters.ClientsGone.Load(); n != 1 {
 		t.Errorf("%d requests counted as left, want 1", n)
 	}
--- a/internal/serve/meter.go
+++ b/internal/serve/meter.go
@@ -50,11 +50,11 @@
 	counter, gauge := prometheus.CounterValue, prometheus.GaugeValue
 	for i, l := range c.m.Loops {
 		core := strconv.Itoa(i)
-		emit(descCalls, counter, float64(l.Ran()), core)
-		emit(descBusy, counter, l.Busy()/1000, core)
-		emit(descStalled, gauge, l.Standing()/1000, core)
+		emit(descCalls, counter, float64(l.Completed()), core)
+		emit(descBusy, counter, l.BusyMs()/1000, core)
+		emit(descStalled, gauge, l.CurrentCallMs()/1000, core)
 		emit(descWaiting, gauge, float64(l.Waiting()), core)
-		emit(descRejected, counter, float64(l.Behind()), core)
+		emit(descRejected, counter, float64(l.Refused()), core)
 		emit(descConnections, gauge, float64(c.m.Front.CoreConnections(i)), core)
 	}
 	emit(descMoved, counter, float64(c.m.Front.MovedInvocations()))
@@ -77,16 +77,16 @@
 		if len(c.m.Settings.Pool) > 0 {
 			pool = c.m.Settings.Pool[p.number].Name
 		}
-		account := p.account.Look()
-		emit(descCoordinator, gauge, float64(account.Chair), pool)
-		emit(descLeasesRefused, counter, float64(account.Refused), pool)
+		account := p.account.Snapshot()
+		emit(descCoordinator, gauge, float64(account.Coordinator), pool)
+		emit(descLeasesRefused, counter, float64(account.RefusedDraws), pool)
 		for _, s := range account.Scopes {
 			op := "all"
 			if s.Op >= 0 {
 				op = p.settings.Operation[s.Op].Name
 			}
 			ver := strconv.Itoa(s.Ver)
-			emit(descAccepted, gauge, s.Taken, pool, ver, op)
+			emit(descAccepted, gauge, s.Accepted, pool, ver, op)
 			emit(descExposed, gauge, s.Exposed, pool, ver, op)
 			emit(descLeased, gauge, float64(s.Leased), pool, ver, op)
 		}
--- a/internal/serve/outside.go
+++ b/internal/serve/outside.go
@@ -25,19 +25,19 @@
 		start := time.Now()
 		outcome, report := m.upstream.Probe(context.Background(), address, w.settings.Limits.ProbePath)
 		tookMs := float64(time.Since(start)) / float64(time.Millisecond)
-		w.loop.Post(func() { w.module().Probed(node, outcome, tookMs, report) })
+		w.loop.Post(func() { w.module().ProbeEnded(node, outcome, tookMs, report) })
 	})
 }
 
-// Fetch requests the node list of the service registry.
-func (w *worker) Fetch() {
+// FetchNodes requests the node list of the service registry.
+func (w *worker) FetchNodes() {
 	if w.registry != nil {
 		w.registry.Fetch()
 	}
 }
 
-// Watch starts or stops updates of the node list.
-func (w *worker) Watch(on bool) {
+// WatchNodes starts or stops updates of the node list.
+func (w *worker) WatchNodes(on bool) {
 	if w.registry != nil {
 		w.registry.Watch(on)
 	}
@@ -52,8 +52,8 @@
 	}
 }
 
-// Tell sends a message to a peer, with the number of the pool if there are several.
-func (w *worker) Tell(peer int, text string) {
+// SendToPeer sends a message to a peer, with the number of the pool if there are several.
+func (w *worker) SendToPeer(peer int, text string) {
 	if w.m.peers == nil {
 		return
 	}
--- a/internal/serve/scarce_test.go
+++ b/internal/serve/scarce_test.go
@@ -100,7 +100,7 @@
 			n.set(0)
 			c.expect("200 succeeded /once")
 			if s, _ := r.m.Snapshot(); s.Dispatches != 1 || r.received() != 1 {
-				t.Errorf("%d dispatches, %d requests reached nodes; outcomes %v", s.Dispatches, r.received(), s.Endings)
+				t.Errorf("%d dispatches, %d requests reached nodes; outcomes %v", s.Dispatches, r.received(), s.Outcomes)
 			}
 		})
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -67,7 +67,7 @@
 	m := &Marshal{Settings: set, Log: log, ended: make(chan struct{})}
 	for range set.Cores() {
 		l := loop.New(hooks.Clock, int(set.Limits.Queue))
-		l.Again = set.Cores() > 1
+		l.Restartable = set.Cores() > 1
 		m.Loops = append(m.Loops, l)
 	}
 	m.Loop = m.Loops[0]
@@ -99,7 +99,7 @@
 			}
 			w.core = marshal.New(w, log, prefix)
 			if !hooks.SkipRepeatRules {
-				w.core.Rules = repeatRules(poolSettings.Operation)
+				w.core.RepeatRules = repeatRules(poolSettings.Operation)
 			}
 			p.workers, cores[j] = append(p.workers, w), append(cores[j], w.core)
 		}
@@ -131,7 +131,7 @@
 	for _, p := range m.pools {
 		nodes, addresses := p.loadList(hooks.Transport)
 		for _, w := range p.workers {
-			w.loop.News(func() { w.start(hooks, seed+uint64(p.number), nodes, addresses) }) // runs before any other call of the loop
+			w.loop.PostUrgent(func() { w.start(hooks, seed+uint64(p.number), nodes, addresses) }) // runs before any other call of the loop
 		}
 		p.connectControl(hooks.Transport)
 	}
@@ -226,16 +226,16 @@
 		err := l.Run()
 		var p *loop.Panic
 		if errors.As(err, &p) {
-			var records []marshal.Record
-			m.forEachWorker(core, func(w *worker) { records = append(records, w.core.Look()) })
+			var records []marshal.Stats
+			m.forEachWorker(core, func(w *worker) { records = append(records, w.core.Snapshot()) })
 			state, stateErr := json.Marshal(records)
 			m.Log.Error("the decision module panicked: open invocations are terminated", "core", core, "err", err, "open", m.openOn(core),
 				"stack", string(p.Stack), "state", string(state), "state_err", stateErr)
 		}
-		m.forEachWorker(core, func(w *worker) { w.core.EndAll() })
+		m.forEachWorker(core, func(w *worker) { w.core.TerminateAll() })
 		failures = append(failures, l.Clock().Now())
-		if err != nil && l.Again && divide.Again(failures) {
-			l.First(func() { m.forEachWorker(core, func(w *worker) { w.restart(hooks, seed) }) })
+		if err != nil && l.Restartable && divide.MayRestart(failures) {
+			l.RunFirst(func() { m.forEachWorker(core, func(w *worker) { w.restart(hooks, seed) }) })
 			continue
 		}
 		if err != nil {
@@ -267,15 +267,15 @@
 
 // Snapshot returns a copy of the counters of the marshal, or of its first pool if there are several. It returns false
 // once the marshal has ended.
-func (m *Marshal) Snapshot() (marshal.Record, bool) {
+func (m *Marshal) Snapshot() (marshal.Stats, bool) {
 	r, err := m.PoolSnapshot(context.Background(), 0)
 	return r, err == nil
 }
 
 // PoolSnapshot returns the counters of one pool, summed over all cores. It waits for each core until the context ends.
-func (m *Marshal) PoolSnapshot(ctx context.Context, pool int) (total marshal.Record, err error) {
+func (m *Marshal) PoolSnapshot(ctx context.Context, pool int) (total marshal.Stats, err error) {
 	for i, w := range m.pools[pool].workers {
-		record, err := loop.Query(ctx, w.loop, w.core.Look)
+		record, err := loop.Query(ctx, w.loop, w.core.Snapshot)
 		if err != nil {
 			return total, fmt.Errorf("reading the record of core %d: %w", i, err)
 		}
@@ -301,13 +301,13 @@
 		}
 		p, text = m.pools[n], rest
 	}
-	p.postAll(func(w *worker) { w.module().Told(from, text) })
+	p.postAll(func(w *worker) { w.module().PeerMessage(from, text) })
 }
 
 // RejectedArrivals returns how many arrivals were rejected because the queue of a core was full.
 func (m *Marshal) RejectedArrivals() (count int64) {
 	for _, l := range m.Loops {
-		count += l.Behind()
+		count += l.Refused()
 	}
 	return count
 }
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -165,7 +165,7 @@
 	c.send(get, "once-wait")
 	r.waitFor("the node has the request", func() bool { return r.received() == 1 })
 	c.Close()
-	r.waitFor("the module knows that the client left", func() bool { s, _ := r.m.Snapshot(); return s.Lapsed == 1 })
+	r.waitFor("the module knows that the client left", func() bool { s, _ := r.m.Snapshot(); return s.ClientTimeouts == 1 })
 	close(r.release)
 	for i := range 60 {
 		c := r.client()
@@ -173,10 +173,10 @@
 		time.Sleep(time.Duration(1500+20*i) * time.Microsecond)
 		c.Close()
 	}
-	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Taken >= 30 })
+	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Accepted >= 30 })
 	s, _ := r.m.Snapshot()
-	if s.Taken != s.Succeeded+s.Throttled+s.Terminated+s.Lapsed {
-		t.Errorf("%d accepted, but %d+%d+%d answered and %d lapsed", s.Taken, s.Succeeded, s.Throttled, s.Terminated, s.Lapsed)
+	if s.Accepted != s.Succeeded+s.Throttled+s.Terminated+s.ClientTimeouts {
+		t.Errorf("%d accepted, but %d+%d+%d answered and %d lapsed", s.Accepted, s.Succeeded, s.Throttled, s.Terminated, s.ClientTimeouts)
 	}
 	final := r.client() // after so many disconnects it may be throttled at first
 	r.waitFor("the marshal serves requests", func() bool {
@@ -359,7 +359,7 @@
 		c.send(get, "look")
 		clients = append(clients, c)
 	}
-	r.waitFor("the queue is full", func() bool { return r.m.Loop.Behind() == 4 })
+	r.waitFor("the queue is full", func() bool { return r.m.Loop.Refused() == 4 })
 	close(block)
 	outcomes := map[string]int{}
 	for _, c := range clients {
@@ -401,11 +401,11 @@
 // panickingModule panics on an invocation of operation 1, and otherwise behaves as its module.
 type panickingModule struct{ divide.Module }
 
-func (p panickingModule) Arrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+func (p panickingModule) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	if op == 1 {
 		panic("injected panic")
 	}
-	p.Module.Arrived(id, op, tenant, key, budget, cost, retry, write)
+	p.Module.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
 // A module that panics ends its marshal. All accepted invocations are answered.
@@ -552,8 +552,8 @@
 	time.Sleep(30 * time.Millisecond)
 	first.expectSilence()
 	s, _ := r.m.Snapshot()
-	if s.Taken != 1 || s.Open != 0 || s.Terminated != 1 || r.received() != 1 {
-		t.Errorf("accepted %d, open %d, terminated %d, %d requests at nodes", s.Taken, s.Open, s.Terminated, r.received())
+	if s.Accepted != 1 || s.Open != 0 || s.Terminated != 1 || r.received() != 1 {
+		t.Errorf("accepted %d, open %d, terminated %d, %d requests at nodes", s.Accepted, s.Open, s.Terminated, r.received())
 	}
 }
 
@@ -579,8 +579,8 @@
 		release <- struct{}{}
 		r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 })
 	}
-	if s, _ := r.m.Snapshot(); s.Terminated != 3 || s.Dispatches != 3 || s.Endings[balance.Ignored] != 3 || r.received() != 0 {
-		t.Errorf("%d dispatches, outcomes %v, %d requests at nodes", s.Dispatches, s.Endings, r.received())
+	if s, _ := r.m.Snapshot(); s.Terminated != 3 || s.Dispatches != 3 || s.Outcomes[balance.Ignored] != 3 || r.received() != 0 {
+		t.Errorf("%d dispatches, outcomes %v, %d requests at nodes", s.Dispatches, s.Outcomes, r.received())
 	}
 	c.send(get, "look")
 	c.expect("200 succeeded")
@@ -642,7 +642,7 @@
 	c.send(get, "look-long")
 	r.waitFor("the invocation is abandoned", func() bool {
 		s, _ := r.m.Snapshot()
-		return s.Taken == 1 && s.Open == 0 && r.m.Front.OpenInvocations() == 0
+		return s.Accepted == 1 && s.Open == 0 && r.m.Front.OpenInvocations() == 0
 	})
 	other := r.client()
 	other.send(get, "look")
@@ -698,8 +698,8 @@
 		}
 		c.expect("200 succeeded")
 	}
-	if s, _ := r.m.Snapshot(); s.Taken != 3 {
-		t.Errorf("%d accepted, want 3", s.Taken)
+	if s, _ := r.m.Snapshot(); s.Accepted != 3 {
+		t.Errorf("%d accepted, want 3", s.Accepted)
 	}
 }
 
@@ -716,8 +716,8 @@
 		c.expect("200 succeeded")
 	}
 	s, _ := r.m.Snapshot()
-	if s.Nodes[9].Endings[balance.NoConnect] == 0 || s.Nodes[9].Endings[balance.NoConnect] != s.Nodes[9].Sent {
-		t.Errorf("%d dispatches to the node with the full queue, outcomes %v", s.Nodes[9].Sent, s.Nodes[9].Endings)
+	if s.Nodes[9].Outcomes[balance.ConnectFailed] == 0 || s.Nodes[9].Outcomes[balance.ConnectFailed] != s.Nodes[9].Sent {
+		t.Errorf("%d dispatches to the node with the full queue, outcomes %v", s.Nodes[9].Sent, s.Nodes[9].Outcomes)
 	}
 }
 
@@ -727,7 +727,7 @@
 	found chan string
 }
 
-func (p probeObserver) Probed(node uint32, outcome balance.Ending, tookMs float64, report map[string]float64) {
+func (p probeObserver) ProbeEnded(node uint32, outcome balance.Outcome, tookMs float64, report map[string]float64) {
 	p.found <- fmt.Sprint(node, outcome, report)
 }
 
@@ -748,7 +748,7 @@
 	}
 	r.nodeListeners[0].Close()
 	r.m.Loop.Post(func() { r.m.pools[0].workers[0].core.Probe(1) })
-	if got := <-found; got != fmt.Sprint(1, balance.NoConnect, map[string]float64{}) {
+	if got := <-found; got != fmt.Sprint(1, balance.ConnectFailed, map[string]float64{}) {
 		t.Errorf("the probe of a node that is gone found %s", got)
 	}
 }
@@ -823,7 +823,7 @@
 		request("book", "200 succeeded second/book")
 		request("once", "200 succeeded first/once")
 	}
-	r.m.Loop.Post(func() { r.m.pools[1].workers[0].core.Staged(7, 0, balance.OnTrial, 0, 0, false) })
+	r.m.Loop.Post(func() { r.m.pools[1].workers[0].core.StageUpdate(7, 0, balance.OnTrial, 0, 0, false) })
 	for i, ln := range other.nodeListeners { // all nodes of the second pool go away
 		other.setNode(uint32(i+1), ln.Addr().String(), balance.Gone)
 	}
@@ -835,8 +835,8 @@
 	request("look", "200 succeeded first/look")
 	a, _ := r.m.PoolSnapshot(t.Context(), 0)
 	b, _ := r.m.PoolSnapshot(t.Context(), 1)
-	if a.Taken != 21 || a.Succeeded != 21 || b.Taken != 11 || b.Succeeded != 10 || a.Ver == 7 || b.Ver != 7 {
-		t.Errorf("the first pool accepted %d, succeeded %d, ver %d; the second %d, %d, %d", a.Taken, a.Succeeded, a.Ver, b.Taken, b.Succeeded, b.Ver)
+	if a.Accepted != 21 || a.Succeeded != 21 || b.Accepted != 11 || b.Succeeded != 10 || a.Ver == 7 || b.Ver != 7 {
+		t.Errorf("the first pool accepted %d, succeeded %d, ver %d; the second %d, %d, %d", a.Accepted, a.Succeeded, a.Ver, b.Accepted, b.Succeeded, b.Ver)
 	}
 	// A reload that removes a pool needs a restart and changes nothing.
 	set := r.settings.Copy()
--- a/internal/serve/stop.go
+++ b/internal/serve/stop.go
@@ -126,6 +126,6 @@
 
 // openOn counts the open invocations of a core. It must run on the loop of that core, or after that loop has ended.
 func (m *Marshal) openOn(core int) (open int) {
-	m.forEachWorker(core, func(w *worker) { open += w.core.Open() })
+	m.forEachWorker(core, func(w *worker) { open += w.core.OpenInvocations() })
 	return open
 }
