--- a/internal/marshal/marshal.go
+++ b/internal/marshal/marshal.go
@@ -276,7 +276,7 @@
 func (c *Core) Dispatch(id string, node uint32, limitMs float64) {
 	inv, to := c.invocations[id], c.nodes[node]
 	if inv == nil {
-		c.log.Error("dispatch of an invocation that is not open", "inv", id, "node", node)
+		c.log.Error("a dispatch of an invocation that is not open", "inv", id, "node", node)
 		return
 	}
 	no := inv.dispatches
@@ -315,7 +315,7 @@
 		return "another dispatch is in flight"
 	case !c.mayRepeat(inv, to.Node):
 		violations.Repeats++
-		c.log.Error("suppressed a repeat that may take effect a second time", "node", to.ID)
+		c.log.Error("a repeat that may take effect a second time was suppressed", "node", to.ID)
 		return "it may have run"
 	}
 	return ""
@@ -335,7 +335,7 @@
 	inv := c.invocations[id]
 	if inv != nil && !inv.answered && !c.mayRefuse(inv) {
 		c.stats.Violations.Refusals++
-		c.log.Error("suppressed a refusal of an invocation that may have run", "inv", id)
+		c.log.Error("a refusal of an invocation that may have run was suppressed", "inv", id)
 		c.Terminate(id)
 		return
 	}
