--- a/cmd/arrowcleat/platform.go
+++ b/cmd/arrowcleat/platform.go
@@ -53,7 +53,7 @@
 	// Each of these ends a process that does not take it: before there is a log whose level they change, and in its last moments.
 	signal.Ignore(syscall.SIGUSR1, syscall.SIGUSR2)
 	defer signal.Ignore(syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2)
-	c, err := platform.Read(path, os.Getenv)
+	c, err := platform.ReadConfig(path, os.Getenv)
 	if err != nil {
 		return badInput{err}
 	}
@@ -63,10 +63,10 @@
 	if err := at.UnmarshalText([]byte(level)); err != nil {
 		return badInput{fmt.Errorf("--log: %q is no level", level)}
 	}
-	c.Set.Log.Level = level
-	log, flush := serviceLog(c.Set.Log, &at)
+	c.Settings.Log.Level = level
+	log, flush := serviceLog(c.Settings.Log, &at)
 	defer flush()
-	for _, text := range c.Differs {
+	for _, text := range c.EnvironmentConflicts {
 		log.Warn("the environment differs", "what", text)
 	}
 	stop, done := signals(&at, log)
@@ -112,7 +112,7 @@
 		select {
 		case <-views.C:
 			if r.level.Level() <= slog.LevelDebug {
-				r.m.Say()
+				r.m.LogState()
 			}
 		case <-hup:
 			r.reload(true)
@@ -141,11 +141,11 @@
 // reload takes the addresses of the configuration as it is now. first is for the try that the signal asked for: only that one complains.
 func (r *platformRun) reload(first bool) {
 	r.again = nil
-	next, err := platform.Read(r.path, os.Getenv)
+	next, err := platform.ReadConfig(r.path, os.Getenv)
 	switch {
 	case err == nil:
-		r.m.Move(next)
-		r.log.Warn("configuration taken", "discovery", next.Discovery, "release_api", next.API)
+		r.m.UpdateAddresses(next)
+		r.log.Warn("configuration taken", "discovery", next.DiscoveryAddress, "release_api", next.ReleaseAPIAddress)
 		return
 	case first:
 		r.log.Error("configuration not taken", "err", err)
--- a/cmd/arrowcleat/standin.go
+++ b/cmd/arrowcleat/standin.go
@@ -105,18 +105,18 @@
 	}
 	defer r.Close()
 	for i, l := range set.Line {
-		line, err := control.ParseLine(l)
+		line, err := control.ParseNode(l)
 		if err != nil {
 			return badInput{fmt.Errorf("line %d of the roster: %w", i+1, err)}
 		}
-		r.Set(line, time.Duration(line.Up*float64(time.Millisecond)))
+		r.Set(line, time.Duration(line.UptimeMs*float64(time.Millisecond)))
 	}
 	fmt.Println(r.Address())
 	return untilTold(func() error {
 		return standin.Lines(os.Stdin, func(text string) error {
-			line, err := control.ParseLine(text)
+			line, err := control.ParseNode(text)
 			if err == nil {
-				r.Set(line, time.Duration(line.Up*float64(time.Millisecond)))
+				r.Set(line, time.Duration(line.UptimeMs*float64(time.Millisecond)))
 			}
 			return err
 		})
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -18,21 +18,21 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-func node(id uint32) Line {
-	return Line{Node: balance.Node{ID: id, Ver: 1, Size: 1.5}, Address: "127.0.0.1:7", Incarnation: 9, Up: 12}
+func node(id uint32) NodeEntry {
+	return NodeEntry{Node: balance.Node{ID: id, Ver: 1, Size: 1.5}, Address: "127.0.0.1:7", Incarnation: 9, UptimeMs: 12}
 }
 
 // A line of the roster is read as it was written; what is no line is an error with its place.
 func FuzzLine(f *testing.F) {
-	f.Add(string(AppendLine(nil, node(3))))
+	f.Add(string(AppendNode(nil, node(3))))
 	f.Add("NODE 1 x 1 0 0 0 serving 1 0 0")
 	f.Fuzz(func(t *testing.T, text string) {
-		l, err := ParseLine(text)
+		l, err := ParseNode(text)
 		if err != nil {
 			return
 		}
-		l.Up = float64(int64(l.Up)) // written as whole ms
-		again, err := ParseLine(string(AppendLine(nil, l)))
+		l.UptimeMs = float64(int64(l.UptimeMs)) // written as whole ms
+		again, err := ParseNode(string(AppendNode(nil, l)))
 		if err != nil || again != l {
 			t.Fatalf("%q: %+v, then %+v, %v", text, l, again, err)
 		}
@@ -45,28 +45,28 @@
 	}
 	f.Fuzz(func(t *testing.T, text string) {
 		told := 0
-		c := &Conveyor{Staged: func(_, stage int, _ balance.Phase, cap, age float64, _ bool) {
+		c := &RolloutClient{OnStageUpdate: func(_, stage int, _ balance.Phase, cap, age float64, _ bool) {
 			if stage < 0 || !(cap >= 0 && cap <= 1) || !(age >= 0) {
 				t.Fatalf("%q tells stage %d cap %v age %v", text, stage, cap, age)
 			}
 			told++
-		}, Failed: func(balance.Ending) { told++ }, Flagged: func(uint32, int, float64) { told++ },
-			Tallied: func(_, _, samples, errors int, _, _ float64) {
+		}, OnVoteFailed: func(balance.Ending) { told++ }, OnWrongAnswer: func(uint32, int, float64) { told++ },
+			OnBuildStats: func(_, _, samples, errors int, _, _ float64) {
 				if errors > samples || errors < 0 {
 					t.Fatalf("%q tells %d of %d", text, errors, samples)
 				}
 				told++
 			}}
-		if err := c.News(text); err != nil && told > 0 {
+		if err := c.HandleLine(text); err != nil && told > 0 {
 			t.Fatalf("%q is an error, %v, and was told", text, err)
 		}
 	})
 }
 
 func FuzzTold(f *testing.F) {
-	f.Add(AppendTold(nil, 3, "2 1 0"))
+	f.Add(AppendPeerMessage(nil, 3, "2 1 0"))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		if from, text, err := ParseTold(b); err == nil && (from < 0 || len(text) > MostTold) {
+		if from, text, err := ParsePeerMessage(b); err == nil && (from < 0 || len(text) > MaxMessageBytes) {
 			t.Fatalf("%q is from %d with %d bytes", b, from, len(text))
 		}
 	})
@@ -75,11 +75,11 @@
 // Lists that come twice, out of order or with one missing in between do no harm.
 func TestRosterNews(t *testing.T) {
 	var got []string
-	r := &Roster{Listed: func(whole bool, lines []Line) { got = append(got, fmt.Sprint(whole, len(lines))) }}
+	r := &RegistryClient{OnNodesListed: func(whole bool, lines []NodeEntry) { got = append(got, fmt.Sprint(whole, len(lines))) }}
 	step := func(whole bool, epoch, from, version uint64, want string) {
 		t.Helper()
 		got = nil
-		r.take(whole, epoch, from, version, make([]Line, version))
+		r.take(whole, epoch, from, version, make([]NodeEntry, version))
 		if s := strings.Join(got, " "); s != want {
 			t.Errorf("list %d to %d of epoch %d: took %q, not %q", from, version, epoch, s, want)
 		}
@@ -102,7 +102,7 @@
 	lines chan string
 }
 
-func listen(t *testing.T, play func(n int, l *Link, lines chan string)) *peer {
+func listen(t *testing.T, play func(n int, l *LineConn, lines chan string)) *peer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -114,7 +114,7 @@
 			if err != nil {
 				return
 			}
-			play(n, NewLink(nc), p.lines)
+			play(n, NewLineConn(nc), p.lines)
 			nc.Close()
 		}
 	})
@@ -144,9 +144,9 @@
 // A roster that breaks, talks nonsense or sends an endless line is left and connected to again; the watch goes on from
 // the version that is held.
 func TestRosterReconnects(t *testing.T) {
-	p := listen(t, func(n int, l *Link, lines chan string) {
+	p := listen(t, func(n int, l *LineConn, lines chan string) {
 		for range 2 {
-			line, err := l.Line()
+			line, err := l.NextLine()
 			if err != nil {
 				return
 			}
@@ -154,20 +154,20 @@
 		}
 		switch n {
 		case 0:
-			l.PrintfLine("LIST whole 5 0 3 1\r\n%s", AppendLine(nil, node(1)))
+			l.PrintfLine("LIST whole 5 0 3 1\r\n%s", AppendNode(nil, node(1)))
 		case 1:
 			l.PrintfLine("NONSENSE")
-			l.Line()
+			l.NextLine()
 		case 2:
 			io.WriteString(l.b.Conn, strings.Repeat("x", 1<<20))
-			l.Line()
+			l.NextLine()
 		default:
-			l.Line()
+			l.NextLine()
 		}
 	})
 	listed := make(chan int, 10)
-	r := &Roster{Address: p.ln.Addr().String(), Number: 4, Wait: time.Millisecond, WaitMost: 10 * time.Millisecond,
-		Log: slog.New(slog.DiscardHandler), Listed: func(_ bool, lines []Line) { listed <- len(lines) }, Failed: func() {}}
+	r := &RegistryClient{Address: p.ln.Addr().String(), Number: 4, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond,
+		Log: slog.New(slog.DiscardHandler), OnNodesListed: func(_ bool, lines []NodeEntry) { listed <- len(lines) }, OnNodeListFailed: func() {}}
 	run(t, r.Run)
 	p.expect(t, "HELLO 4")
 	p.expect(t, "WATCH 0 0")
@@ -182,9 +182,9 @@
 
 // Where the list is to be asked for, a call that fails or a watch that breaks is told, and nothing is asked by itself.
 func TestRosterAsked(t *testing.T) {
-	p := listen(t, func(n int, l *Link, lines chan string) {
+	p := listen(t, func(n int, l *LineConn, lines chan string) {
 		for {
-			line, err := l.Line()
+			line, err := l.NextLine()
 			if err != nil {
 				return
 			}
@@ -197,8 +197,8 @@
 		}
 	})
 	failed := make(chan bool, 10)
-	r := &Roster{Address: p.ln.Addr().String(), Ask: true, Wait: time.Millisecond, WaitMost: 10 * time.Millisecond,
-		Log: slog.New(slog.DiscardHandler), Listed: func(bool, []Line) {}, Failed: func() { failed <- true }}
+	r := &RegistryClient{Address: p.ln.Addr().String(), WatchOnDemand: true, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond,
+		Log: slog.New(slog.DiscardHandler), OnNodesListed: func(bool, []NodeEntry) {}, OnNodeListFailed: func() { failed <- true }}
 	r.Fetch() // there is no connection yet
 	<-failed
 	run(t, r.Run)
@@ -221,9 +221,9 @@
 
 // A vote gets one ending: its answer, an error, or a time-out; what comes later counts no more.
 func TestVotes(t *testing.T) {
-	p := listen(t, func(_ int, l *Link, lines chan string) {
+	p := listen(t, func(_ int, l *LineConn, lines chan string) {
 		for {
-			line, err := l.Line()
+			line, err := l.NextLine()
 			if err != nil {
 				return
 			}
@@ -241,11 +241,11 @@
 		}
 	})
 	got := make(chan string, 10)
-	c := &Conveyor{Address: p.ln.Addr().String(), Number: 1, Wait: time.Millisecond, WaitMost: 10 * time.Millisecond,
-		Patience: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
-		Staged: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+	c := &RolloutClient{Address: p.ln.Addr().String(), Number: 1, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond,
+		VoteTimeout: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+		OnStageUpdate: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 			got <- fmt.Sprint("staged ", ver, stage, phase, cap, age, reply)
-		}, Failed: func(how balance.Ending) { got <- fmt.Sprint("failed ", how) }}
+		}, OnVoteFailed: func(how balance.Ending) { got <- fmt.Sprint("failed ", how) }}
 	c.Vote(1, 0, balance.On) // it never left
 	next := func(want string) {
 		t.Helper()
@@ -279,7 +279,7 @@
 
 // Messages between marshals reach the one they are for, or all; what is no such message is told as bad.
 func TestPeers(t *testing.T) {
-	var all []*Peers
+	var all []*PeerTransport
 	got, bad := make(chan string, 20), make(chan error, 20)
 	to := map[int]*net.UDPAddr{}
 	var wg sync.WaitGroup
@@ -289,13 +289,13 @@
 			t.Fatal(err)
 		}
 		to[i] = conn.LocalAddr().(*net.UDPAddr)
-		all = append(all, &Peers{Number: i, Conn: conn, To: map[int]*net.UDPAddr{}, Bad: func(err error) { bad <- err },
-			Told: func(from int, text string) { got <- fmt.Sprint(from, ">", i, " ", text) }})
+		all = append(all, &PeerTransport{Number: i, Conn: conn, Addresses: map[int]*net.UDPAddr{}, OnError: func(err error) { bad <- err },
+			OnPeerMessage: func(from int, text string) { got <- fmt.Sprint(from, ">", i, " ", text) }})
 	}
 	for i, p := range all {
 		for j, a := range to {
 			if j != i {
-				p.To[j] = a
+				p.Addresses[j] = a
 			}
 		}
 		wg.Go(p.Run)
@@ -314,9 +314,9 @@
 	if a, b := <-got, <-got; a+b != "1>0 all1>2 all" && a+b != "1>2 all1>0 all" {
 		t.Error(a, b)
 	}
-	all[0].Tell(1, strings.Repeat("x", MostTold+1))
+	all[0].Tell(1, strings.Repeat("x", MaxMessageBytes+1))
 	all[0].Conn.WriteToUDP([]byte("hello"), to[1])
-	all[0].Conn.WriteToUDP(AppendTold(nil, 9, "x"), to[1])
+	all[0].Conn.WriteToUDP(AppendPeerMessage(nil, 9, "x"), to[1])
 	for range 3 {
 		<-bad
 	}
--- a/internal/control/conveyor.go
+++ b/internal/control/conveyor.go
@@ -12,22 +12,22 @@
 	"arrowcleat/balance"
 )
 
-// Conveyor is a marshal's connection to the conveyor.
-type Conveyor struct {
-	Address  string
-	Number   int // the marshal's
-	Wait     time.Duration
-	WaitMost time.Duration
-	Patience time.Duration // for a vote's answer
-	Log      *slog.Logger
+// RolloutClient is a marshal's connection to the conveyor.
+type RolloutClient struct {
+	Address        string
+	Number         int // the marshal's
+	InitialBackoff time.Duration
+	MaxBackoff     time.Duration
+	VoteTimeout    time.Duration // for a vote's answer
+	Log            *slog.Logger
 
-	Staged  func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
-	Failed  func(how balance.Ending)
-	Tallied func(ver, op, samples, errors int, mean, age float64)
-	Flagged func(node uint32, op int, age float64)
+	OnStageUpdate func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
+	OnVoteFailed  func(how balance.Ending)
+	OnBuildStats  func(ver, op, samples, errors int, mean, age float64)
+	OnWrongAnswer func(node uint32, op int, age float64)
 
 	mu   sync.Mutex
-	conn *Link
+	conn *LineConn
 	next uint64
 	out  uint64 // the vote that waits for its answer, 0 for none
 }
@@ -58,12 +58,12 @@
 }
 
 // Run keeps the connection until the context ends.
-func (c *Conveyor) Run(ctx context.Context) {
-	Keep(ctx, "conveyor", c.Address, c.Wait, c.WaitMost, c.Log, c.session)
+func (c *RolloutClient) Run(ctx context.Context) {
+	KeepConnected(ctx, "conveyor", c.Address, c.InitialBackoff, c.MaxBackoff, c.Log, c.session)
 }
 
-func (c *Conveyor) session(_ context.Context, nc net.Conn) error {
-	t := NewLink(nc)
+func (c *RolloutClient) session(_ context.Context, nc net.Conn) error {
+	t := NewLineConn(nc)
 	if err := t.PrintfLine("HELLO %d", c.Number); err != nil {
 		return err
 	}
@@ -76,24 +76,24 @@
 		c.mu.Unlock()
 	}()
 	for {
-		line, err := t.Line()
+		line, err := t.NextLine()
 		if err != nil {
 			return err
 		}
-		if err := c.News(line); err != nil {
+		if err := c.HandleLine(line); err != nil {
 			return fmt.Errorf("conveyor: %w in %.80q", err, line)
 		}
 	}
 }
 
-// News takes one line of the conveyor's.
-func (c *Conveyor) News(line string) error {
+// HandleLine takes one line of the conveyor's.
+func (c *RolloutClient) HandleLine(line string) error {
 	w := fields(line)
 	switch w.one("message", "STAGE", "VOTED", "TALLY", "FLAG") {
 	case 0:
 		ver, stage, phase, cap, age := stageOf(w)
 		if w.end() == nil {
-			c.Staged(ver, stage, phase, cap, age, false)
+			c.OnStageUpdate(ver, stage, phase, cap, age, false)
 		}
 	case 1:
 		id := uint64(w.whole("id", 0, math.MaxInt64))
@@ -106,9 +106,9 @@
 		}
 		if w.end() == nil && c.answered(id) {
 			if answer == 0 {
-				c.Staged(ver, stage, phase, cap, age, true)
+				c.OnStageUpdate(ver, stage, phase, cap, age, true)
 			} else {
-				c.Failed([]balance.Ending{1: balance.Ignored, 2: balance.Full, 3: balance.Failed}[answer])
+				c.OnVoteFailed([]balance.Ending{1: balance.Ignored, 2: balance.Full, 3: balance.Failed}[answer])
 			}
 		}
 	case 2:
@@ -119,20 +119,20 @@
 			w.err = fmt.Errorf("errors: %d of %d samples", errors, samples)
 		}
 		if w.end() == nil {
-			c.Tallied(ver, op, samples, errors, mean, age)
+			c.OnBuildStats(ver, op, samples, errors, mean, age)
 		}
 	case 3:
 		node, op := uint32(w.whole("node", 0, math.MaxUint32)), int(w.whole("operation", 0, 1<<16))
 		age := w.number("age", 0, mostMS)
 		if w.end() == nil {
-			c.Flagged(node, op, age)
+			c.OnWrongAnswer(node, op, age)
 		}
 	}
 	return w.end()
 }
 
 // answered says that a vote was still waited for; what comes later, or twice, counts no more.
-func (c *Conveyor) answered(id uint64) bool {
+func (c *RolloutClient) answered(id uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.out != id || id == 0 {
@@ -143,20 +143,20 @@
 }
 
 // Vote sends a vote; it is answered by Staged or Failed. One that never left is an error, not silence.
-func (c *Conveyor) Vote(ver, stage int, verdict balance.Verdict) {
+func (c *RolloutClient) Vote(ver, stage int, verdict balance.Verdict) {
 	c.mu.Lock()
 	c.next++
 	id := c.next
 	c.out = id
 	sent := c.conn != nil && c.conn.PrintfLine("VOTE %d %d %d %s", id, ver, stage, verdicts[verdict]) == nil
 	c.mu.Unlock()
-	patience, how := c.Patience, balance.TimedOut
+	patience, how := c.VoteTimeout, balance.TimedOut
 	if !sent {
 		patience, how = 10*time.Millisecond, balance.Failed
 	}
 	time.AfterFunc(patience, func() {
 		if c.answered(id) {
-			c.Failed(how)
+			c.OnVoteFailed(how)
 		}
 	})
 }
--- a/internal/control/lines.go
+++ b/internal/control/lines.go
@@ -12,8 +12,8 @@
 	"strings"
 )
 
-// Longest is the most bytes a line may have.
-const Longest = 1024
+// MaxLineBytes is the most bytes a line may have.
+const MaxLineBytes = 1024
 
 // words reads the words of a line in order; the first that is missing or wrong is kept as the error.
 type words struct {
@@ -90,16 +90,16 @@
 var phases = []string{"trial", "back", "released", "withdrawn"}
 var verdicts = []string{"none", "on", "hold", "back"}
 
-// Link is one connection of a line protocol; a line longer than Longest ends it before it fills memory.
-type Link struct {
+// LineConn is one connection of a line protocol; a line longer than Longest ends it before it fills memory.
+type LineConn struct {
 	*textproto.Conn
 	b *bounded
 }
 
-// NewLink speaks lines on a connection.
-func NewLink(nc net.Conn) *Link {
+// NewLineConn speaks lines on a connection.
+func NewLineConn(nc net.Conn) *LineConn {
 	b := &bounded{Conn: nc}
-	return &Link{textproto.NewConn(b), b}
+	return &LineConn{textproto.NewConn(b), b}
 }
 
 type bounded struct {
@@ -109,15 +109,15 @@
 
 func (b *bounded) Read(p []byte) (int, error) {
 	if b.left <= 0 {
-		return 0, fmt.Errorf("a line of more than %d bytes", Longest)
+		return 0, fmt.Errorf("a line of more than %d bytes", MaxLineBytes)
 	}
 	n, err := b.Conn.Read(p[:min(len(p), b.left)])
 	b.left -= n
 	return n, err
 }
 
-// Line reads one line.
-func (l *Link) Line() (string, error) {
-	l.b.left = Longest + 2
+// NextLine reads one line.
+func (l *LineConn) NextLine() (string, error) {
+	l.b.left = MaxLineBytes + 2
 	return l.ReadLine()
 }
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -15,23 +15,23 @@
 	"arrowcleat/balance"
 )
 
-// Line is one line of the roster as it is sent: a node, where it is reached, and how long its process has run.
+// NodeEntry is one line of the roster as it is sent: a node, where it is reached, and how long its process has run.
 // Two tells of one process carry the same incarnation.
-type Line struct {
+type NodeEntry struct {
 	balance.Node
 	Address     string
 	Incarnation uint64
-	Up          float64 // ms since its process started, 0: a long time
+	UptimeMs    float64 // ms since its process started, 0: a long time
 }
 
-// AppendLine writes a line of the roster.
-func AppendLine(b []byte, l Line) []byte {
+// AppendNode writes a line of the roster.
+func AppendNode(b []byte, l NodeEntry) []byte {
 	return fmt.Appendf(b, "NODE %d %s %d %d %d %d %s %g %d %.0f", l.ID, l.Address, l.Ver, l.Zone, l.Model, l.Cell,
-		healths[l.Health], l.Size, l.Incarnation, l.Up)
+		healths[l.Health], l.Size, l.Incarnation, l.UptimeMs)
 }
 
-// ParseLine reads a line of the roster.
-func ParseLine(text string) (l Line, err error) {
+// ParseNode reads a line of the roster.
+func ParseNode(text string) (l NodeEntry, err error) {
 	w := fields(text)
 	w.one("message", "NODE")
 	l.ID = uint32(w.whole("node", 0, math.MaxUint32))
@@ -46,13 +46,13 @@
 	l.Health = balance.Health(w.one("health", healths...))
 	l.Size = w.number("size", 0, 1e9)
 	l.Incarnation = uint64(w.whole("incarnation", 0, math.MaxInt64))
-	l.Up = w.number("up", 0, mostMS)
+	l.UptimeMs = w.number("up", 0, mostMS)
 	return l, w.end()
 }
 
-// ParseList reads the head of a list: its kind, the roster's epoch, the version it starts from and its own, and
+// ParseListHeader reads the head of a list: its kind, the roster's epoch, the version it starts from and its own, and
 // how many lines follow.
-func ParseList(text string) (whole bool, epoch, from, version uint64, lines int, err error) {
+func ParseListHeader(text string) (whole bool, epoch, from, version uint64, lines int, err error) {
 	w := fields(text)
 	w.one("message", "LIST")
 	whole = w.one("kind", "whole", "changes") == 0
@@ -63,43 +63,43 @@
 	return whole, epoch, from, version, lines, w.end()
 }
 
-// Roster is a marshal's connection to the roster. It keeps one connection, opens it again with growing, jittered
+// RegistryClient is a marshal's connection to the roster. It keeps one connection, opens it again with growing, jittered
 // waits, and hands on every list whose turn it is: what was had already is dropped, and after a gap the whole
 // list is asked for.
-type Roster struct {
-	Address  string
-	Number   int  // the marshal's
-	Ask      bool // the module says when to watch; otherwise the list is watched all the time
-	Wait     time.Duration
-	WaitMost time.Duration
-	Log      *slog.Logger
-	Listed   func(whole bool, lines []Line)
-	Failed   func() // a watch or a fetch failed, or the watch was lost
+type RegistryClient struct {
+	Address          string
+	Number           int  // the marshal's
+	WatchOnDemand    bool // the module says when to watch; otherwise the list is watched all the time
+	InitialBackoff   time.Duration
+	MaxBackoff       time.Duration
+	Log              *slog.Logger
+	OnNodesListed    func(whole bool, lines []NodeEntry)
+	OnNodeListFailed func() // a watch or a fetch failed, or the watch was lost
 
 	mu      sync.Mutex
-	conn    *Link
+	conn    *LineConn
 	watch   bool
 	fetch   bool
 	epoch   uint64 // of the list that is held
 	version uint64
 }
 
-// Waits gives growing, jittered waits between two bounds.
-func Waits(first, most time.Duration) *backoff.ExponentialBackOff {
+// NewBackoff gives growing, jittered waits between two bounds.
+func NewBackoff(first, most time.Duration) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval = first, most
 	return b
 }
 
 // Run keeps the connection until the context ends.
-func (r *Roster) Run(ctx context.Context) {
-	Keep(ctx, "roster", r.Address, r.Wait, r.WaitMost, r.Log, r.session)
+func (r *RegistryClient) Run(ctx context.Context) {
+	KeepConnected(ctx, "roster", r.Address, r.InitialBackoff, r.MaxBackoff, r.Log, r.session)
 }
 
-// Keep holds a session with an address, again and again.
-func Keep(ctx context.Context, name, address string, first, most time.Duration, log *slog.Logger,
+// KeepConnected holds a session with an address, again and again.
+func KeepConnected(ctx context.Context, name, address string, first, most time.Duration, log *slog.Logger,
 	session func(context.Context, net.Conn) error) {
-	waits := Waits(first, most)
+	waits := NewBackoff(first, most)
 	for ctx.Err() == nil {
 		var d net.Dialer
 		dial, done := context.WithTimeout(ctx, most)
@@ -128,25 +128,25 @@
 	}
 }
 
-func (r *Roster) session(_ context.Context, nc net.Conn) error {
-	t := NewLink(nc)
+func (r *RegistryClient) session(_ context.Context, nc net.Conn) error {
+	t := NewLineConn(nc)
 	if err := t.PrintfLine("HELLO %d", r.Number); err != nil {
 		return err
 	}
 	r.mu.Lock()
 	r.conn = t
-	watch, fetch := r.watch || !r.Ask, r.fetch
+	watch, fetch := r.watch || !r.WatchOnDemand, r.fetch
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
 		r.conn = nil
 		asked := r.watch || r.fetch
-		if r.Ask {
+		if r.WatchOnDemand {
 			r.watch, r.fetch = false, false
 		}
 		r.mu.Unlock()
-		if asked && r.Ask {
-			r.Failed()
+		if asked && r.WatchOnDemand {
+			r.OnNodeListFailed()
 		}
 	}()
 	if fetch {
@@ -156,7 +156,7 @@
 		r.say(r.watchLine())
 	}
 	for {
-		line, err := t.Line()
+		line, err := t.NextLine()
 		if err != nil {
 			return err
 		}
@@ -164,20 +164,20 @@
 			r.mu.Lock()
 			r.watch, r.fetch = false, false
 			r.mu.Unlock()
-			r.Failed()
+			r.OnNodeListFailed()
 			continue
 		}
-		whole, epoch, from, version, count, err := ParseList(line)
+		whole, epoch, from, version, count, err := ParseListHeader(line)
 		if err != nil {
 			return fmt.Errorf("roster: %w in %.80q", err, line)
 		}
-		var lines []Line
+		var lines []NodeEntry
 		for range count {
-			text, err := t.Line()
+			text, err := t.NextLine()
 			if err != nil {
 				return err
 			}
-			l, err := ParseLine(text)
+			l, err := ParseNode(text)
 			if err != nil {
 				return fmt.Errorf("roster: %w in %.80q", err, text)
 			}
@@ -187,14 +187,14 @@
 	}
 }
 
-func (r *Roster) watchLine() string {
+func (r *RegistryClient) watchLine() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return fmt.Sprintf("WATCH %d %d", r.epoch, r.version)
 }
 
 // take hands on a list whose turn it is.
-func (r *Roster) take(whole bool, epoch, from, version uint64, lines []Line) {
+func (r *RegistryClient) take(whole bool, epoch, from, version uint64, lines []NodeEntry) {
 	r.mu.Lock()
 	same := epoch == r.epoch
 	switch {
@@ -211,17 +211,17 @@
 		r.fetch = false
 	}
 	r.mu.Unlock()
-	r.Listed(whole, lines)
+	r.OnNodesListed(whole, lines)
 }
 
-func (r *Roster) say(line string) bool {
+func (r *RegistryClient) say(line string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.conn != nil && r.conn.PrintfLine("%s", line) == nil
 }
 
 // Fetch asks for the whole list once.
-func (r *Roster) Fetch() {
+func (r *RegistryClient) Fetch() {
 	r.mu.Lock()
 	r.fetch = true
 	r.mu.Unlock()
@@ -231,7 +231,7 @@
 }
 
 // Watch asks for changes from now on, or for no more.
-func (r *Roster) Watch(on bool) {
+func (r *RegistryClient) Watch(on bool) {
 	r.mu.Lock()
 	r.watch = on
 	r.mu.Unlock()
@@ -243,16 +243,16 @@
 }
 
 // later says that the call failed, as the roster would, not at once.
-func (r *Roster) later() {
+func (r *RegistryClient) later() {
 	time.AfterFunc(time.Duration(10+rand.IntN(40))*time.Millisecond, func() {
 		r.mu.Lock()
-		failed := r.conn == nil && (r.watch || r.fetch) && r.Ask
+		failed := r.conn == nil && (r.watch || r.fetch) && r.WatchOnDemand
 		if failed {
 			r.watch, r.fetch = false, false
 		}
 		r.mu.Unlock()
 		if failed {
-			r.Failed()
+			r.OnNodeListFailed()
 		}
 	})
 }
--- a/internal/day/world.go
+++ b/internal/day/world.go
@@ -83,7 +83,7 @@
 	number, zone int
 	speed        float64
 	node         node
-	line         control.Line
+	line         control.NodeEntry
 	ver, want    int
 	busy         bool // being replaced
 	down         bool // killed by a trouble
@@ -357,9 +357,9 @@
 	set := &settings.Standin{Node: s.line.ID, Ver: int32(s.ver), Zone: int32(s.zone), Cores: w.Plan.Cores, Speed: s.speed,
 		Queue: 200, Seed: w.Seed + w.inc}
 	up := time.Hour
-	s.line.Up = 0
+	s.line.UptimeMs = 0
 	if !old {
-		set.Rules, up, s.line.Up = w.rules, 0, 1
+		set.Rules, up, s.line.UptimeMs = w.rules, 0, 1
 	}
 	if b := w.faults[s.ver]; b != nil {
 		set.Build = b.Fault
@@ -374,8 +374,8 @@
 	defer w.mu.Unlock()
 	s.node = n
 	w.nodes = append(w.nodes, n)
-	s.line = control.Line{Node: balance.Node{ID: set.Node, Ver: s.ver, Zone: s.zone, Size: s.speed * float64(w.Plan.Cores)},
-		Address: n.Address(), Incarnation: inc, Up: s.line.Up}
+	s.line = control.NodeEntry{Node: balance.Node{ID: set.Node, Ver: s.ver, Zone: s.zone, Size: s.speed * float64(w.Plan.Cores)},
+		Address: n.Address(), Incarnation: inc, UptimeMs: s.line.UptimeMs}
 	w.roster.Set(s.line, up)
 	return nil
 }
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -386,7 +386,7 @@
 		return nil, err
 	}
 	for i, a := range n.addresses {
-		r.Set(control.Line{Node: balance.Node{ID: uint32(i + 1), Ver: 1, Size: 1}, Address: a}, 0)
+		r.Set(control.NodeEntry{Node: balance.Node{ID: uint32(i + 1), Ver: 1, Size: 1}, Address: a}, 0)
 	}
 	set := o.Set.Copy()
 	set.Roster.Address, set.Conveyor.Address, set.Instance.Marshals = r.Address(), "", 1
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -37,13 +37,13 @@
 
 // Config is what the platform tells a marshal.
 type Config struct {
-	Set       *settings.Settings
-	Module    balance.Settings // what the simulator gives an instance
-	Discovery string
-	API       string
-	Cores     float64
-	MemoryMB  float64
-	Differs   []string // what the environment says otherwise; the configuration counts
+	Settings             *settings.Settings
+	ModuleSettings       balance.Settings // what the simulator gives an instance
+	DiscoveryAddress     string
+	ReleaseAPIAddress    string
+	Cores                float64
+	MemoryMB             float64
+	EnvironmentConflicts []string // what the environment says otherwise; the configuration counts
 
 	now    func() time.Time
 	wall   func() time.Time
@@ -58,7 +58,7 @@
 // killMs is for how long after TERM there is no KILL.
 func (c *Config) killMs() float64 {
 	longest := 0.0
-	for _, o := range c.Set.Operation {
+	for _, o := range c.Settings.Operation {
 		longest = max(longest, o.LimitMs)
 	}
 	return min(longest, longestMs) + restMs
@@ -67,9 +67,9 @@
 // variables say in the environment what fields of the configuration say.
 var variables = map[string]string{"name": "GW_NAME", "listen": "GW_LISTEN", "discovery": "GW_DISCOVERY"}
 
-// Read reads a configuration. The error names the field that is missing or wrong. What the environment says counts where the
+// ReadConfig reads a configuration. The error names the field that is missing or wrong. What the environment says counts where the
 // configuration does not say it.
-func Read(path string, environment func(variable string) string) (*Config, error) {
+func ReadConfig(path string, environment func(variable string) string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: %w", err)
@@ -107,8 +107,8 @@
 		}
 		return environment(variables[name])
 	}
-	c := &Config{now: time.Now, wall: time.Now, Module: brief.Settings(j.Get("settings")), Discovery: said("discovery"),
-		API: j.Get("release_api.address").Str, Cores: j.Get("limits.cores").Num, MemoryMB: j.Get("limits.memory_mb").Num,
+	c := &Config{now: time.Now, wall: time.Now, ModuleSettings: brief.Settings(j.Get("settings")), DiscoveryAddress: said("discovery"),
+		ReleaseAPIAddress: j.Get("release_api.address").Str, Cores: j.Get("limits.cores").Num, MemoryMB: j.Get("limits.memory_mb").Num,
 		news: j.Get("release_api.news"), known: j.Get("known"), listen: j.Get("peer_listen").Str,
 		all: j.Get("peers_all").Str}
 	for name, least := range map[string]float64{"limits.sockets": connlimit.Least, "limits.memory_mb": 8, "limits.cores": 0.001} {
@@ -118,10 +118,10 @@
 	}
 	for name, variable := range variables {
 		if other := environment(variable); other != "" && j.Get(name).Exists() && other != j.Get(name).Str {
-			c.Differs = append(c.Differs, fmt.Sprintf("%s says %q, the configuration %q", variable, other, j.Get(name).Str))
+			c.EnvironmentConflicts = append(c.EnvironmentConflicts, fmt.Sprintf("%s says %q, the configuration %q", variable, other, j.Get(name).Str))
 		}
 	}
-	for _, a := range map[string]string{"listen": said("listen"), "discovery": c.Discovery, "release_api.address": c.API} {
+	for _, a := range map[string]string{"listen": said("listen"), "discovery": c.DiscoveryAddress, "release_api.address": c.ReleaseAPIAddress} {
 		if _, _, err := net.SplitHostPort(a); err != nil {
 			return nil, fmt.Errorf("%.60q is no host:port", a)
 		}
@@ -129,14 +129,14 @@
 	for _, p := range j.Get("peers").Array() {
 		c.peers = append(c.peers, p.Str)
 	}
-	if may, _ := c.Module["limits.may-tell"].(bool); !may {
+	if may, _ := c.ModuleSettings["limits.may-tell"].(bool); !may {
 		c.listen = ""
 	}
-	c.Set, err = c.settings(said("listen"), int(j.Get("limits.sockets").Num))
+	c.Settings, err = c.settings(said("listen"), int(j.Get("limits.sockets").Num))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	c.Set.Seed = seed
+	c.Settings.Seed = seed
 	return c, nil
 }
 
@@ -150,10 +150,10 @@
 
 // settings are the marshal's own, for its clients' side and its connections to nodes. The module gets the platform's.
 func (c *Config) settings(listen string, sockets int) (*settings.Settings, error) {
-	num := func(name string) float64 { v, _ := c.Module[name].(float64); return v }
+	num := func(name string) float64 { v, _ := c.ModuleSettings[name].(float64); return v }
 	c.names = &names{}
-	c.names.zones, _ = c.Module["zones"].([]string)
-	c.names.models, _ = c.Module["models"].([]string)
+	c.names.zones, _ = c.ModuleSettings["zones"].([]string)
+	c.names.models, _ = c.ModuleSettings["models"].([]string)
 	zones := c.names.zones
 	if len(zones) == 0 { // a customer without zones: all is one
 		zones = []string{""}
@@ -180,7 +180,7 @@
 		Rollout: &settings.Rollout{VoteTimeoutMs: or(num("rollout.api-timeout-ms"), callMs)},
 		Log:     &settings.Log{Level: "warn", Form: "text"},
 	}
-	ops, _ := c.Module["operations"].([]balance.Settings)
+	ops, _ := c.ModuleSettings["operations"].([]balance.Settings)
 	if len(ops) == 0 {
 		return nil, errors.New("no operation")
 	}
@@ -197,7 +197,7 @@
 			Group: text("group")})
 		s.Times.StopMs = max(s.Times.StopMs, limit+restMs)
 	}
-	tenants, _ := c.Module["tenants"].([]balance.Settings)
+	tenants, _ := c.ModuleSettings["tenants"].([]balance.Settings)
 	for _, t := range tenants {
 		name, _ := t["name"].(string)
 		s.Tenant = append(s.Tenant, &settings.Tenant{Name: name})
@@ -205,8 +205,8 @@
 	return s, nil
 }
 
-// Known is the list as the marshal last held it.
-func (c *Config) Known(log *slog.Logger) ([]control.Line, error) {
+// KnownNodes is the list as the marshal last held it.
+func (c *Config) KnownNodes(log *slog.Logger) ([]control.NodeEntry, error) {
 	if !c.known.IsObject() {
 		return nil, nil
 	}
--- a/internal/platform/conveyor.go
+++ b/internal/platform/conveyor.go
@@ -28,16 +28,16 @@
 	}{429: {"BUSY", balance.Full}, 409: {"STALE", balance.Ignored}, 500: {"FAILED", balance.Failed}, 400: {"SYNTAX", balance.Failed}}
 )
 
-// Staged is told where the newest build stands.
-type Staged = func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
+// StageUpdateFunc is told where the newest build stands.
+type StageUpdateFunc = func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
 
-// Conveyor follows the platform's news of the newest build, and votes on it.
-type Conveyor struct {
+// RolloutClient follows the platform's news of the newest build, and votes on it.
+type RolloutClient struct {
 	endpoint
-	Patience time.Duration // for a vote's answer
-	Log      *slog.Logger
-	Staged   Staged
-	Failed   func(how balance.Ending)
+	VoteTimeout   time.Duration // for a vote's answer
+	Log           *slog.Logger
+	OnStageUpdate StageUpdateFunc
+	OnVoteFailed  func(how balance.Ending)
 
 	order sync.Mutex // of what is told
 	last  *state     // told last
@@ -66,12 +66,12 @@
 }
 
 // tell tells what is not overtaken; of a reply that is, what stands.
-func (c *Conveyor) tell(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+func (c *RolloutClient) tell(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	c.order.Lock()
 	defer c.order.Unlock()
 	now := time.Now()
 	s := &state{ver, stage, phase, cap, now.Add(-time.Duration(min(age, mostAge) * float64(time.Millisecond)))}
-	if c.last != nil && s.before(c.last, c.Patience) {
+	if c.last != nil && s.before(c.last, c.VoteTimeout) {
 		if !reply {
 			return
 		}
@@ -79,13 +79,13 @@
 		age = float64(now.Sub(s.since)) / float64(time.Millisecond)
 	}
 	c.last = s
-	c.Staged(s.ver, s.stage, s.phase, s.cap, age, reply)
+	c.OnStageUpdate(s.ver, s.stage, s.phase, s.cap, age, reply)
 }
 
 const mostAge = 1e11 // ms that a state's age is counted to
 
 // Run follows the news until the context ends.
-func (c *Conveyor) Run(ctx context.Context) {
+func (c *RolloutClient) Run(ctx context.Context) {
 	c.keep(ctx, "release API", c.Log, func(s *session, nc net.Conn) error {
 		return rest.Follow(nc, s.address, apiBase+"/events", eventsTimeout, func(text []byte) (err error) {
 			if !s.speak(func() { err = c.news(gjson.ParseBytes(text)) }) {
@@ -96,7 +96,7 @@
 	})
 }
 
-func (c *Conveyor) news(j gjson.Result) error {
+func (c *RolloutClient) news(j gjson.Result) error {
 	if j.Get("type").Str != "ROLLOUT" { // a sign of life, or news of what a marshal has no use for
 		return nil
 	}
@@ -105,7 +105,7 @@
 }
 
 // staged reads a state whole or not at all.
-func staged(j gjson.Result, reply bool, tell Staged) error {
+func staged(j gjson.Result, reply bool, tell StageUpdateFunc) error {
 	phase := slices.Index(phases, j.Get("State").Str)
 	for _, name := range []string{"Revision", "Wave", "MaxShare", "AgeMs"} {
 		if v := j.Get(name); v.Type != gjson.Number || v.Num < 0 {
@@ -120,16 +120,16 @@
 }
 
 // Vote sends a vote on a connection of its own; it is answered by Staged or Failed.
-func (c *Conveyor) Vote(ver, stage int, verdict balance.Verdict) {
+func (c *RolloutClient) Vote(ver, stage int, verdict balance.Verdict) {
 	go func() {
 		if how := c.vote(ver, stage, verdict); how != balance.Succeeded {
-			c.Failed(how)
+			c.OnVoteFailed(how)
 		}
 	}()
 }
 
-func (c *Conveyor) vote(ver, stage int, verdict balance.Verdict) balance.Ending {
-	ctx, done := context.WithTimeout(context.Background(), c.Patience)
+func (c *RolloutClient) vote(ver, stage int, verdict balance.Verdict) balance.Ending {
+	ctx, done := context.WithTimeout(context.Background(), c.VoteTimeout)
 	defer done()
 	body := fmt.Appendf(nil, `{"Revision":%d,"Wave":%d,"Decision":%q}`, ver, stage, verdicts[verdict])
 	status, answer, sent, err := rest.Call(ctx, c.at(), "POST", apiBase+"/votes", body)
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -37,8 +37,8 @@
 	before  *session
 }
 
-// Move goes over to another address.
-func (e *endpoint) Move(address string) {
+// SetAddress goes over to another address.
+func (e *endpoint) SetAddress(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if address != e.address {
@@ -76,7 +76,7 @@
 		here, leave := context.WithCancel(ctx)
 		s := &session{e, number, address, leave, before}
 		wg.Go(func() {
-			control.Keep(here, name, address, waitFirst, waitMost, log, func(_ context.Context, nc net.Conn) error {
+			control.KeepConnected(here, name, address, waitFirst, waitMost, log, func(_ context.Context, nc net.Conn) error {
 				err := follow(s, nc)
 				select {
 				case <-moved: // it is not opened again
--- a/internal/platform/heads.go
+++ b/internal/platform/heads.go
@@ -25,7 +25,7 @@
 		return a, front.Refused(400, "one X-Trace-Id is due")
 	}
 	class, ok := single(h.Header, "X-Qos")
-	a.Op = slices.IndexFunc(c.Set.Operation, func(o *settings.Operation) bool { return o.Name == class })
+	a.Op = slices.IndexFunc(c.Settings.Operation, func(o *settings.Operation) bool { return o.Name == class })
 	if !ok || a.Op < 0 {
 		return a, front.Refused(404, "no operation of this name in X-Qos")
 	}
@@ -34,7 +34,7 @@
 		return a, front.Refused(404, "path and X-Qos name different operations")
 	}
 	method := "GET"
-	if c.Set.Operation[a.Op].Repeat != settings.Repeat_IDEMPOTENT {
+	if c.Settings.Operation[a.Op].Repeat != settings.Repeat_IDEMPOTENT {
 		method = "POST"
 	}
 	if h.Method != method {
@@ -43,12 +43,12 @@
 	if method == "GET" && h.Length != 0 {
 		return a, front.Refused(400, "a GET has no body here")
 	}
-	if c.Set.Operation[a.Op].Repeat == settings.Repeat_FINGERPRINTED {
+	if c.Settings.Operation[a.Op].Repeat == settings.Repeat_FINGERPRINTED {
 		if mark, ok := single(h.Header, "Idempotency-Key"); !ok || mark == "" {
 			return a, front.Refused(400, "one Idempotency-Key is due")
 		}
 	}
-	a.Limit = c.Set.Operation[a.Op].LimitMs
+	a.Limit = c.Settings.Operation[a.Op].LimitMs
 	if text, given := h.Header["X-Expires-In-Ms"]; given {
 		ms, err := strconv.ParseUint(text[0], 10, 64)
 		if err != nil && !errors.Is(err, strconv.ErrRange) || len(text) > 1 { // more than can be counted is longer than any limit
@@ -59,7 +59,7 @@
 	if hint, err := strconv.ParseFloat(h.Header.Get("X-Size-Hint"), 64); err == nil && hint > 0 && hint < 1e12 {
 		a.Cost = hint / 1000
 	}
-	a.ID, a.Tenant, a.Key = id, c.Set.TenantIndex(h.Header.Get("X-Customer")), h.Header.Get("X-Object")
+	a.ID, a.Tenant, a.Key = id, c.Settings.TenantIndex(h.Header.Get("X-Customer")), h.Header.Get("X-Object")
 	a.Retry = h.Header.Get("X-Second-Try") == "1"
 	for prop := range strings.SplitSeq(h.Header.Get("X-Props"), ",") {
 		if name, value, _ := strings.Cut(strings.TrimSpace(prop), "="); name == "write" {
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -11,8 +11,8 @@
 	"arrowcleat/balance"
 )
 
-// Peers sends and receives datagrams between marshals. Who one is from, its sender's address says.
-type Peers struct {
+// PeerTransport sends and receives datagrams between marshals. Who one is from, its sender's address says.
+type PeerTransport struct {
 	conn *net.UDPConn
 	to   []netip.AddrPort // by the marshals' numbers
 	all  netip.AddrPort
@@ -22,8 +22,8 @@
 }
 
 // peersOf opens the socket between marshals.
-func (c *Config) peersOf(log *slog.Logger, told func(from int, text string)) (*Peers, error) {
-	p := &Peers{from: map[netip.AddrPort]int{}, told: told, log: log}
+func (c *Config) peersOf(log *slog.Logger, told func(from int, text string)) (*PeerTransport, error) {
+	p := &PeerTransport{from: map[netip.AddrPort]int{}, told: told, log: log}
 	read := func(name, text string) (netip.AddrPort, error) {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -56,7 +56,7 @@
 const receiveAgain = time.Millisecond
 
 // Run receives until the socket is closed; what is from no peer is dropped.
-func (p *Peers) Run() {
+func (p *PeerTransport) Run() {
 	b := make([]byte, mostDatagram+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(b)
@@ -75,7 +75,7 @@
 }
 
 // Tell sends to one marshal, or to all; what is too long is not sent.
-func (p *Peers) Tell(to int, text string) {
+func (p *PeerTransport) Tell(to int, text string) {
 	address := p.all
 	if to != balance.Everyone {
 		if to < 0 || to >= len(p.to) {
@@ -91,4 +91,4 @@
 }
 
 // Close closes the socket.
-func (p *Peers) Close() error { return p.conn.Close() }
+func (p *PeerTransport) Close() error { return p.conn.Close() }
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -20,8 +20,8 @@
 // Marshal is one in service on the platform.
 type Marshal struct {
 	*serve.Marshal
-	roster   *Roster
-	conveyor *Conveyor
+	roster   *DiscoveryClient
+	conveyor *RolloutClient
 	stopMs   float64 // after the word to stop until what is open is terminated
 }
 
@@ -37,26 +37,26 @@
 	if hooks.Wall != nil {
 		c.wall = hooks.Wall
 	}
-	known, err := c.Known(log)
+	known, err := c.KnownNodes(log)
 	if err != nil {
 		log.Warn("the list that was held last is of no use", "err", err)
 	}
 	m := &Marshal{stopMs: c.killMs() - lastMs}
 	hooks.Ways = &serve.Ways{
 		Terms:     front.Terms{Read: c.asked, Health: "/healthz", MostBody: mostBody, FirstMs: firstMs, RetryAfter: c.retryAfter, Quiet: true},
-		Settings:  c.Module,
+		Settings:  c.ModuleSettings,
 		Known:     known,
 		FirstList: firstListMs * time.Millisecond,
 		Strict:    true,
 		Settle:    settleMs * time.Millisecond,
 		Reports:   reports,
-		Roster: func(listed func(bool, []control.Line), _ func()) serve.Roster {
-			m.roster = &Roster{endpoint: endpoint{address: c.Discovery}, Log: log, Listed: listed, read: c.reader(log)}
+		Roster: func(listed func(bool, []control.NodeEntry), _ func()) serve.Roster {
+			m.roster = &DiscoveryClient{endpoint: endpoint{address: c.DiscoveryAddress}, Log: log, OnNodesListed: listed, read: c.reader(log)}
 			return m.roster
 		},
-		Conveyor: func(told Staged, failed func(balance.Ending)) serve.Conveyor {
-			m.conveyor = &Conveyor{endpoint: endpoint{address: c.API}, Log: log, Staged: told, Failed: failed,
-				Patience: time.Duration(c.Set.Rollout.VoteTimeoutMs * float64(time.Millisecond))}
+		Conveyor: func(told StageUpdateFunc, failed func(balance.Ending)) serve.Conveyor {
+			m.conveyor = &RolloutClient{endpoint: endpoint{address: c.ReleaseAPIAddress}, Log: log, OnStageUpdate: told, OnVoteFailed: failed,
+				VoteTimeout: time.Duration(c.Settings.Rollout.VoteTimeoutMs * float64(time.Millisecond))}
 			if c.news.IsObject() {
 				if err := staged(c.news, false, m.conveyor.tell); err != nil {
 					log.Warn("the news in the configuration is of no use", "err", err)
@@ -65,26 +65,26 @@
 			return m.conveyor
 		},
 	}
-	hooks.Ways.NodeConnections = int(c.Set.Limits.IdlePerNode)
+	hooks.Ways.NodeConnections = int(c.Settings.Limits.IdlePerNode)
 	if c.listen != "" {
 		hooks.Ways.Peers = func(told func(int, string)) (serve.Peers, error) { return c.peersOf(log, told) }
 	}
-	m.Marshal, err = serve.Start(c.Set, log, hooks)
+	m.Marshal, err = serve.Start(c.Settings, log, hooks)
 	return m, err
 }
 
 // retryAfter says when to come back, in seconds with decimals, within what the settings allow.
 func (c *Config) retryAfter(ms float64) (field, value string) {
-	if most, ok := c.Module["limits.max-retry-after-ms"].(float64); ok {
+	if most, ok := c.ModuleSettings["limits.max-retry-after-ms"].(float64); ok {
 		ms = min(ms, most)
 	}
 	return "Retry-After", strconv.FormatFloat(ms/1000, 'f', 3, 64)
 }
 
-// Move takes the addresses of another configuration; all else needs a restart.
-func (m *Marshal) Move(c *Config) {
-	m.roster.Move(c.Discovery)
-	m.conveyor.Move(c.API)
+// UpdateAddresses takes the addresses of another configuration; all else needs a restart.
+func (m *Marshal) UpdateAddresses(c *Config) {
+	m.roster.SetAddress(c.DiscoveryAddress)
+	m.conveyor.SetAddress(c.ReleaseAPIAddress)
 }
 
 // Drain is a planned end: for as long as new connections go on coming all is served, and after that what was taken, unless it is to
@@ -111,9 +111,9 @@
 // sayWithin is how long a view waits for a loop: who asks for it also waits for signals.
 const sayWithin = 100 * time.Millisecond
 
-// Say logs what the marshal sees: what it took and answered, and of each node what was sent, how it ended and what is
+// LogState logs what the marshal sees: what it took and answered, and of each node what was sent, how it ended and what is
 // out there, to be held against the traffic on the sockets.
-func (m *Marshal) Say() {
+func (m *Marshal) LogState() {
 	ctx, done := context.WithTimeout(context.Background(), sayWithin)
 	defer done()
 	r, err := m.LookAt(ctx, 0)
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -55,13 +55,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := c.Set
+	s := c.Settings
 	if s.Instance.Zone != "there" || s.Operation[1].LimitMs != 800 || s.Times.DialMs != 250 || s.Rules.GraceMs != 500 ||
-		s.Seed != 0x8c1f30d27a5be964 || s.Times.StopMs != 1700 || c.Module["rollout.api-timeout-ms"] != 300.0 ||
-		c.Module["operations"].([]balance.Settings)[1]["repeat"] != "fingerprinted" {
-		t.Errorf("read otherwise than told: %v, module %v", s, c.Module)
+		s.Seed != 0x8c1f30d27a5be964 || s.Times.StopMs != 1700 || c.ModuleSettings["rollout.api-timeout-ms"] != 300.0 ||
+		c.ModuleSettings["operations"].([]balance.Settings)[1]["repeat"] != "fingerprinted" {
+		t.Errorf("read otherwise than told: %v, module %v", s, c.ModuleSettings)
 	}
-	c.Module["limits.max-retry-after-ms"] = 500.0
+	c.ModuleSettings["limits.max-retry-after-ms"] = 500.0
 	for ms, want := range map[float64]string{200: "0.200", 900: "0.500"} {
 		if _, got := c.retryAfter(ms); got != want {
 			t.Errorf("to come back after %v ms: %s, want %s", ms, got, want)
@@ -124,12 +124,12 @@
 	says := map[string]string{"GW_NAME": "n7", "GW_LISTEN": "127.0.0.1:1", "GW_DISCOVERY": "127.0.0.1:9"}
 	environment := func(variable string) string { return says[variable] }
 	c, err := parse(good, environment)
-	if err != nil || c.Discovery != "127.0.0.1:2" || len(c.Differs) != 2 {
+	if err != nil || c.DiscoveryAddress != "127.0.0.1:2" || len(c.EnvironmentConflicts) != 2 {
 		t.Errorf("%v, %v", err, c)
 	}
 	less := strings.NewReplacer(`"listen":"127.0.0.1:1",`, "", `"discovery":"127.0.0.1:2",`, "").Replace(good)
 	c, err = parse(less, environment)
-	if err != nil || c.Discovery != "127.0.0.1:9" || c.Set.Listen.Invocations != "127.0.0.1:1" || len(c.Differs) != 1 {
+	if err != nil || c.DiscoveryAddress != "127.0.0.1:9" || c.Settings.Listen.Invocations != "127.0.0.1:1" || len(c.EnvironmentConflicts) != 1 {
 		t.Errorf("%v, %v", err, c)
 	}
 	says["GW_LISTEN"] = "nowhere"
@@ -168,15 +168,15 @@
 			t.Errorf("%s: %v", name, err)
 			continue
 		}
-		times := c.Set.Times
-		if times.DialMs <= 0 || c.Set.Rollout.VoteTimeoutMs <= 0 || len(c.Set.Zone) == 0 || c.Set.Limits.Connections == 0 {
-			t.Errorf("%s: %v", name, c.Set)
+		times := c.Settings.Times
+		if times.DialMs <= 0 || c.Settings.Rollout.VoteTimeoutMs <= 0 || len(c.Settings.Zone) == 0 || c.Settings.Limits.Connections == 0 {
+			t.Errorf("%s: %v", name, c.Settings)
 		}
-		balance.New(&silentHost{}, c.Module, c.Set.Seed).Listed(true, []balance.Node{{ID: 1, Ver: 1}})
+		balance.New(&silentHost{}, c.ModuleSettings, c.Settings.Seed).Listed(true, []balance.Node{{ID: 1, Ver: 1}})
 	}
 	c := config(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 	for _, class := range []string{"look", "look-up", "a/b", "50%", "ü b", "%2f"} {
-		c.Set.Operation[0].Name = class
+		c.Settings.Operation[0].Name = class
 		for path, want := range map[string]bool{"/" + class: true, "/" + class + "/1?x=/y": true, "/" + class + "z": false,
 			"/" + url.PathEscape(class) + "/x": true, "/x/" + class: false, "": false} {
 			if _, err := c.asked(&h1.Head{Method: "GET", Target: path, Header: textproto.MIMEHeader{"X-Trace-Id": {"1"},
@@ -206,7 +206,7 @@
 // What a vote's answer says of a build that the stream has told more of since is dropped, and a reply tells what stands.
 func TestOvertaken(t *testing.T) {
 	var got string
-	c := &Conveyor{Patience: time.Second, Staged: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+	c := &RolloutClient{VoteTimeout: time.Second, OnStageUpdate: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 		got = fmt.Sprintf("%d/%d/%d/%v/%v", ver, stage, phase, cap, reply)
 	}}
 	for i, x := range []struct {
@@ -408,8 +408,8 @@
 	}
 	s.vote = func(n int, w http.ResponseWriter) { cases[n-1].reply(w) }
 	told := 0
-	c := &Conveyor{endpoint: endpoint{address: at(s.api)}, Patience: 300 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
-		Staged: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+	c := &RolloutClient{endpoint: endpoint{address: at(s.api)}, VoteTimeout: 300 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+		OnStageUpdate: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 			if told++; ver != 7 || stage != 1 || phase != balance.OnTrial || cap != 0.28 || age != 310 || !reply {
 				t.Error("told", ver, stage, phase, cap, age, reply)
 			}
@@ -422,7 +422,7 @@
 	if told != 1 {
 		t.Errorf("told %d times", told)
 	}
-	c.Move("127.0.0.1:1")
+	c.SetAddress("127.0.0.1:1")
 	if got := c.vote(7, 1, balance.On); got != balance.NoConnect {
 		t.Errorf("where nobody listens: %v", got)
 	}
@@ -434,11 +434,11 @@
 	s := surround(t, say(fine))
 	m, c := run(t, s)
 	next := *c
-	next.Discovery = at(s.moved)
+	next.DiscoveryAddress = at(s.moved)
 	s.mu.Lock()
 	before := s.followed
 	s.mu.Unlock()
-	m.Move(&next)
+	m.UpdateAddresses(&next)
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		s.mu.Lock()
 		moved := s.followed > before
--- a/internal/platform/roster.go
+++ b/internal/platform/roster.go
@@ -66,7 +66,7 @@
 }
 
 // listed takes what a whole list leaves out for gone, and forgets what has been gone for long.
-func (n *names) listed(whole bool, lines []control.Line, now time.Time) {
+func (n *names) listed(whole bool, lines []control.NodeEntry, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	there := map[uint32]bool{}
@@ -116,7 +116,7 @@
 var healths = map[string]balance.Health{"in_service": balance.Serving, "terminating": balance.Draining, "terminated": balance.Gone}
 
 // lines reads a list. An entry that can't be read costs that entry, not the others.
-func (r *reader) lines(list gjson.Result) (lines []control.Line, err error) {
+func (r *reader) lines(list gjson.Result) (lines []control.NodeEntry, err error) {
 	hosts := list.Get("hosts")
 	if !hosts.IsArray() || list.Get("seq").Type != gjson.Number {
 		return nil, errors.New("no list of hosts with a seq")
@@ -134,7 +134,7 @@
 	return lines, nil
 }
 
-func (r *reader) line(h gjson.Result) (l control.Line, err error) {
+func (r *reader) line(h gjson.Result) (l control.NodeEntry, err error) {
 	name := h.Get("host").Str
 	health, ok := healths[h.Get("health").Str]
 	if name == "" || !ok {
@@ -147,7 +147,7 @@
 	if _, _, err := net.SplitHostPort(address); err != nil && health != balance.Gone {
 		return l, fmt.Errorf("host %.40q: %.60q is no host:port", name, address)
 	}
-	l = control.Line{Node: balance.Node{ID: r.names.host(name, health == balance.Gone, r.now()), Health: health,
+	l = control.NodeEntry{Node: balance.Node{ID: r.names.host(name, health == balance.Gone, r.now()), Health: health,
 		Ver: int(h.Get("build").Int()), Cell: int(h.Get("block").Int()), Size: 1, Zone: r.names.zone(h.Get("site").Str),
 		Model: max(0, slices.Index(r.names.models, h.Get("class").Str))}, Address: address}
 	if v := h.Get("share"); v.Type == gjson.Number && v.Num >= 0 {
@@ -157,7 +157,7 @@
 		l.Cell = -int(l.ID)
 	}
 	if born := h.Get("born_ms").Int(); born > 0 {
-		l.Incarnation, l.Up = uint64(born), r.age(born)
+		l.Incarnation, l.UptimeMs = uint64(born), r.age(born)
 	}
 	return l, nil
 }
@@ -173,11 +173,11 @@
 	return max(leastAge, float64(min(stepped, steady)))
 }
 
-// Roster follows discovery's list of nodes.
-type Roster struct {
+// DiscoveryClient follows discovery's list of nodes.
+type DiscoveryClient struct {
 	endpoint
-	Log    *slog.Logger
-	Listed func(whole bool, lines []control.Line)
+	Log           *slog.Logger
+	OnNodesListed func(whole bool, lines []control.NodeEntry)
 
 	read *reader
 	had  bool
@@ -185,7 +185,7 @@
 }
 
 // Run follows the list until the context ends.
-func (r *Roster) Run(ctx context.Context) {
+func (r *DiscoveryClient) Run(ctx context.Context) {
 	r.keep(ctx, "discovery", r.Log, func(s *session, nc net.Conn) error {
 		target := "/v1/servers?follow=1"
 		s.alone(func() {
@@ -205,7 +205,7 @@
 
 // take takes a list, or what has changed of it. Numbers of changes may leave some out, so that no gap can be seen; one that
 // is lower than what was had is another count, of which the whole list is asked for.
-func (r *Roster) take(j gjson.Result) error {
+func (r *DiscoveryClient) take(j gjson.Result) error {
 	if !j.Get("hosts").Exists() && !j.Get("seq").Exists() { // a sign of life
 		return nil
 	}
@@ -221,10 +221,10 @@
 	}
 	r.had, r.seq = true, seq
 	r.Log.Debug("list taken", "seq", seq, "whole", whole, "hosts", len(lines))
-	r.Listed(whole, lines)
+	r.OnNodesListed(whole, lines)
 	return nil
 }
 
 // Fetch and Watch have nothing to do: the list is followed all the time.
-func (r *Roster) Fetch()     {}
-func (r *Roster) Watch(bool) {}
+func (r *DiscoveryClient) Fetch()     {}
+func (r *DiscoveryClient) Watch(bool) {}
--- a/internal/platform/roster_test.go
+++ b/internal/platform/roster_test.go
@@ -70,11 +70,11 @@
 }
 
 // followed starts a Roster at an address and gives what it lists, a line each time.
-func followed(t *testing.T, address string) (*Roster, chan string) {
+func followed(t *testing.T, address string) (*DiscoveryClient, chan string) {
 	listed := make(chan string, 20)
 	log := slog.New(slog.DiscardHandler)
-	r := &Roster{endpoint: endpoint{address: address}, Log: log, read: &reader{&names{zones: []string{"a", "b"}}, time.Now, time.Now, log},
-		Listed: func(whole bool, lines []control.Line) {
+	r := &DiscoveryClient{endpoint: endpoint{address: address}, Log: log, read: &reader{&names{zones: []string{"a", "b"}}, time.Now, time.Now, log},
+		OnNodesListed: func(whole bool, lines []control.NodeEntry) {
 			text := fmt.Sprint(whole)
 			for _, l := range lines {
 				text += fmt.Sprintf(" %d:%s/%d/%d/%d", l.ID, l.Address, l.Ver, l.Health, l.Zone)
@@ -147,14 +147,14 @@
 	a := one.next(t)
 	a.say(told(1, true, host("x", "a", "in_service", 3)))
 	expect(t, listed, "true 1:10.0.0.1:70/3/0/0")
-	r.Move(two.address)
+	r.SetAddress(two.address)
 	b := two.next(t)
 	if b.target != "/v1/servers?follow=1&since=1" {
 		t.Error(b.target)
 	}
 	a.say(told(2, false, host("x", "a", "terminating", 3)))
 	expect(t, listed, "false 1:10.0.0.1:70/3/1/0")
-	r.Move(three.address)
+	r.SetAddress(three.address)
 	c := three.next(t)
 	a.say(told(3, false, host("y", "a", "in_service", 3)))
 	expect(t, listed, "false 2:10.0.0.1:70/3/0/0")
@@ -273,11 +273,11 @@
 		}
 		r := &reader{&names{}, func() time.Time { return now }, func() time.Time { return wall }, slog.New(slog.DiscardHandler)}
 		l, err := r.line(gjson.Parse(fmt.Sprintf(`{"host":"a","dial":"127.0.0.1:1","health":"in_service","build":7,"born_ms":%d}`, born.UnixMilli())))
-		if err != nil || l.Up < leastAge || l.Up > float64(age.Milliseconds()) {
-			t.Errorf("%s: %v ms, %v", name, l.Up, err)
+		if err != nil || l.UptimeMs < leastAge || l.UptimeMs > float64(age.Milliseconds()) {
+			t.Errorf("%s: %v ms, %v", name, l.UptimeMs, err)
 		}
-		if c.step == 0 && l.Up != float64(age.Milliseconds()) {
-			t.Errorf("without a step: %v ms", l.Up)
+		if c.step == 0 && l.UptimeMs != float64(age.Milliseconds()) {
+			t.Errorf("without a step: %v ms", l.UptimeMs)
 		}
 	}
 }
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -62,9 +62,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	var lines []control.Line
+	var lines []control.NodeEntry
 	for i := range nodes {
-		lines = append(lines, control.Line{Node: balance.Node{ID: uint32(i + 1), Ver: 1, Size: 1}, Address: address})
+		lines = append(lines, control.NodeEntry{Node: balance.Node{ID: uint32(i + 1), Ver: 1, Size: 1}, Address: address})
 	}
 	m.groups[0].listed(true, lines)
 	m.groups[0].staged(1, 0, balance.Released, 1, 60000, false)
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -202,7 +202,7 @@
 		}}
 	}}})
 	for id := range uint32(4) {
-		r.roster.Set(control.Line{Node: balance.Node{ID: id + 1, Ver: 1 + int(id)/2, Size: 1}, Address: r.lns[id].Addr().String()}, 0)
+		r.roster.Set(control.NodeEntry{Node: balance.Node{ID: id + 1, Ver: 1 + int(id)/2, Size: 1}, Address: r.lns[id].Addr().String()}, 0)
 	}
 	for _, g := range r.m.groups {
 		g.staged(2, 0, balance.OnTrial, 0.5, 0, false)
@@ -266,7 +266,7 @@
 		s.Rollout.Allowance, s.Rollout.CountedOverMs = 2, float64(window.Milliseconds())
 		s.Rollout.Stage = []*settings.Stage{{Part: 0.25, Cap: 0.1}, {Part: 1, Cap: 1}}
 	}), rigHooks{})
-	r.roster.Set(control.Line{Node: balance.Node{ID: 4, Ver: 2, Size: 1}, Address: r.lns[3].Addr().String()}, 0)
+	r.roster.Set(control.NodeEntry{Node: balance.Node{ID: 4, Ver: 2, Size: 1}, Address: r.lns[3].Addr().String()}, 0)
 	r.until("it is known", func() bool { l, _ := r.m.Look(); return l.Nodes[4].Ver == 2 })
 	g := r.m.groups[0]
 	g.staged(2, 0, balance.OnTrial, 0.1, 0, false)
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -83,18 +83,18 @@
 		return
 	}
 	if r := g.set.Roster; r.Address != "" {
-		g.roster = &control.Roster{Address: r.Address, Ask: r.Ask, Number: int(g.set.Instance.Number),
-			Wait: dur(r.ReconnectMs), WaitMost: dur(r.ReconnectMostMs), Log: g.m.Log, Listed: g.listed, Failed: listFailed}
+		g.roster = &control.RegistryClient{Address: r.Address, WatchOnDemand: r.Ask, Number: int(g.set.Instance.Number),
+			InitialBackoff: dur(r.ReconnectMs), MaxBackoff: dur(r.ReconnectMostMs), Log: g.m.Log, OnNodesListed: g.listed, OnNodeListFailed: listFailed}
 	}
 	if c := g.set.Conveyor; c.Address != "" {
-		g.conveyor = &control.Conveyor{Address: c.Address, Number: int(g.set.Instance.Number), Wait: dur(c.ReconnectMs),
-			WaitMost: dur(c.ReconnectMostMs), Patience: dur(g.set.Rollout.VoteTimeoutMs), Log: g.m.Log,
-			Staged: g.staged,
-			Failed: voteFailed,
-			Tallied: func(ver, op, samples, errors int, mean, age float64) {
+		g.conveyor = &control.RolloutClient{Address: c.Address, Number: int(g.set.Instance.Number), InitialBackoff: dur(c.ReconnectMs),
+			MaxBackoff: dur(c.ReconnectMostMs), VoteTimeout: dur(g.set.Rollout.VoteTimeoutMs), Log: g.m.Log,
+			OnStageUpdate: g.staged,
+			OnVoteFailed: voteFailed,
+			OnBuildStats: func(ver, op, samples, errors int, mean, age float64) {
 				g.each(func(l *lane) { l.events().Tallied(ver, op, samples, errors, mean, age) })
 			},
-			Flagged: func(node uint32, op int, age float64) {
+			OnWrongAnswer: func(node uint32, op int, age float64) {
 				g.each(func(l *lane) { l.events().Flagged(node, op, age) })
 			}}
 	}
@@ -248,7 +248,7 @@
 const heldUp = 150 * time.Millisecond
 
 // read makes nodes of lines, and opens and shuts what is kept for their addresses.
-func (g *group) read(lines []control.Line) ([]balance.Node, []string) {
+func (g *group) read(lines []control.NodeEntry) ([]balance.Node, []string) {
 	for _, line := range lines {
 		if line.Health == balance.Serving && line.Ver != g.none {
 			g.m.pool.Reopen(line.Address)
@@ -265,7 +265,7 @@
 }
 
 // listed brings the list to all lanes.
-func (g *group) listed(whole bool, lines []control.Line) {
+func (g *group) listed(whole bool, lines []control.NodeEntry) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	nodes, addresses := g.read(lines)
--- a/internal/serve/hooks.go
+++ b/internal/serve/hooks.go
@@ -38,9 +38,9 @@
 	Reports         map[string]string // its names
 	NodeConnections int               // its bound on all
 	Settle          time.Duration     // its rest between two requests on a connection
-	Known           []control.Line
+	Known           []control.NodeEntry
 	FirstList       time.Duration // how long the marshal waits for the roster's first list before it takes invocations
-	Roster          func(listed func(whole bool, lines []control.Line), failed func()) Roster
+	Roster          func(listed func(whole bool, lines []control.NodeEntry), failed func()) Roster
 	Conveyor        func(staged func(ver, stage int, phase balance.Phase, cap, age float64, reply bool),
 		failed func(balance.Ending)) Conveyor
 	Peers func(told func(from int, text string)) (Peers, error)
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -296,7 +296,7 @@
 		s.Operation[0].LimitMs = 10000
 		s.Rollout.CountedOverMs = 5000
 	}, rigHooks{})
-	r.roster.Set(control.Line{Node: balance.Node{ID: 9, Ver: 2, Size: 1}, Address: hangs}, 0)
+	r.roster.Set(control.NodeEntry{Node: balance.Node{ID: 9, Ver: 2, Size: 1}, Address: hangs}, 0)
 	r.until("it is known", func() bool { l, _ := r.m.Look(); return len(l.Nodes) == 1 })
 	g := r.m.groups[0]
 	g.staged(2, 0, balance.OnTrial, 1, 0, false)
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -23,7 +23,7 @@
 	file  string
 	clock loop.Clock
 	begun map[process]float64
-	lines map[uint32]control.Line
+	lines map[uint32]control.NodeEntry
 	told  map[uint32]float64 // clock time at which a line's age was told
 	// serves is, by address, the node that serves there.
 	serves map[string]uint32
@@ -37,21 +37,21 @@
 }
 
 func newList(file string, clock loop.Clock) *list {
-	return &list{file: file, clock: clock, begun: map[process]float64{}, lines: map[uint32]control.Line{},
+	return &list{file: file, clock: clock, begun: map[process]float64{}, lines: map[uint32]control.NodeEntry{},
 		told: map[uint32]float64{}, serves: map[string]uint32{}, write: writeSynced}
 }
 
 // started is when a node's process started, by the marshal's clock: as it was first told for this process, so
 // that what is told again does not look like a restart.
-func (l *list) started(line control.Line) float64 {
-	if line.Up <= 0 {
+func (l *list) started(line control.NodeEntry) float64 {
+	if line.UptimeMs <= 0 {
 		return 0
 	}
 	p := process{line.ID, line.Incarnation}
 	if at, ok := l.begun[p]; ok {
 		return at
 	}
-	at := max(1, l.clock.Now()-line.Up)
+	at := max(1, l.clock.Now()-line.UptimeMs)
 	l.begun[p] = at
 	return at
 }
@@ -59,7 +59,7 @@
 const head = "arrowcleat list 1"
 
 // take brings the list up to date. It does no more than that: in a roll of a large fleet the next word waits for it.
-func (l *list) take(whole bool, lines []control.Line) {
+func (l *list) take(whole bool, lines []control.NodeEntry) {
 	now := l.clock.Now()
 	if whole {
 		clear(l.lines)
@@ -81,22 +81,22 @@
 }
 
 // copy gives the lines as they are to be written, and lets go of what is over.
-func (l *list) copy() []control.Line {
+func (l *list) copy() []control.NodeEntry {
 	now := l.clock.Now()
 	for p := range l.begun { // processes that are no more
 		if line, ok := l.lines[p.node]; !ok || line.Incarnation != p.incarnation {
 			delete(l.begun, p)
 		}
 	}
-	lines := make([]control.Line, 0, len(l.lines))
+	lines := make([]control.NodeEntry, 0, len(l.lines))
 	for id, at := range l.told {
 		line, ok := l.lines[id]
 		if !ok {
 			delete(l.told, id)
 			continue
 		}
-		if line.Up > 0 {
-			line.Up += now - at
+		if line.UptimeMs > 0 {
+			line.UptimeMs += now - at
 		}
 		lines = append(lines, line)
 	}
@@ -104,23 +104,23 @@
 }
 
 // written is lines as they are on disk.
-func written(lines []control.Line) []byte {
+func written(lines []control.NodeEntry) []byte {
 	slices.SortFunc(lines, byID)
 	b := fmt.Appendf(nil, "%s %d %d\n", head, time.Now().UnixMilli(), len(lines))
 	for _, line := range lines {
-		b = append(control.AppendLine(b, line), '\n')
+		b = append(control.AppendNode(b, line), '\n')
 	}
 	return b
 }
 
 // other says that another node that serves has a line's address: it came to where that one had been.
-func (l *list) other(line control.Line) bool {
+func (l *list) other(line control.NodeEntry) bool {
 	id, ok := l.serves[line.Address]
 	return ok && id != line.ID
 }
 
 // nodes makes nodes of lines.
-func (l *list) nodes(lines []control.Line) ([]balance.Node, []string) {
+func (l *list) nodes(lines []control.NodeEntry) ([]balance.Node, []string) {
 	nodes, addresses := make([]balance.Node, len(lines)), make([]string, len(lines))
 	for i, line := range lines {
 		line.Started = l.started(line)
@@ -129,7 +129,7 @@
 	return nodes, addresses
 }
 
-func byID(a, b control.Line) int { return cmp.Compare(a.ID, b.ID) }
+func byID(a, b control.NodeEntry) int { return cmp.Compare(a.ID, b.ID) }
 
 // save keeps a list on disk in place of the one before, which stays whole until the new one is.
 func (l *list) save(b []byte) error {
@@ -170,7 +170,7 @@
 }
 
 // load reads the list of the marshal's life before; one that is torn or not a list is of no use.
-func (l *list) load() ([]control.Line, error) {
+func (l *list) load() ([]control.NodeEntry, error) {
 	if l.file == "" {
 		return nil, nil
 	}
@@ -192,9 +192,9 @@
 	}
 	// How long ago it was saved isn't known: the machine's wall clock may have been stepped in between, and a node that is taken for older
 	// than it is would be sent too much while it is cold. It counts as old as it was, until the roster tells.
-	var lines []control.Line
+	var lines []control.NodeEntry
 	for s.Scan() {
-		line, err := control.ParseLine(s.Text())
+		line, err := control.ParseNode(s.Text())
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", len(lines)+2, err)
 		}
--- a/internal/serve/list_test.go
+++ b/internal/serve/list_test.go
@@ -62,13 +62,13 @@
 	const up = 400.0
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		l := newList(tempFile(t, "list"), loop.Monotonic())
-		line := control.Line{Node: balance.Node{ID: 1, Ver: 1, Size: 1}, Address: "127.0.0.1:1", Incarnation: 1, Up: up}
-		text := fmt.Sprintf("%s %d 1\n%s\n", head, time.Now().Add(-step).UnixMilli(), control.AppendLine(nil, line))
+		line := control.NodeEntry{Node: balance.Node{ID: 1, Ver: 1, Size: 1}, Address: "127.0.0.1:1", Incarnation: 1, UptimeMs: up}
+		text := fmt.Sprintf("%s %d 1\n%s\n", head, time.Now().Add(-step).UnixMilli(), control.AppendNode(nil, line))
 		if err := l.save([]byte(text)); err != nil {
 			t.Fatal(err)
 		}
 		lines, err := l.load()
-		if err != nil || len(lines) != 1 || lines[0].Up != up {
+		if err != nil || len(lines) != 1 || lines[0].UptimeMs != up {
 			t.Errorf("a step of %v: %v, %v", step, lines, errors.Join(err))
 		}
 	}
--- a/internal/serve/open.go
+++ b/internal/serve/open.go
@@ -60,11 +60,11 @@
 		if err := whileScarce(func() error { conn, err = net.ListenUDP("udp", address); return err }); err != nil {
 			return fmt.Errorf("listen.peers: %w", err)
 		}
-		peers := &control.Peers{Number: int(m.Set.Instance.Number), Conn: conn, To: map[int]*net.UDPAddr{}, Told: m.told,
-			Bad: func(err error) { m.Log.Warn("between marshals", "err", err) }}
+		peers := &control.PeerTransport{Number: int(m.Set.Instance.Number), Conn: conn, Addresses: map[int]*net.UDPAddr{}, OnPeerMessage: m.told,
+			OnError: func(err error) { m.Log.Warn("between marshals", "err", err) }}
 		m.peers = peers
 		for _, p := range m.Set.Peer {
-			if peers.To[int(p.Number)], err = net.ResolveUDPAddr("udp", p.Address); err != nil {
+			if peers.Addresses[int(p.Number)], err = net.ResolveUDPAddr("udp", p.Address); err != nil {
 				return fmt.Errorf("peer %d: %w", p.Number, err)
 			}
 		}
--- a/internal/serve/rig_test.go
+++ b/internal/serve/rig_test.go
@@ -113,7 +113,7 @@
 }
 
 func (r *rig) list(id uint32, address string, health balance.Health) {
-	r.roster.Set(control.Line{Node: balance.Node{ID: id, Ver: 1, Size: 1, Health: health}, Address: address}, 0)
+	r.roster.Set(control.NodeEntry{Node: balance.Node{ID: id, Ver: 1, Size: 1, Health: health}, Address: address}, 0)
 }
 
 func (r *rig) close() {
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -31,7 +31,7 @@
 }
 
 type entry struct {
-	control.Line
+	control.NodeEntry
 	begun   time.Time
 	version uint64
 }
@@ -45,7 +45,7 @@
 }
 
 type link struct {
-	*control.Link
+	*control.LineConn
 	nc      net.Conn
 	marshal int
 	watch   bool
@@ -65,7 +65,7 @@
 				return
 			}
 			ctx, cancel := context.WithCancel(context.Background())
-			l := &link{Link: control.NewLink(nc), nc: nc, marshal: -1, say: make(chan func(), 4096), ctx: ctx}
+			l := &link{LineConn: control.NewLineConn(nc), nc: nc, marshal: -1, say: make(chan func(), 4096), ctx: ctx}
 			h.mu.Lock()
 			if h.closed {
 				h.mu.Unlock()
@@ -91,7 +91,7 @@
 				defer h.wg.Done()
 				defer cancel()
 				for {
-					line, err := l.Line()
+					line, err := l.NextLine()
 					if err == nil {
 						err = hear(l, line)
 					}
@@ -172,7 +172,7 @@
 }
 
 // Set puts a line on the roster, or what is new of it, and tells those who watch. Gone takes it off.
-func (r *Roster) Set(line control.Line, up time.Duration) {
+func (r *Roster) Set(line control.NodeEntry, up time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -219,10 +219,10 @@
 			}
 			b := fmt.Appendf(nil, "LIST %s %d %d %d %d\r\n", kind, epoch, from, version, len(lines))
 			for _, e := range lines {
-				if e.Up != 0 {
-					e.Up = max(1, float64(time.Since(e.begun))/float64(time.Millisecond))
+				if e.UptimeMs != 0 {
+					e.UptimeMs = max(1, float64(time.Since(e.begun))/float64(time.Millisecond))
 				}
-				b = append(control.AppendLine(b, e.Line), "\r\n"...)
+				b = append(control.AppendNode(b, e.NodeEntry), "\r\n"...)
 			}
 			for _, e := range append(lines, unlisted...) {
 				if r.Seen != nil {
