--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -79,7 +79,7 @@
 	step := func(whole bool, epoch, from, version uint64, want string) {
 		t.Helper()
 		got = nil
-		r.take(whole, epoch, from, version, make([]NodeEntry, version))
+		r.applyList(whole, epoch, from, version, make([]NodeEntry, version))
 		if s := strings.Join(got, " "); s != want {
 			t.Errorf("list %d to %d of epoch %d: took %q, not %q", from, version, epoch, s, want)
 		}
@@ -159,7 +159,7 @@
 			l.PrintfLine("NONSENSE")
 			l.NextLine()
 		case 2:
-			io.WriteString(l.b.Conn, strings.Repeat("x", 1<<20))
+			io.WriteString(l.bounded.Conn, strings.Repeat("x", 1<<20))
 			l.NextLine()
 		default:
 			l.NextLine()
--- a/internal/control/lines.go
+++ b/internal/control/lines.go
@@ -15,29 +15,29 @@
 // MaxLineBytes is the most bytes a line may have.
 const MaxLineBytes = 1024
 
-// words reads the words of a line in order; the first that is missing or wrong is kept as the error.
-type words struct {
-	rest []string
-	err  error
+// lineParser reads the lineParser of a line in order; the first that is missing or wrong is kept as the error.
+type lineParser struct {
+	remaining []string
+	err       error
 }
 
-func fields(line string) *words { return &words{rest: strings.Fields(line)} }
+func newLineParser(line string) *lineParser { return &lineParser{remaining: strings.Fields(line)} }
 
-func (w *words) next(what string) string {
+func (w *lineParser) word(what string) string {
 	if w.err != nil {
 		return ""
 	}
-	if len(w.rest) == 0 {
+	if len(w.remaining) == 0 {
 		w.err = errors.New(what + " is missing")
 		return ""
 	}
-	word := w.rest[0]
-	w.rest = w.rest[1:]
+	word := w.remaining[0]
+	w.remaining = w.remaining[1:]
 	return word
 }
 
-func (w *words) whole(what string, least, most int64) int64 {
-	word := w.next(what)
+func (w *lineParser) integer(what string, least, most int64) int64 {
+	word := w.word(what)
 	if w.err != nil {
 		return 0
 	}
@@ -48,8 +48,8 @@
 	return v
 }
 
-func (w *words) number(what string, least, most float64) float64 {
-	word := w.next(what)
+func (w *lineParser) float(what string, least, most float64) float64 {
+	word := w.word(what)
 	if w.err != nil {
 		return 0
 	}
@@ -60,8 +60,8 @@
 	return v
 }
 
-func (w *words) one(what string, known ...string) int {
-	word := w.next(what)
+func (w *lineParser) oneOf(what string, known ...string) int {
+	word := w.word(what)
 	if w.err != nil {
 		return 0
 	}
@@ -74,50 +74,50 @@
 	return 0
 }
 
-func (w *words) end() error {
-	if w.err == nil && len(w.rest) > 0 {
-		w.err = fmt.Errorf("%.40q is one word too many", w.rest[0])
+func (w *lineParser) finish() error {
+	if w.err == nil && len(w.remaining) > 0 {
+		w.err = fmt.Errorf("%.40q is one word too many", w.remaining[0])
 	}
 	return w.err
 }
 
 const (
-	mostMS      = 1e12
-	mostVersion = math.MaxInt64
+	maxMS      = 1e12
+	maxVersion = math.MaxInt64
 )
 
-var healths = []string{"serving", "draining", "gone"}
-var phases = []string{"trial", "back", "released", "withdrawn"}
-var verdicts = []string{"none", "on", "hold", "back"}
+var healthNames = []string{"serving", "draining", "gone"}
+var phaseNames = []string{"trial", "back", "released", "withdrawn"}
+var verdictNames = []string{"none", "on", "hold", "back"}
 
 // LineConn is one connection of a line protocol; a line longer than Longest ends it before it fills memory.
 type LineConn struct {
 	*textproto.Conn
-	b *bounded
+	bounded *boundedConn
 }
 
 // NewLineConn speaks lines on a connection.
 func NewLineConn(nc net.Conn) *LineConn {
-	b := &bounded{Conn: nc}
+	b := &boundedConn{Conn: nc}
 	return &LineConn{textproto.NewConn(b), b}
 }
 
-type bounded struct {
+type boundedConn struct {
 	net.Conn
-	left int
+	remaining int
 }
 
-func (b *bounded) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (b *boundedConn) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
 		return 0, fmt.Errorf("a line of more than %d bytes", MaxLineBytes)
 	}
-	n, err := b.Conn.Read(p[:min(len(p), b.left)])
-	b.left -= n
+	n, err := b.Conn.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
 	return n, err
 }
 
 // NextLine reads one line.
 func (l *LineConn) NextLine() (string, error) {
-	l.b.left = MaxLineBytes + 2
+	l.bounded.remaining = MaxLineBytes + 2
 	return l.ReadLine()
 }
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -12,17 +12,17 @@
 // MaxMessageBytes is the most bytes of text in one message between marshals.
 const MaxMessageBytes = 1024
 
-var magic = []byte("ARROWCLEAT/1 ")
+var messagePrefix = []byte("ARROWCLEAT/1 ")
 
 // AppendPeerMessage writes a message between marshals: who it is from, and its text.
 func AppendPeerMessage(b []byte, from int, text string) []byte {
-	b = strconv.AppendInt(append(b, magic...), int64(from), 10)
+	b = strconv.AppendInt(append(b, messagePrefix...), int64(from), 10)
 	return append(append(b, ' '), text...)
 }
 
 // ParsePeerMessage reads a message between marshals.
 func ParsePeerMessage(b []byte) (from int, text string, err error) {
-	rest, ok := bytes.CutPrefix(b, magic)
+	rest, ok := bytes.CutPrefix(b, messagePrefix)
 	if !ok {
 		return 0, "", errors.New("no message between marshals of this version")
 	}
@@ -43,19 +43,19 @@
 	OnError       func(err error)
 }
 
-// receiveAgain is the wait after a receive that failed: one that goes on failing must not take the processor.
-const receiveAgain = time.Millisecond
+// receiveRetryDelay is the wait after a receive that failed: one that goes on failing must not take the processor.
+const receiveRetryDelay = time.Millisecond
 
 // Run receives until the socket is closed. Who a message is from must be a known peer.
 func (p *PeerTransport) Run() {
-	b := make([]byte, len(magic)+32+MaxMessageBytes+1)
+	b := make([]byte, len(messagePrefix)+32+MaxMessageBytes+1)
 	for {
 		n, _, err := p.Conn.ReadFromUDP(b)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(receiveAgain)
+			time.Sleep(receiveRetryDelay)
 			continue // an earlier message found nobody
 		}
 		from, text, err := ParsePeerMessage(b[:n])
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -27,40 +27,40 @@
 // AppendNode writes a line of the roster.
 func AppendNode(b []byte, l NodeEntry) []byte {
 	return fmt.Appendf(b, "NODE %d %s %d %d %d %d %s %g %d %.0f", l.ID, l.Address, l.Ver, l.Zone, l.Model, l.Cell,
-		healths[l.Health], l.Size, l.Incarnation, l.UptimeMs)
+		healthNames[l.Health], l.Size, l.Incarnation, l.UptimeMs)
 }
 
 // ParseNode reads a line of the roster.
 func ParseNode(text string) (l NodeEntry, err error) {
-	w := fields(text)
-	w.one("message", "NODE")
-	l.ID = uint32(w.whole("node", 0, math.MaxUint32))
-	l.Address = w.next("address")
+	w := newLineParser(text)
+	w.oneOf("message", "NODE")
+	l.ID = uint32(w.integer("node", 0, math.MaxUint32))
+	l.Address = w.word("address")
 	if _, _, err := net.SplitHostPort(l.Address); w.err == nil && err != nil {
 		w.err = fmt.Errorf("address: %.60q is no host:port", l.Address)
 	}
-	l.Ver = int(w.whole("ver", 0, 1<<31))
-	l.Zone = int(w.whole("zone", 0, 1<<16))
-	l.Model = int(w.whole("model", 0, 1<<16))
-	l.Cell = int(w.whole("cell", 0, 1<<31))
-	l.Health = balance.Health(w.one("health", healths...))
-	l.Size = w.number("size", 0, 1e9)
-	l.Incarnation = uint64(w.whole("incarnation", 0, math.MaxInt64))
-	l.UptimeMs = w.number("up", 0, mostMS)
-	return l, w.end()
+	l.Ver = int(w.integer("ver", 0, 1<<31))
+	l.Zone = int(w.integer("zone", 0, 1<<16))
+	l.Model = int(w.integer("model", 0, 1<<16))
+	l.Cell = int(w.integer("cell", 0, 1<<31))
+	l.Health = balance.Health(w.oneOf("health", healthNames...))
+	l.Size = w.float("size", 0, 1e9)
+	l.Incarnation = uint64(w.integer("incarnation", 0, math.MaxInt64))
+	l.UptimeMs = w.float("up", 0, maxMS)
+	return l, w.finish()
 }
 
 // ParseListHeader reads the head of a list: its kind, the roster's epoch, the version it starts from and its own, and
 // how many lines follow.
 func ParseListHeader(text string) (whole bool, epoch, from, version uint64, lines int, err error) {
-	w := fields(text)
-	w.one("message", "LIST")
-	whole = w.one("kind", "whole", "changes") == 0
-	epoch = uint64(w.whole("epoch", 0, mostVersion))
-	from = uint64(w.whole("from", 0, mostVersion))
-	version = uint64(w.whole("version", 0, mostVersion))
-	lines = int(w.whole("lines", 0, 1<<20))
-	return whole, epoch, from, version, lines, w.end()
+	w := newLineParser(text)
+	w.oneOf("message", "LIST")
+	whole = w.oneOf("kind", "whole", "changes") == 0
+	epoch = uint64(w.integer("epoch", 0, maxVersion))
+	from = uint64(w.integer("from", 0, maxVersion))
+	version = uint64(w.integer("version", 0, maxVersion))
+	lines = int(w.integer("lines", 0, 1<<20))
+	return whole, epoch, from, version, lines, w.finish()
 }
 
 // RegistryClient is a marshal's connection to the roster. It keeps one connection, opens it again with growing, jittered
@@ -76,12 +76,12 @@
 	OnNodesListed    func(whole bool, lines []NodeEntry)
 	OnNodeListFailed func() // a watch or a fetch failed, or the watch was lost
 
-	mu      sync.Mutex
-	conn    *LineConn
-	watch   bool
-	fetch   bool
-	epoch   uint64 // of the list that is held
-	version uint64
+	mu             sync.Mutex
+	conn           *LineConn
+	watchRequested bool
+	fetchRequested bool
+	epoch          uint64 // of the list that is held
+	version        uint64
 }
 
 // NewBackoff gives growing, jittered waits between two bounds.
@@ -135,14 +135,14 @@
 	}
 	r.mu.Lock()
 	r.conn = t
-	watch, fetch := r.watch || !r.WatchOnDemand, r.fetch
+	watch, fetch := r.watchRequested || !r.WatchOnDemand, r.fetchRequested
 	r.mu.Unlock()
 	defer func() {
 		r.mu.Lock()
 		r.conn = nil
-		asked := r.watch || r.fetch
+		asked := r.watchRequested || r.fetchRequested
 		if r.WatchOnDemand {
-			r.watch, r.fetch = false, false
+			r.watchRequested, r.fetchRequested = false, false
 		}
 		r.mu.Unlock()
 		if asked && r.WatchOnDemand {
@@ -150,10 +150,10 @@
 		}
 	}()
 	if fetch {
-		r.say("FETCH")
+		r.send("FETCH")
 	}
 	if watch {
-		r.say(r.watchLine())
+		r.send(r.watchRequest())
 	}
 	for {
 		line, err := t.NextLine()
@@ -162,7 +162,7 @@
 		}
 		if line == "FAILED" { // what was asked for could not be had
 			r.mu.Lock()
-			r.watch, r.fetch = false, false
+			r.watchRequested, r.fetchRequested = false, false
 			r.mu.Unlock()
 			r.OnNodeListFailed()
 			continue
@@ -183,18 +183,18 @@
 			}
 			lines = append(lines, l)
 		}
-		r.take(whole, epoch, from, version, lines)
+		r.applyList(whole, epoch, from, version, lines)
 	}
 }
 
-func (r *RegistryClient) watchLine() string {
+func (r *RegistryClient) watchRequest() string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return fmt.Sprintf("WATCH %d %d", r.epoch, r.version)
 }
 
-// take hands on a list whose turn it is.
-func (r *RegistryClient) take(whole bool, epoch, from, version uint64, lines []NodeEntry) {
+// applyList hands on a list whose turn it is.
+func (r *RegistryClient) applyList(whole bool, epoch, from, version uint64, lines []NodeEntry) {
 	r.mu.Lock()
 	same := epoch == r.epoch
 	switch {
@@ -203,18 +203,18 @@
 		return
 	case !whole && (!same || from > r.version): // something in between is missing
 		r.mu.Unlock()
-		r.say("FETCH")
+		r.send("FETCH")
 		return
 	}
 	r.epoch, r.version = epoch, version
 	if whole {
-		r.fetch = false
+		r.fetchRequested = false
 	}
 	r.mu.Unlock()
 	r.OnNodesListed(whole, lines)
 }
 
-func (r *RegistryClient) say(line string) bool {
+func (r *RegistryClient) send(line string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.conn != nil && r.conn.PrintfLine("%s", line) == nil
@@ -223,32 +223,32 @@
 // Fetch asks for the whole list once.
 func (r *RegistryClient) Fetch() {
 	r.mu.Lock()
-	r.fetch = true
+	r.fetchRequested = true
 	r.mu.Unlock()
-	if !r.say("FETCH") {
-		r.later()
+	if !r.send("FETCH") {
+		r.failLater()
 	}
 }
 
 // Watch asks for changes from now on, or for no more.
 func (r *RegistryClient) Watch(on bool) {
 	r.mu.Lock()
-	r.watch = on
+	r.watchRequested = on
 	r.mu.Unlock()
 	if !on {
-		r.say("UNWATCH")
-	} else if !r.say(r.watchLine()) {
-		r.later()
+		r.send("UNWATCH")
+	} else if !r.send(r.watchRequest()) {
+		r.failLater()
 	}
 }
 
-// later says that the call failed, as the roster would, not at once.
-func (r *RegistryClient) later() {
+// failLater says that the call failed, as the roster would, not at once.
+func (r *RegistryClient) failLater() {
 	time.AfterFunc(time.Duration(10+rand.IntN(40))*time.Millisecond, func() {
 		r.mu.Lock()
-		failed := r.conn == nil && (r.watch || r.fetch) && r.WatchOnDemand
+		failed := r.conn == nil && (r.watchRequested || r.fetchRequested) && r.WatchOnDemand
 		if failed {
-			r.watch, r.fetch = false, false
+			r.watchRequested, r.fetchRequested = false, false
 		}
 		r.mu.Unlock()
 		if failed {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -22,17 +22,17 @@
 
 // The protocol's own figures.
 const (
-	mostBody     = 64 << 10 // bytes of a body
-	mostDatagram = 256      // bytes between marshals
-	firstMs      = 2500.0   // from connecting to a whole first request, of the 3 s in which a client is owed something
-	firstListMs  = 1000     // for discovery's agent, which is on this machine and answers at once unless it is silent
-	settleMs     = 20       // a second answer may come some ms behind the first
-	idleMs       = 120000.0 // a connection that has served is kept while there is room
-	drainMs      = 600.0    // after TERM, in which new connections go on coming
-	callMs       = 1000.0   // to connect to a node, or for a vote, where settings bound it by nothing
-	restMs       = 700.0    // beyond the longest limit, until KILL comes
-	longestMs    = 3000.0   // a longer limit counts as this for KILL
-	lastMs       = 250.0    // before KILL in which all is answered: a marshal may be held up for 150 ms of it
+	maxBodyBytes          = 64 << 10 // bytes of a body
+	maxDatagramBytes      = 256      // bytes between marshals
+	firstRequestMs        = 2500.0   // from connecting to a whole first request, of the 3 s in which a client is owed something
+	firstListMs           = 1000     // for discovery's agent, which is on this machine and answers at once unless it is silent
+	reuseDelayMs          = 20       // a second answer may come some ms behind the first
+	clientIdleMs          = 120000.0 // a connection that has served is kept while there is room
+	drainMs               = 600.0    // after TERM, in which new connections go on coming
+	defaultCallTimeoutMs  = 1000.0   // to connect to a node, or for a vote, where settings bound it by nothing
+	killMarginMs          = 700.0    // beyond the longest limit, until KILL comes
+	maxCountedLimitMs     = 3000.0   // a longer limit counts as this for KILL
+	terminateBeforeKillMs = 250.0    // before KILL in which all is answered: a marshal may be held up for 150 ms of it
 )
 
 // Config is what the platform tells a marshal.
@@ -45,27 +45,27 @@
 	MemoryMB             float64
 	EnvironmentConflicts []string // what the environment says otherwise; the configuration counts
 
-	now    func() time.Time
-	wall   func() time.Time
-	news   gjson.Result
-	known  gjson.Result
-	listen string // of datagrams
-	peers  []string
-	all    string
-	names  *names
+	now             func() time.Time
+	wallClock       func() time.Time
+	initialRelease  gjson.Result
+	knownList       gjson.Result
+	peerListen      string // of datagrams
+	peerAddresses   []string
+	allPeersAddress string
+	names           *nameTable
 }
 
-// killMs is for how long after TERM there is no KILL.
-func (c *Config) killMs() float64 {
+// killDelayMs is for how long after TERM there is no KILL.
+func (c *Config) killDelayMs() float64 {
 	longest := 0.0
 	for _, o := range c.Settings.Operation {
 		longest = max(longest, o.LimitMs)
 	}
-	return min(longest, longestMs) + restMs
+	return min(longest, maxCountedLimitMs) + killMarginMs
 }
 
-// variables say in the environment what fields of the configuration say.
-var variables = map[string]string{"name": "GW_NAME", "listen": "GW_LISTEN", "discovery": "GW_DISCOVERY"}
+// environmentVariables say in the environment what fields of the configuration say.
+var environmentVariables = map[string]string{"name": "GW_NAME", "listen": "GW_LISTEN", "discovery": "GW_DISCOVERY"}
 
 // ReadConfig reads a configuration. The error names the field that is missing or wrong. What the environment says counts where the
 // configuration does not say it.
@@ -89,7 +89,7 @@
 	for name, t := range map[string]gjson.Type{"listen": gjson.String, "discovery": gjson.String, "seed": gjson.String,
 		"release_api.address": gjson.String, "settings": gjson.JSON, "limits.sockets": gjson.Number,
 		"limits.memory_mb": gjson.Number, "limits.cores": gjson.Number} {
-		if v := j.Get(name); !v.Exists() && variables[name] != "" && environment(variables[name]) != "" {
+		if v := j.Get(name); !v.Exists() && environmentVariables[name] != "" && environment(environmentVariables[name]) != "" {
 			continue
 		} else if !v.Exists() {
 			return nil, fmt.Errorf("%s: missing", name)
@@ -105,18 +105,18 @@
 		if v := j.Get(name); v.Exists() {
 			return v.Str
 		}
-		return environment(variables[name])
+		return environment(environmentVariables[name])
 	}
-	c := &Config{now: time.Now, wall: time.Now, ModuleSettings: brief.Settings(j.Get("settings")), DiscoveryAddress: said("discovery"),
+	c := &Config{now: time.Now, wallClock: time.Now, ModuleSettings: brief.Settings(j.Get("settings")), DiscoveryAddress: said("discovery"),
 		ReleaseAPIAddress: j.Get("release_api.address").Str, Cores: j.Get("limits.cores").Num, MemoryMB: j.Get("limits.memory_mb").Num,
-		news: j.Get("release_api.news"), known: j.Get("known"), listen: j.Get("peer_listen").Str,
-		all: j.Get("peers_all").Str}
+		initialRelease: j.Get("release_api.news"), knownList: j.Get("known"), peerListen: j.Get("peer_listen").Str,
+		allPeersAddress: j.Get("peers_all").Str}
 	for name, least := range map[string]float64{"limits.sockets": connlimit.Least, "limits.memory_mb": 8, "limits.cores": 0.001} {
 		if v := j.Get(name).Num; v < least {
 			return nil, fmt.Errorf("%s: %v is too little: at least %v", name, v, least)
 		}
 	}
-	for name, variable := range variables {
+	for name, variable := range environmentVariables {
 		if other := environment(variable); other != "" && j.Get(name).Exists() && other != j.Get(name).Str {
 			c.EnvironmentConflicts = append(c.EnvironmentConflicts, fmt.Sprintf("%s says %q, the configuration %q", variable, other, j.Get(name).Str))
 		}
@@ -127,12 +127,12 @@
 		}
 	}
 	for _, p := range j.Get("peers").Array() {
-		c.peers = append(c.peers, p.Str)
+		c.peerAddresses = append(c.peerAddresses, p.Str)
 	}
 	if may, _ := c.ModuleSettings["limits.may-tell"].(bool); !may {
-		c.listen = ""
+		c.peerListen = ""
 	}
-	c.Settings, err = c.settings(said("listen"), int(j.Get("limits.sockets").Num))
+	c.Settings, err = c.marshalSettings(said("listen"), int(j.Get("limits.sockets").Num))
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
@@ -140,18 +140,18 @@
 	return c, nil
 }
 
-// or is a time that settings may leave out.
-func or(ms, absent float64) float64 {
+// orDefault is a time that settings may leave out.
+func orDefault(ms, absent float64) float64 {
 	if ms > 0 {
 		return ms
 	}
 	return absent
 }
 
-// settings are the marshal's own, for its clients' side and its connections to nodes. The module gets the platform's.
-func (c *Config) settings(listen string, sockets int) (*settings.Settings, error) {
+// marshalSettings are the marshal's own, for its clients' side and its connections to nodes. The module gets the platform's.
+func (c *Config) marshalSettings(listen string, sockets int) (*settings.Settings, error) {
 	num := func(name string) float64 { v, _ := c.ModuleSettings[name].(float64); return v }
-	c.names = &names{}
+	c.names = &nameTable{}
 	c.names.zones, _ = c.ModuleSettings["zones"].([]string)
 	c.names.models, _ = c.ModuleSettings["models"].([]string)
 	zones := c.names.zones
@@ -171,13 +171,13 @@
 		Headers: &settings.Headers{Tenant: "X-Customer", Key: "X-Object", Mark: "Idempotency-Key", TimeMs: "X-Expires-In-Ms",
 			TurnedAway: "X-Never-Ran"},
 		Limits: &settings.Limits{Connections: uint32(clients), Open: uint32(clients), Queue: uint32(clients), LineBytes: 4096,
-			HeaderBytes: 16 << 10, RepeatBodyBytes: mostBody + 1, HeldAnswerBytes: mostBody + 1, IdlePerNode: uint32(nodes),
+			HeaderBytes: 16 << 10, RepeatBodyBytes: maxBodyBytes + 1, HeldAnswerBytes: maxBodyBytes + 1, IdlePerNode: uint32(nodes),
 			Probes: true, ProbePath: "/load"},
-		Times: &settings.Times{HeaderMs: firstMs, BodyMs: firstMs, WriteMs: 1000, IdleMs: idleMs, DialMs: or(num("limits.dial-timeout-ms"), callMs),
+		Times: &settings.Times{HeaderMs: firstRequestMs, BodyMs: firstRequestMs, WriteMs: 1000, IdleMs: clientIdleMs, DialMs: orDefault(num("limits.dial-timeout-ms"), defaultCallTimeoutMs),
 			NodeIdleMs: num("limits.conn-idle-ms") * 0.9, AnswerMs: 5},
 		Roster: &settings.Roster{}, Conveyor: &settings.Conveyor{}, Record: &settings.Record{},
 		Rules:   &settings.Rules{GraceMs: num("rules.stop-sending-within-ms")},
-		Rollout: &settings.Rollout{VoteTimeoutMs: or(num("rollout.api-timeout-ms"), callMs)},
+		Rollout: &settings.Rollout{VoteTimeoutMs: orDefault(num("rollout.api-timeout-ms"), defaultCallTimeoutMs)},
 		Log:     &settings.Log{Level: "warn", Form: "text"},
 	}
 	ops, _ := c.ModuleSettings["operations"].([]balance.Settings)
@@ -195,7 +195,7 @@
 		}
 		s.Operation = append(s.Operation, &settings.Operation{Name: text("name"), Repeat: repeat, LimitMs: limit, MemoryMs: memory,
 			Group: text("group")})
-		s.Times.StopMs = max(s.Times.StopMs, limit+restMs)
+		s.Times.StopMs = max(s.Times.StopMs, limit+killMarginMs)
 	}
 	tenants, _ := c.ModuleSettings["tenants"].([]balance.Settings)
 	for _, t := range tenants {
@@ -207,10 +207,12 @@
 
 // KnownNodes is the list as the marshal last held it.
 func (c *Config) KnownNodes(log *slog.Logger) ([]control.NodeEntry, error) {
-	if !c.known.IsObject() {
+	if !c.knownList.IsObject() {
 		return nil, nil
 	}
-	return c.reader(log).lines(c.known)
+	return c.newListReader(log).entries(c.knownList)
 }
 
-func (c *Config) reader(log *slog.Logger) *reader { return &reader{c.names, c.now, c.wall, log} }
+func (c *Config) newListReader(log *slog.Logger) *listReader {
+	return &listReader{c.names, c.now, c.wallClock, log}
+}
--- a/internal/platform/conveyor.go
+++ b/internal/platform/conveyor.go
@@ -19,10 +19,10 @@
 const apiBase = "/v2/projects/main"
 
 var (
-	phases   = []string{"testing", "recalling", "live", "recalled"} // in the order of balance.Phase
-	verdicts = []string{"none", "on", "hold", "back"}               // in that of balance.Verdict
+	phaseNames   = []string{"testing", "recalling", "live", "recalled"} // in the order of balance.Phase
+	verdictNames = []string{"none", "on", "hold", "back"}               // in that of balance.Verdict
 	// What a vote that was not carried out comes back with.
-	refusals = map[int]struct {
+	voteErrors = map[int]struct {
 		word   string
 		ending balance.Ending
 	}{429: {"BUSY", balance.Full}, 409: {"STALE", balance.Ignored}, 500: {"FAILED", balance.Failed}, 400: {"SYNTAX", balance.Failed}}
@@ -39,74 +39,74 @@
 	OnStageUpdate StageUpdateFunc
 	OnVoteFailed  func(how balance.Ending)
 
-	order sync.Mutex // of what is told
-	last  *state     // told last
+	mu     sync.Mutex  // of what is told
+	latest *buildState // told last
 }
 
-// state is where a build stands.
-type state struct {
+// buildState is where a build stands.
+type buildState struct {
 	ver, stage int
 	phase      balance.Phase
 	cap        float64
 	since      time.Time
 }
 
-// later are the phases in the order that a build comes to stand in them.
-var later = map[balance.Phase]int{balance.OnTrial: 0, balance.Released: 1, balance.GoingBack: 2, balance.Withdrawn: 3}
+// phaseOrder are the phases in the order that a build comes to stand in them.
+var phaseOrder = map[balance.Phase]int{balance.OnTrial: 0, balance.Released: 1, balance.GoingBack: 2, balance.Withdrawn: 3}
 
-// before says that a state is one that the build had before another. A vote's answer and the stream come on two connections:
-// the answer may have been given before what the stream told, and would raise a cap again that has fallen. patience bounds how
+// precedes says that a state is one that the build had precedes another. A vote's answer and the stream come on two connections:
+// the answer may have been given precedes what the stream told, and would raise a cap again that has fallen. patience bounds how
 // much later than it was given it can come; what came to stand so later than that is news, whatever it says.
-func (s *state) before(o *state, patience time.Duration) bool {
+func (s *buildState) precedes(o *buildState, patience time.Duration) bool {
 	if s.ver != o.ver {
 		return s.ver < o.ver
 	}
-	less := later[s.phase] < later[o.phase] || s.phase == balance.OnTrial && o.phase == balance.OnTrial && s.stage < o.stage
+	less := phaseOrder[s.phase] < phaseOrder[o.phase] || s.phase == balance.OnTrial && o.phase == balance.OnTrial && s.stage < o.stage
 	return less && s.since.Before(o.since.Add(patience))
 }
 
-// tell tells what is not overtaken; of a reply that is, what stands.
-func (c *RolloutClient) tell(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
-	c.order.Lock()
-	defer c.order.Unlock()
+// publish tells what is not overtaken; of a reply that is, what stands.
+func (c *RolloutClient) publish(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	s := &state{ver, stage, phase, cap, now.Add(-time.Duration(min(age, mostAge) * float64(time.Millisecond)))}
-	if c.last != nil && s.before(c.last, c.VoteTimeout) {
+	s := &buildState{ver, stage, phase, cap, now.Add(-time.Duration(min(age, maxAgeMs) * float64(time.Millisecond)))}
+	if c.latest != nil && s.precedes(c.latest, c.VoteTimeout) {
 		if !reply {
 			return
 		}
-		s = c.last
+		s = c.latest
 		age = float64(now.Sub(s.since)) / float64(time.Millisecond)
 	}
-	c.last = s
+	c.latest = s
 	c.OnStageUpdate(s.ver, s.stage, s.phase, s.cap, age, reply)
 }
 
-const mostAge = 1e11 // ms that a state's age is counted to
+const maxAgeMs = 1e11 // ms that a state's age is counted to
 
 // Run follows the news until the context ends.
 func (c *RolloutClient) Run(ctx context.Context) {
-	c.keep(ctx, "release API", c.Log, func(s *session, nc net.Conn) error {
+	c.keepConnected(ctx, "release API", c.Log, func(s *session, nc net.Conn) error {
 		return rest.Follow(nc, s.address, apiBase+"/events", eventsTimeout, func(text []byte) (err error) {
-			if !s.speak(func() { err = c.news(gjson.ParseBytes(text)) }) {
-				return errMoved
+			if !s.deliver(func() { err = c.handleEvent(gjson.ParseBytes(text)) }) {
+				return errSuperseded
 			}
 			return err
 		})
 	})
 }
 
-func (c *RolloutClient) news(j gjson.Result) error {
+func (c *RolloutClient) handleEvent(j gjson.Result) error {
 	if j.Get("type").Str != "ROLLOUT" { // a sign of life, or news of what a marshal has no use for
 		return nil
 	}
 	c.Log.Debug("news", "object", j.Get("object").Raw)
-	return staged(j.Get("object"), false, c.tell)
+	return parseState(j.Get("object"), false, c.publish)
 }
 
-// staged reads a state whole or not at all.
-func staged(j gjson.Result, reply bool, tell StageUpdateFunc) error {
-	phase := slices.Index(phases, j.Get("State").Str)
+// parseState reads a state whole or not at all.
+func parseState(j gjson.Result, reply bool, tell StageUpdateFunc) error {
+	phase := slices.Index(phaseNames, j.Get("State").Str)
 	for _, name := range []string{"Revision", "Wave", "MaxShare", "AgeMs"} {
 		if v := j.Get(name); v.Type != gjson.Number || v.Num < 0 {
 			return fmt.Errorf("release API: %s: no number that can be read in %.120q", name, j.Raw)
@@ -122,19 +122,19 @@
 // Vote sends a vote on a connection of its own; it is answered by Staged or Failed.
 func (c *RolloutClient) Vote(ver, stage int, verdict balance.Verdict) {
 	go func() {
-		if how := c.vote(ver, stage, verdict); how != balance.Succeeded {
+		if how := c.sendVote(ver, stage, verdict); how != balance.Succeeded {
 			c.OnVoteFailed(how)
 		}
 	}()
 }
 
-func (c *RolloutClient) vote(ver, stage int, verdict balance.Verdict) balance.Ending {
+func (c *RolloutClient) sendVote(ver, stage int, verdict balance.Verdict) balance.Ending {
 	ctx, done := context.WithTimeout(context.Background(), c.VoteTimeout)
 	defer done()
-	body := fmt.Appendf(nil, `{"Revision":%d,"Wave":%d,"Decision":%q}`, ver, stage, verdicts[verdict])
-	status, answer, sent, err := rest.Call(ctx, c.at(), "POST", apiBase+"/votes", body)
+	body := fmt.Appendf(nil, `{"Revision":%d,"Wave":%d,"Decision":%q}`, ver, stage, verdictNames[verdict])
+	status, answer, sent, err := rest.Call(ctx, c.currentAddress(), "POST", apiBase+"/votes", body)
 	how := balance.Succeeded
-	switch refused, known := refusals[status]; {
+	switch refused, known := voteErrors[status]; {
 	case err != nil && !sent:
 		how = balance.NoConnect
 	case err != nil:
@@ -142,7 +142,7 @@
 	case !gjson.ValidBytes(answer):
 		err, how = errors.New("not valid JSON"), balance.TimedOut
 	case status == 200:
-		if err = staged(gjson.ParseBytes(answer), true, c.tell); err != nil {
+		if err = parseState(gjson.ParseBytes(answer), true, c.publish); err != nil {
 			how = balance.TimedOut
 		}
 	case known && gjson.GetBytes(answer, "error").Str == refused.word:
--- a/internal/platform/heads.go
+++ b/internal/platform/heads.go
@@ -13,24 +13,24 @@
 	"arrowcleat/internal/settings"
 )
 
-// reports are the names of what nodes report, as the module knows them.
-var reports = map[string]string{"inflight": "held", "queue": "waiting", "util": "busy", "latency_ms": "service-ms",
+// reportNames are the names of what nodes report, as the module knows them.
+var reportNames = map[string]string{"inflight": "held", "queue": "waiting", "util": "busy", "latency_ms": "service-ms",
 	"qps": "rate", "eps": "errors"}
 
-// asked reads what a request's head asks for. What nodes would turn away, and what could be read in two ways, is an
+// readRequest reads what a request's head asks for. What nodes would turn away, and what could be read in two ways, is an
 // error: nothing was taken.
-func (c *Config) asked(h *h1.Head) (a front.Asked, err error) {
-	id, ok := single(h.Header, "X-Trace-Id")
-	if !ok || !plainID(id) {
+func (c *Config) readRequest(h *h1.Head) (a front.Asked, err error) {
+	id, ok := singleValue(h.Header, "X-Trace-Id")
+	if !ok || !validID(id) {
 		return a, front.Refused(400, "one X-Trace-Id is due")
 	}
-	class, ok := single(h.Header, "X-Qos")
+	class, ok := singleValue(h.Header, "X-Qos")
 	a.Op = slices.IndexFunc(c.Settings.Operation, func(o *settings.Operation) bool { return o.Name == class })
 	if !ok || a.Op < 0 {
 		return a, front.Refused(404, "no operation of this name in X-Qos")
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
-	if !begins(path, class) {
+	if !pathMatches(path, class) {
 		return a, front.Refused(404, "path and X-Qos name different operations")
 	}
 	method := "GET"
@@ -44,7 +44,7 @@
 		return a, front.Refused(400, "a GET has no body here")
 	}
 	if c.Settings.Operation[a.Op].Repeat == settings.Repeat_FINGERPRINTED {
-		if mark, ok := single(h.Header, "Idempotency-Key"); !ok || mark == "" {
+		if mark, ok := singleValue(h.Header, "Idempotency-Key"); !ok || mark == "" {
 			return a, front.Refused(400, "one Idempotency-Key is due")
 		}
 	}
@@ -69,8 +69,8 @@
 	return a, nil
 }
 
-// begins says that a path's first part is a class, written as it is or escaped; its name may hold what ends a part.
-func begins(path, class string) bool {
+// pathMatches says that a path's first part is a class, written as it is or escaped; its name may hold what ends a part.
+func pathMatches(path, class string) bool {
 	is := func(path string) bool {
 		rest, ok := strings.CutPrefix(path, "/"+class)
 		return ok && (rest == "" || rest[0] == '/')
@@ -82,16 +82,16 @@
 	return err == nil && is(plain)
 }
 
-// single is the value of a header that stands there once.
-func single(h textproto.MIMEHeader, name string) (string, bool) {
+// singleValue is the value of a header that stands there once.
+func singleValue(h textproto.MIMEHeader, name string) (string, bool) {
 	if v := h[name]; len(v) == 1 {
 		return v[0], true
 	}
 	return "", false
 }
 
-// plainID says that an id could be one of a client's.
-func plainID(id string) bool {
+// validID says that an id could be one of a client's.
+func validID(id string) bool {
 	for i := range len(id) {
 		if id[i] <= ' ' || id[i] >= 0x7f {
 			return false
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -13,17 +13,17 @@
 
 // PeerTransport sends and receives datagrams between marshals. Who one is from, its sender's address says.
 type PeerTransport struct {
-	conn *net.UDPConn
-	to   []netip.AddrPort // by the marshals' numbers
-	all  netip.AddrPort
-	from map[netip.AddrPort]int
-	told func(from int, text string)
-	log  *slog.Logger
+	conn      *net.UDPConn
+	addresses []netip.AddrPort // by the marshals' numbers
+	allPeers  netip.AddrPort
+	numbers   map[netip.AddrPort]int
+	onMessage func(from int, text string)
+	log       *slog.Logger
 }
 
-// peersOf opens the socket between marshals.
-func (c *Config) peersOf(log *slog.Logger, told func(from int, text string)) (*PeerTransport, error) {
-	p := &PeerTransport{from: map[netip.AddrPort]int{}, told: told, log: log}
+// openPeers opens the socket between marshals.
+func (c *Config) openPeers(log *slog.Logger, told func(from int, text string)) (*PeerTransport, error) {
+	p := &PeerTransport{numbers: map[netip.AddrPort]int{}, onMessage: told, log: log}
 	read := func(name, text string) (netip.AddrPort, error) {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -31,20 +31,20 @@
 		}
 		return a, nil
 	}
-	listen, err := read("peer_listen", c.listen)
+	listen, err := read("peer_listen", c.peerListen)
 	if err != nil {
 		return nil, err
 	}
-	if p.all, err = read("peers_all", c.all); err != nil {
+	if p.allPeers, err = read("peers_all", c.allPeersAddress); err != nil {
 		return nil, err
 	}
-	for i, text := range c.peers {
+	for i, text := range c.peerAddresses {
 		a, err := read("peers", text)
 		if err != nil {
 			return nil, err
 		}
-		p.to = append(p.to, a)
-		p.from[a] = i
+		p.addresses = append(p.addresses, a)
+		p.numbers[a] = i
 	}
 	if p.conn, err = net.ListenUDP("udp", net.UDPAddrFromAddrPort(listen)); err != nil {
 		return nil, fmt.Errorf("peer_listen: %w", err)
@@ -52,38 +52,38 @@
 	return p, nil
 }
 
-// receiveAgain is the wait after a receive that failed: one that goes on failing must not take the processor.
-const receiveAgain = time.Millisecond
+// receiveRetryDelay is the wait after a receive that failed: one that goes on failing must not take the processor.
+const receiveRetryDelay = time.Millisecond
 
 // Run receives until the socket is closed; what is from no peer is dropped.
 func (p *PeerTransport) Run() {
-	b := make([]byte, mostDatagram+1)
+	b := make([]byte, maxDatagramBytes+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(b)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			time.Sleep(receiveAgain)
+			time.Sleep(receiveRetryDelay)
 			continue
 		}
-		number, known := p.from[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
-		if known && n <= mostDatagram {
-			p.told(number, string(b[:n]))
+		number, known := p.numbers[netip.AddrPortFrom(from.Addr().Unmap(), from.Port())]
+		if known && n <= maxDatagramBytes {
+			p.onMessage(number, string(b[:n]))
 		}
 	}
 }
 
 // Tell sends to one marshal, or to all; what is too long is not sent.
 func (p *PeerTransport) Tell(to int, text string) {
-	address := p.all
+	address := p.allPeers
 	if to != balance.Everyone {
-		if to < 0 || to >= len(p.to) {
+		if to < 0 || to >= len(p.addresses) {
 			return
 		}
-		address = p.to[to]
+		address = p.addresses[to]
 	}
-	if len(text) > mostDatagram {
+	if len(text) > maxDatagramBytes {
 		p.log.Warn("a message between marshals is too long and not sent", "bytes", len(text))
 		return
 	}
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -20,9 +20,9 @@
 // Marshal is one in service on the platform.
 type Marshal struct {
 	*serve.Marshal
-	roster   *DiscoveryClient
-	conveyor *RolloutClient
-	stopMs   float64 // after the word to stop until what is open is terminated
+	discovery        *DiscoveryClient
+	rollout          *RolloutClient
+	terminateAfterMs float64 // after the word to stop until what is open is terminated
 }
 
 // Start starts a marshal as a configuration says.
@@ -35,39 +35,39 @@
 	}
 	c.now = loop.WallClock(hooks.Clock)
 	if hooks.Wall != nil {
-		c.wall = hooks.Wall
+		c.wallClock = hooks.Wall
 	}
 	known, err := c.KnownNodes(log)
 	if err != nil {
 		log.Warn("the list that was held last is of no use", "err", err)
 	}
-	m := &Marshal{stopMs: c.killMs() - lastMs}
+	m := &Marshal{terminateAfterMs: c.killDelayMs() - terminateBeforeKillMs}
 	hooks.Ways = &serve.Ways{
-		Terms:     front.Terms{Read: c.asked, Health: "/healthz", MostBody: mostBody, FirstMs: firstMs, RetryAfter: c.retryAfter, Quiet: true},
+		Terms:     front.Terms{Read: c.readRequest, Health: "/healthz", MostBody: maxBodyBytes, FirstMs: firstRequestMs, RetryAfter: c.retryAfter, Quiet: true},
 		Settings:  c.ModuleSettings,
 		Known:     known,
 		FirstList: firstListMs * time.Millisecond,
 		Strict:    true,
-		Settle:    settleMs * time.Millisecond,
-		Reports:   reports,
+		Settle:    reuseDelayMs * time.Millisecond,
+		Reports:   reportNames,
 		Roster: func(listed func(bool, []control.NodeEntry), _ func()) serve.Roster {
-			m.roster = &DiscoveryClient{endpoint: endpoint{address: c.DiscoveryAddress}, Log: log, OnNodesListed: listed, read: c.reader(log)}
-			return m.roster
+			m.discovery = &DiscoveryClient{endpoint: endpoint{address: c.DiscoveryAddress}, Log: log, OnNodesListed: listed, reader: c.newListReader(log)}
+			return m.discovery
 		},
 		Conveyor: func(told StageUpdateFunc, failed func(balance.Ending)) serve.Conveyor {
-			m.conveyor = &RolloutClient{endpoint: endpoint{address: c.ReleaseAPIAddress}, Log: log, OnStageUpdate: told, OnVoteFailed: failed,
+			m.rollout = &RolloutClient{endpoint: endpoint{address: c.ReleaseAPIAddress}, Log: log, OnStageUpdate: told, OnVoteFailed: failed,
 				VoteTimeout: time.Duration(c.Settings.Rollout.VoteTimeoutMs * float64(time.Millisecond))}
-			if c.news.IsObject() {
-				if err := staged(c.news, false, m.conveyor.tell); err != nil {
+			if c.initialRelease.IsObject() {
+				if err := parseState(c.initialRelease, false, m.rollout.publish); err != nil {
 					log.Warn("the news in the configuration is of no use", "err", err)
 				}
 			}
-			return m.conveyor
+			return m.rollout
 		},
 	}
 	hooks.Ways.NodeConnections = int(c.Settings.Limits.IdlePerNode)
-	if c.listen != "" {
-		hooks.Ways.Peers = func(told func(int, string)) (serve.Peers, error) { return c.peersOf(log, told) }
+	if c.peerListen != "" {
+		hooks.Ways.Peers = func(told func(int, string)) (serve.Peers, error) { return c.openPeers(log, told) }
 	}
 	m.Marshal, err = serve.Start(c.Settings, log, hooks)
 	return m, err
@@ -83,15 +83,15 @@
 
 // UpdateAddresses takes the addresses of another configuration; all else needs a restart.
 func (m *Marshal) UpdateAddresses(c *Config) {
-	m.roster.SetAddress(c.DiscoveryAddress)
-	m.conveyor.SetAddress(c.ReleaseAPIAddress)
+	m.discovery.SetAddress(c.DiscoveryAddress)
+	m.rollout.SetAddress(c.ReleaseAPIAddress)
 }
 
 // Drain is a planned end: for as long as new connections go on coming all is served, and after that what was taken, unless it is to
 // hurry: then what is still open is terminated. So it is before KILL can come: nobody else answers it then. Also in a hurry it serves what
 // comes: a listener closed earlier would lose it.
 func (m *Marshal) Drain(hurry <-chan struct{}) error {
-	killed := time.After(time.Duration(m.stopMs * float64(time.Millisecond)))
+	killed := time.After(time.Duration(m.terminateAfterMs * float64(time.Millisecond)))
 	m.Front.Drain()
 	select {
 	case <-time.After(drainMs * time.Millisecond):
@@ -108,13 +108,13 @@
 	return m.Stop()
 }
 
-// sayWithin is how long a view waits for a loop: who asks for it also waits for signals.
-const sayWithin = 100 * time.Millisecond
+// stateTimeout is how long a view waits for a loop: who asks for it also waits for signals.
+const stateTimeout = 100 * time.Millisecond
 
 // LogState logs what the marshal sees: what it took and answered, and of each node what was sent, how it ended and what is
 // out there, to be held against the traffic on the sockets.
 func (m *Marshal) LogState() {
-	ctx, done := context.WithTimeout(context.Background(), sayWithin)
+	ctx, done := context.WithTimeout(context.Background(), stateTimeout)
 	defer done()
 	r, err := m.LookAt(ctx, 0)
 	if err != nil {
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -93,7 +93,7 @@
 			"X-Qos": {"book"}, "X-Customer": {"zenith"}, "X-Object": {"o1"}, "X-Expires-In-Ms": {"480"}, "Idempotency-Key": {"k"},
 			"X-Size-Hint": {"2500"}, "X-Second-Try": {"1"}, "X-Props": {"a=2,write=1"}}}
 	}
-	a, err := c.asked(good())
+	a, err := c.readRequest(good())
 	if got := fmt.Sprint(a, err); got != "{1 1 o1 9b1f 480 2.5 true true} <nil>" {
 		t.Error(got)
 	}
@@ -112,7 +112,7 @@
 	} {
 		h := good()
 		spoil(h)
-		if _, err := c.asked(h); err == nil {
+		if _, err := c.readRequest(h); err == nil {
 			t.Errorf("%s was taken", what)
 		}
 	}
@@ -179,7 +179,7 @@
 		c.Settings.Operation[0].Name = class
 		for path, want := range map[string]bool{"/" + class: true, "/" + class + "/1?x=/y": true, "/" + class + "z": false,
 			"/" + url.PathEscape(class) + "/x": true, "/x/" + class: false, "": false} {
-			if _, err := c.asked(&h1.Head{Method: "GET", Target: path, Header: textproto.MIMEHeader{"X-Trace-Id": {"1"},
+			if _, err := c.readRequest(&h1.Head{Method: "GET", Target: path, Header: textproto.MIMEHeader{"X-Trace-Id": {"1"},
 				"X-Qos": {class}, "X-Expires-In-Ms": {"99999999999999999999999"}}}); (err == nil) != want {
 				t.Errorf("class %q at %q: %v", class, path, err)
 			}
@@ -227,13 +227,13 @@
 		{8, 0, balance.OnTrial, 0.1, 0, true, "8/0/0/0.1/true"},
 	} {
 		got = ""
-		if c.tell(x.ver, x.stage, x.phase, x.cap, x.age, x.reply); got != x.want {
+		if c.publish(x.ver, x.stage, x.phase, x.cap, x.age, x.reply); got != x.want {
 			t.Errorf("%d: told %q, want %q", i, got, x.want)
 		}
 	}
-	c.last.since = time.Now().Add(-3 * time.Second) // a state that began well after is news, whatever it says
-	c.last.phase = balance.GoingBack
-	if c.tell(8, 0, balance.OnTrial, 0.1, 0, false); got != "8/0/0/0.1/false" {
+	c.latest.since = time.Now().Add(-3 * time.Second) // a state that began well after is news, whatever it says
+	c.latest.phase = balance.GoingBack
+	if c.publish(8, 0, balance.OnTrial, 0.1, 0, false); got != "8/0/0/0.1/false" {
 		t.Errorf("told %q of a build on trial once more", got)
 	}
 }
@@ -415,7 +415,7 @@
 			}
 		}}
 	for i, x := range cases {
-		if got := c.vote(7, 1, balance.On); got != x.want {
+		if got := c.sendVote(7, 1, balance.On); got != x.want {
 			t.Errorf("vote %d: %v, want %v", i, got, x.want)
 		}
 	}
@@ -423,7 +423,7 @@
 		t.Errorf("told %d times", told)
 	}
 	c.SetAddress("127.0.0.1:1")
-	if got := c.vote(7, 1, balance.On); got != balance.NoConnect {
+	if got := c.sendVote(7, 1, balance.On); got != balance.NoConnect {
 		t.Errorf("where nobody listens: %v", got)
 	}
 }
--- a/internal/platform/roster_test.go
+++ b/internal/platform/roster_test.go
@@ -73,7 +73,7 @@
 func followed(t *testing.T, address string) (*DiscoveryClient, chan string) {
 	listed := make(chan string, 20)
 	log := slog.New(slog.DiscardHandler)
-	r := &DiscoveryClient{endpoint: endpoint{address: address}, Log: log, read: &reader{&names{zones: []string{"a", "b"}}, time.Now, time.Now, log},
+	r := &DiscoveryClient{endpoint: endpoint{address: address}, Log: log, reader: &listReader{&nameTable{zones: []string{"a", "b"}}, time.Now, time.Now, log},
 		OnNodesListed: func(whole bool, lines []control.NodeEntry) {
 			text := fmt.Sprint(whole)
 			for _, l := range lines {
@@ -172,15 +172,15 @@
 
 // A silent watch is opened anew in time, again and again, and a hung connection makes no wait grow.
 func TestSilentWatch(t *testing.T) {
-	if rosterTimeout+waitMost+waitMost*3/2 > 6*time.Second-time.Second { // notice, connect, one more try, and a second to read
+	if listTimeout+maxBackoff+maxBackoff*3/2 > 6*time.Second-time.Second { // notice, connect, one more try, and a second to read
 		t.Error("a silent watch is noticed too late")
 	}
 	s := streaming(t)
 	followed(t, s.address)
 	s.next(t)
 	from := time.Now()
-	s.next(t)                                                                   // silent after its head
-	if took := time.Since(from); took < rosterTimeout || took > 5*time.Second { // a second before what it misses counts
+	s.next(t)                                                                 // silent after its head
+	if took := time.Since(from); took < listTimeout || took > 5*time.Second { // a second before what it misses counts
 		t.Errorf("opened anew after %v", took)
 	}
 }
@@ -188,27 +188,27 @@
 // Numbers of hosts are never given twice, and those of hosts long gone are forgotten.
 func TestHostNumbers(t *testing.T) {
 	now := time.Unix(1000, 0)
-	n := &names{}
-	r := &reader{n, func() time.Time { return now }, time.Now, slog.New(slog.DiscardHandler)}
+	n := &nameTable{}
+	r := &listReader{n, func() time.Time { return now }, time.Now, slog.New(slog.DiscardHandler)}
 	for i := range 5000 {
 		for _, health := range []string{"in_service", "terminated"} {
-			lines, err := r.lines(gjson.Parse(told(i, false, host(fmt.Sprint("s-", i), "", health, 1))))
+			lines, err := r.entries(gjson.Parse(told(i, false, host(fmt.Sprint("s-", i), "", health, 1))))
 			if err != nil || lines[0].ID != uint32(i+1) {
 				t.Fatalf("host %d is %v, %v", i, lines, err)
 			}
 		}
 		now = now.Add(time.Second)
 	}
-	if most := int(forgetHost/time.Second) + 2; len(n.hosts) > most {
+	if most := int(hostRetention/time.Second) + 2; len(n.hosts) > most {
 		t.Errorf("%d numbers are kept; want %d at most", len(n.hosts), most)
 	}
-	lines, _ := r.lines(gjson.Parse(told(5001, false, host("s-1", "", "in_service", 1))))
+	lines, _ := r.entries(gjson.Parse(told(5001, false, host("s-1", "", "in_service", 1))))
 	if lines[0].ID != 5001 {
 		t.Errorf("a host that comes back after long has number %d, which may meet old state", lines[0].ID)
 	}
 	for i := range 3 { // what a whole list leaves out is gone
-		r.lines(gjson.Parse(told(6000+i, true, host("s-2", "", "in_service", 1))))
-		now = now.Add(forgetHost)
+		r.entries(gjson.Parse(told(6000+i, true, host("s-2", "", "in_service", 1))))
+		now = now.Add(hostRetention)
 	}
 	if len(n.hosts) != 1 {
 		t.Errorf("%d numbers are kept after a whole list of one", len(n.hosts))
@@ -217,13 +217,13 @@
 
 // Where nothing is known of what two nodes share, they share nothing.
 func TestUnknownPlaces(t *testing.T) {
-	r := &reader{&names{zones: []string{"a"}}, time.Now, time.Now, slog.New(slog.DiscardHandler)}
-	lines, err := r.lines(gjson.Parse(told(1, true, host("x", "p", "in_service", 1), host("y", "q", "in_service", 1), host("z", "a", "in_service", 1))))
+	r := &listReader{&nameTable{zones: []string{"a"}}, time.Now, time.Now, slog.New(slog.DiscardHandler)}
+	lines, err := r.entries(gjson.Parse(told(1, true, host("x", "p", "in_service", 1), host("y", "q", "in_service", 1), host("z", "a", "in_service", 1))))
 	if err != nil || lines[0].Zone == lines[1].Zone || lines[0].Zone == 0 || lines[2].Zone != 0 || lines[0].Cell == lines[1].Cell || lines[0].Size != 1 {
 		t.Errorf("%+v, %v", lines, err)
 	}
 	r.names.zones = nil
-	if l, err := r.line(gjson.Parse(host("x", "", "in_service", 1))); err != nil || l.Zone != 0 || l.Health != balance.Serving {
+	if l, err := r.entry(gjson.Parse(host("x", "", "in_service", 1))); err != nil || l.Zone != 0 || l.Health != balance.Serving {
 		t.Errorf("without zones: %+v, %v", l, err)
 	}
 }
@@ -271,9 +271,9 @@
 		if !c.before {
 			born = wall.Add(-age)
 		}
-		r := &reader{&names{}, func() time.Time { return now }, func() time.Time { return wall }, slog.New(slog.DiscardHandler)}
-		l, err := r.line(gjson.Parse(fmt.Sprintf(`{"host":"a","dial":"127.0.0.1:1","health":"in_service","build":7,"born_ms":%d}`, born.UnixMilli())))
-		if err != nil || l.UptimeMs < leastAge || l.UptimeMs > float64(age.Milliseconds()) {
+		r := &listReader{&nameTable{}, func() time.Time { return now }, func() time.Time { return wall }, slog.New(slog.DiscardHandler)}
+		l, err := r.entry(gjson.Parse(fmt.Sprintf(`{"host":"a","dial":"127.0.0.1:1","health":"in_service","build":7,"born_ms":%d}`, born.UnixMilli())))
+		if err != nil || l.UptimeMs < minAgeMs || l.UptimeMs > float64(age.Milliseconds()) {
 			t.Errorf("%s: %v ms, %v", name, l.UptimeMs, err)
 		}
 		if c.step == 0 && l.UptimeMs != float64(age.Milliseconds()) {
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -154,7 +154,7 @@
 		now := startNodes(t, hosts, round)
 		all := now.listed + before.leaves
 		discovery.say(fmt.Sprintf(`{"seq":%d,"whole":false,"hosts":[%s]}`, round+1, all[:len(all)-1]))
-		m.conveyor.tell(round+7, 1, balance.Released, 1, 90000, false)
+		m.rollout.publish(round+7, 1, balance.Released, 1, 90000, false)
 		for end := time.Now().Add(3 * time.Second); ; time.Sleep(time.Millisecond) {
 			r, _ := m.Look()
 			serving := 0
@@ -179,9 +179,9 @@
 	// forget lets all time pass that anything is kept for, and says what is left.
 	forget := func() (goroutines, descriptors int, heap int64) {
 		t.Helper()
-		clock.ahead.Add((forgetHost + time.Minute).Milliseconds())
+		clock.ahead.Add((hostRetention + time.Minute).Milliseconds())
 		live() // what is forgotten when the list comes
-		clock.ahead.Add((forgetHost + time.Minute).Milliseconds())
+		clock.ahead.Add((hostRetention + time.Minute).Milliseconds())
 		m.Sweep()
 		same := 0 // looks in a row at which nothing changed
 		for end := time.Now().Add(3 * time.Second); same < 10 && time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -29,7 +29,7 @@
 	fmt.Fprint(half, "GET /look HTTP/1.1\r\nHost: x\r\nX-Tr")
 	time.Sleep(100 * time.Millisecond)
 	told := time.Now()
-	kill := told.Add((longestMs + restMs) * time.Millisecond)
+	kill := told.Add((maxCountedLimitMs + killMarginMs) * time.Millisecond)
 	stopped := make(chan error, 1)
 	go func() { stopped <- m.Drain(nil) }()
 	for what, nc := range map[string]net.Conn{"502": held, "408": half} {
--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -20,11 +20,11 @@
 
 // Bounds on what the other side may send.
 const (
-	headBytes   = 16 << 10
-	answerBytes = 4 << 20 // of one answer, and of one object of a stream
+	maxHeadBytes = 16 << 10
+	maxBodyBytes = 4 << 20 // of one answer, and of one object of a stream
 )
 
-var limits = h1.Limits{Line: headBytes / 4, Header: headBytes}
+var headLimits = h1.Limits{Line: maxHeadBytes / 4, Header: maxHeadBytes}
 
 // Call makes one call on a connection of its own. sent says whether all of it was written: if not, it was not carried
 // out.
@@ -36,16 +36,16 @@
 	}
 	defer nc.Close()
 	defer context.AfterFunc(ctx, func() { nc.SetDeadline(time.Unix(1, 0)) })()
-	if err := ask(nc, address, method, target, body); err != nil {
+	if err := sendRequest(nc, address, method, target, body); err != nil {
 		return 0, nil, false, err
 	}
 	r := h1.NewReader(nc, 4096)
-	h, err := answered(r, method)
+	h, err := readResponseHead(r, method)
 	if err != nil {
 		return 0, nil, true, err
 	}
-	answer, err = io.ReadAll(io.LimitReader(r.Body(h, limits), answerBytes+1))
-	if err == nil && len(answer) > answerBytes {
+	answer, err = io.ReadAll(io.LimitReader(r.Body(h, headLimits), maxBodyBytes+1))
+	if err == nil && len(answer) > maxBodyBytes {
 		err = h1.ErrTooLarge
 	}
 	if err != nil {
@@ -59,19 +59,19 @@
 // cut it anywhere; white space between objects is only a sign of life.
 func Follow(nc net.Conn, address, target string, quiet time.Duration, object func([]byte) error) error {
 	nc.SetWriteDeadline(time.Now().Add(quiet))
-	if err := ask(nc, address, "GET", target, nil); err != nil {
+	if err := sendRequest(nc, address, "GET", target, nil); err != nil {
 		return err
 	}
-	r := h1.NewReader(&pulse{nc, quiet}, 4096)
-	h, err := answered(r, "GET")
+	r := h1.NewReader(&idleTimeoutReader{nc, quiet}, 4096)
+	h, err := readResponseHead(r, "GET")
 	if err != nil {
 		return err
 	}
 	if h.Status != 200 {
 		return fmt.Errorf("following %s: status %d", target, h.Status)
 	}
-	objects := bufio.NewScanner(r.Body(h, limits))
-	objects.Buffer(nil, answerBytes)
+	objects := bufio.NewScanner(r.Body(h, headLimits))
+	objects.Buffer(nil, maxBodyBytes)
 	objects.Split(splitObject)
 	for objects.Scan() {
 		if !json.Valid(objects.Bytes()) {
@@ -120,27 +120,27 @@
 	return start, nil, nil
 }
 
-// pulse reads a stream that is silent for no longer than quiet.
-type pulse struct {
-	nc    net.Conn
-	quiet time.Duration
+// idleTimeoutReader reads a stream that is silent for no longer than quiet.
+type idleTimeoutReader struct {
+	nc      net.Conn
+	timeout time.Duration
 }
 
-// lastLook is how long a stream that seems silent is read once more. It guards against a process that itself stood still: its
+// finalReadTimeout is how long a stream that seems silent is read once more. It guards against a process that itself stood still: its
 // deadline is past, but what came meanwhile is there.
-const lastLook = 20 * time.Millisecond
+const finalReadTimeout = 20 * time.Millisecond
 
-func (p *pulse) Read(b []byte) (int, error) {
-	p.nc.SetReadDeadline(time.Now().Add(p.quiet))
+func (p *idleTimeoutReader) Read(b []byte) (int, error) {
+	p.nc.SetReadDeadline(time.Now().Add(p.timeout))
 	n, err := p.nc.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		p.nc.SetReadDeadline(time.Now().Add(lastLook))
+		p.nc.SetReadDeadline(time.Now().Add(finalReadTimeout))
 		n, err = p.nc.Read(b)
 	}
 	return n, err
 }
 
-func ask(nc net.Conn, address, method, target string, body []byte) error {
+func sendRequest(nc net.Conn, address, method, target string, body []byte) error {
 	b := append([]byte(method+" "+target+" HTTP/1.1\r\n"), "Host: "+address+"\r\n"...)
 	if body != nil {
 		b = h1.AppendField(h1.AppendField(b, "Content-Type", "application/json"), "Content-Length", strconv.Itoa(len(body)))
@@ -151,10 +151,10 @@
 	return nil
 }
 
-// answered reads heads up to the final one.
-func answered(r *h1.Reader, method string) (*h1.Head, error) {
+// readResponseHead reads heads up to the final one.
+func readResponseHead(r *h1.Reader, method string) (*h1.Head, error) {
 	for {
-		h, err := r.Response(method, limits)
+		h, err := r.Response(method, headLimits)
 		if err != nil {
 			return nil, fmt.Errorf("reading the answer's head: %w", err)
 		}
