--- a/internal/control/lines.go
+++ b/internal/control/lines.go
@@ -1,5 +1,6 @@
-// Package control speaks the line protocols between a marshal and the roster, the conveyor and other marshals:
-// docs/protocol.md has every message. Lines end with CRLF and are words separated by single spaces.
+// Package control implements the line protocols between a marshal and the service registry, the rollout service and
+// other marshals. docs/protocol.md describes every message. A line is a sequence of words separated by single spaces and
+// ends with CRLF.
 package control
 
 import (
@@ -12,10 +13,10 @@
 	"strings"
 )
 
-// MaxLineBytes is the most bytes a line may have.
+// MaxLineBytes is the maximum length of a line, without its CRLF.
 const MaxLineBytes = 1024
 
-// lineParser reads the lineParser of a line in order; the first that is missing or wrong is kept as the error.
+// lineParser reads the words of a line in order. It keeps the first error; later reads return zero values.
 type lineParser struct {
 	remaining []string
 	err       error
@@ -23,101 +24,109 @@
 
 func newLineParser(line string) *lineParser { return &lineParser{remaining: strings.Fields(line)} }
 
-func (w *lineParser) word(what string) string {
-	if w.err != nil {
+// word reads the next word. Like in the other methods, what is the name of the field for error messages.
+func (p *lineParser) word(what string) string {
+	if p.err != nil {
 		return ""
 	}
-	if len(w.remaining) == 0 {
-		w.err = errors.New(what + " is missing")
+	if len(p.remaining) == 0 {
+		p.err = errors.New(what + " is missing")
 		return ""
 	}
-	word := w.remaining[0]
-	w.remaining = w.remaining[1:]
+	word := p.remaining[0]
+	p.remaining = p.remaining[1:]
 	return word
 }
 
-func (w *lineParser) integer(what string, least, most int64) int64 {
-	word := w.word(what)
-	if w.err != nil {
+// integer reads an integer between least and most.
+func (p *lineParser) integer(what string, least, most int64) int64 {
+	word := p.word(what)
+	if p.err != nil {
 		return 0
 	}
 	v, err := strconv.ParseInt(word, 10, 64)
 	if err != nil || v < least || v > most {
-		w.err = fmt.Errorf("%s: %.40q is not a whole number from %d to %d", what, word, least, most)
+		p.err = fmt.Errorf("%s: %.40q is not an integer from %d to %d", what, word, least, most)
 	}
 	return v
 }
 
-func (w *lineParser) float(what string, least, most float64) float64 {
-	word := w.word(what)
-	if w.err != nil {
+// float reads a number between least and most.
+func (p *lineParser) float(what string, least, most float64) float64 {
+	word := p.word(what)
+	if p.err != nil {
 		return 0
 	}
 	v, err := strconv.ParseFloat(word, 64)
 	if err != nil || !(v >= least && v <= most) {
-		w.err = fmt.Errorf("%s: %.40q is not a number from %g to %g", what, word, least, most)
+		p.err = fmt.Errorf("%s: %.40q is not a number from %g to %g", what, word, least, most)
 	}
 	return v
 }
 
-func (w *lineParser) oneOf(what string, known ...string) int {
-	word := w.word(what)
-	if w.err != nil {
+// oneOf reads a word that must be among known, and returns its index.
+func (p *lineParser) oneOf(what string, known ...string) int {
+	word := p.word(what)
+	if p.err != nil {
 		return 0
 	}
-	for i, k := range known {
-		if k == word {
+	for i, name := range known {
+		if name == word {
 			return i
 		}
 	}
-	w.err = fmt.Errorf("%s: %.40q is none of %s", what, word, strings.Join(known, ", "))
+	p.err = fmt.Errorf("%s: %.40q is not one of %s", what, word, strings.Join(known, ", "))
 	return 0
 }
 
-func (w *lineParser) finish() error {
-	if w.err == nil && len(w.remaining) > 0 {
-		w.err = fmt.Errorf("%.40q is one word too many", w.remaining[0])
+// finish returns the first error. Words left at the end of the line are an error.
+func (p *lineParser) finish() error {
+	if p.err == nil && len(p.remaining) > 0 {
+		p.err = fmt.Errorf("unexpected word %.40q at the end of the line", p.remaining[0])
 	}
-	return w.err
+	return p.err
 }
 
 const (
-	maxMS      = 1e12
-	maxVersion = math.MaxInt64
+	maxMS      = 1e12          // upper bound of times and ages, in ms
+	maxVersion = math.MaxInt64 // upper bound of epochs and versions of the node list
 )
 
+// Words of the protocol, indexed by the values of balance.Health, balance.Phase and balance.Verdict.
 var healthNames = []string{"serving", "draining", "gone"}
 var phaseNames = []string{"trial", "back", "released", "withdrawn"}
 var verdictNames = []string{"none", "on", "hold", "back"}
 
-// LineConn is one connection of a line protocol; a line longer than Longest ends it before it fills memory.
+// LineConn is a connection of a line protocol. A line longer than MaxLineBytes is a read error, so that a peer can't make
+// the reader buffer an endless line.
 type LineConn struct {
 	*textproto.Conn
 	bounded *boundedConn
 }
 
-// NewLineConn speaks lines on a connection.
+// NewLineConn returns a LineConn on a connection.
 func NewLineConn(nc net.Conn) *LineConn {
-	b := &boundedConn{Conn: nc}
-	return &LineConn{textproto.NewConn(b), b}
+	bounded := &boundedConn{Conn: nc}
+	return &LineConn{textproto.NewConn(bounded), bounded}
 }
 
+// boundedConn fails reads once the allowance for the current line is used up.
 type boundedConn struct {
 	net.Conn
-	remaining int
+	remaining int // bytes that may still be read
 }
 
 func (b *boundedConn) Read(p []byte) (int, error) {
 	if b.remaining <= 0 {
-		return 0, fmt.Errorf("a line of more than %d bytes", MaxLineBytes)
+		return 0, fmt.Errorf("line longer than %d bytes", MaxLineBytes)
 	}
 	n, err := b.Conn.Read(p[:min(len(p), b.remaining)])
 	b.remaining -= n
 	return n, err
 }
 
-// NextLine reads one line.
+// NextLine reads a line.
 func (l *LineConn) NextLine() (string, error) {
-	l.bounded.remaining = MaxLineBytes + 2
+	l.bounded.remaining = MaxLineBytes + 2 // with CRLF
 	return l.ReadLine()
 }
