--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -9,44 +9,45 @@
 	"time"
 )
 
-// MaxMessageBytes is the most bytes of text in one message between marshals.
+// MaxMessageBytes is the maximum length of the text of a message between marshals.
 const MaxMessageBytes = 1024
 
+// messagePrefix starts every message between marshals; 1 is the version of the protocol.
 var messagePrefix = []byte("ARROWCLEAT/1 ")
 
-// AppendPeerMessage writes a message between marshals: who it is from, and its text.
+// AppendPeerMessage appends an encoded message between marshals to b: the number of its sender and its text.
 func AppendPeerMessage(b []byte, from int, text string) []byte {
 	b = strconv.AppendInt(append(b, messagePrefix...), int64(from), 10)
 	return append(append(b, ' '), text...)
 }
 
-// ParsePeerMessage reads a message between marshals.
+// ParsePeerMessage decodes a message between marshals.
 func ParsePeerMessage(b []byte) (from int, text string, err error) {
 	rest, ok := bytes.CutPrefix(b, messagePrefix)
 	if !ok {
-		return 0, "", errors.New("no message between marshals of this version")
+		return 0, "", errors.New("not a peer message of this protocol version")
 	}
 	number, body, ok := bytes.Cut(rest, []byte(" "))
 	from, err = strconv.Atoi(string(number))
 	if !ok || err != nil || from < 0 || len(body) > MaxMessageBytes {
-		return 0, "", fmt.Errorf("message between marshals malformed: %.40q", rest)
+		return 0, "", fmt.Errorf("malformed peer message: %.40q", rest)
 	}
 	return from, string(body), nil
 }
 
-// PeerTransport sends and receives messages between marshals; any of them may be lost, doubled or late.
+// PeerTransport sends and receives messages between marshals over UDP. Messages may be lost, duplicated or delayed.
 type PeerTransport struct {
-	Number        int
-	Addresses     map[int]*net.UDPAddr
+	Number        int                  // this marshal's
+	Addresses     map[int]*net.UDPAddr // of the other marshals, by number
 	Conn          *net.UDPConn
 	OnPeerMessage func(from int, text string)
-	OnError       func(err error)
+	OnError       func(err error) // an invalid message was received, or one to send is too long
 }
 
-// receiveRetryDelay is the wait after a receive that failed: one that goes on failing must not take the processor.
+// receiveRetryDelay is the wait after a failed receive, so that a persistent error doesn't occupy the processor.
 const receiveRetryDelay = time.Millisecond
 
-// Run receives until the socket is closed. Who a message is from must be a known peer.
+// Run receives messages until the socket is closed. A message whose sender is not a known peer is reported to OnError.
 func (p *PeerTransport) Run() {
 	b := make([]byte, len(messagePrefix)+32+MaxMessageBytes+1)
 	for {
@@ -56,11 +57,11 @@
 		}
 		if err != nil {
 			time.Sleep(receiveRetryDelay)
-			continue // an earlier message found nobody
+			continue // for example, an earlier message was sent to a closed port
 		}
 		from, text, err := ParsePeerMessage(b[:n])
 		if err == nil && (p.Addresses[from] == nil || from == p.Number) {
-			err = fmt.Errorf("message from marshal %d, which is no peer", from)
+			err = fmt.Errorf("message from marshal %d, which is not a known peer", from)
 		}
 		if err != nil {
 			p.OnError(err)
@@ -70,16 +71,16 @@
 	}
 }
 
-// Tell sends to one peer, or to all where to is negative.
+// Tell sends a message to one peer, or to all peers if to is negative.
 func (p *PeerTransport) Tell(to int, text string) {
 	if len(text) > MaxMessageBytes {
-		p.OnError(fmt.Errorf("a message of %d bytes, more than %d, is not sent", len(text), MaxMessageBytes))
+		p.OnError(fmt.Errorf("peer message not sent: its %d bytes exceed the limit of %d", len(text), MaxMessageBytes))
 		return
 	}
 	b := AppendPeerMessage(nil, p.Number, text)
 	for number, address := range p.Addresses {
 		if to < 0 || to == number {
-			p.Conn.WriteToUDP(b, address) // it may be lost anyway
+			p.Conn.WriteToUDP(b, address) // errors are ignored: messages may be lost anyway
 		}
 	}
 }
