--- a/internal/control/conveyor.go
+++ b/internal/control/conveyor.go
@@ -12,63 +12,65 @@
 	"arrowcleat/balance"
 )
 
-// RolloutClient is a marshal's connection to the conveyor.
+// RolloutClient is a marshal's connection to the rollout service.
 type RolloutClient struct {
 	Address        string
-	Number         int // the marshal's
+	Number         int // this marshal's
 	InitialBackoff time.Duration
 	MaxBackoff     time.Duration
-	VoteTimeout    time.Duration // for a vote's answer
+	VoteTimeout    time.Duration // for the answer to a vote
 	Log            *slog.Logger
 
+	// OnStageUpdate receives the stage of a build. reply is true for the answer to a vote.
 	OnStageUpdate func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
-	OnVoteFailed  func(how balance.Ending)
+	OnVoteFailed  func(outcome balance.Ending)
 	OnBuildStats  func(ver, op, samples, errors int, mean, age float64)
 	OnWrongAnswer func(node uint32, op int, age float64)
 
 	mu          sync.Mutex
 	conn        *LineConn
 	lastVoteID  uint64
-	pendingVote uint64 // the vote that waits for its answer, 0 for none
+	pendingVote uint64 // id of the vote whose answer is pending; 0: none
 }
 
-// AppendStage writes the news of a stage.
+// AppendStage appends the STAGE message to b.
 func AppendStage(b []byte, ver, stage int, phase balance.Phase, cap, age float64) []byte {
 	return fmt.Appendf(b, "STAGE %d %d %s %g %.0f", ver, stage, phaseNames[phase], cap, age)
 }
 
-func parseStage(w *lineParser) (ver, stage int, phase balance.Phase, cap, age float64) {
-	ver = int(w.integer("ver", 0, 1<<31))
-	stage = int(w.integer("stage", 0, 1000))
-	phase = balance.Phase(w.oneOf("phase", phaseNames...))
-	cap = w.float("cap", 0, 1)
-	age = w.float("age", 0, maxMS)
+// parseStage reads the fields of a STAGE message.
+func parseStage(p *lineParser) (ver, stage int, phase balance.Phase, cap, age float64) {
+	ver = int(p.integer("ver", 0, 1<<31))
+	stage = int(p.integer("stage", 0, 1000))
+	phase = balance.Phase(p.oneOf("phase", phaseNames...))
+	cap = p.float("cap", 0, 1)
+	age = p.float("age", 0, maxMS)
 	return
 }
 
-// ParseVote reads a vote, on the conveyor's side.
+// ParseVote decodes a VOTE message, for the service's side.
 func ParseVote(text string) (id uint64, ver, stage int, verdict balance.Verdict, err error) {
-	w := newLineParser(text)
-	w.oneOf("message", "VOTE")
-	id = uint64(w.integer("id", 0, math.MaxInt64))
-	ver = int(w.integer("ver", 0, 1<<31))
-	stage = int(w.integer("stage", 0, 1000))
-	verdict = balance.Verdict(w.oneOf("verdict", verdictNames...))
-	return id, ver, stage, verdict, w.finish()
+	p := newLineParser(text)
+	p.oneOf("message", "VOTE")
+	id = uint64(p.integer("id", 0, math.MaxInt64))
+	ver = int(p.integer("ver", 0, 1<<31))
+	stage = int(p.integer("stage", 0, 1000))
+	verdict = balance.Verdict(p.oneOf("verdict", verdictNames...))
+	return id, ver, stage, verdict, p.finish()
 }
 
-// Run keeps the connection until the context ends.
+// Run maintains the connection until the context ends.
 func (c *RolloutClient) Run(ctx context.Context) {
 	KeepConnected(ctx, "conveyor", c.Address, c.InitialBackoff, c.MaxBackoff, c.Log, c.session)
 }
 
 func (c *RolloutClient) session(_ context.Context, nc net.Conn) error {
-	t := NewLineConn(nc)
-	if err := t.PrintfLine("HELLO %d", c.Number); err != nil {
+	conn := NewLineConn(nc)
+	if err := conn.PrintfLine("HELLO %d", c.Number); err != nil {
 		return err
 	}
 	c.mu.Lock()
-	c.conn = t
+	c.conn = conn
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
@@ -76,35 +78,35 @@
 		c.mu.Unlock()
 	}()
 	for {
-		line, err := t.NextLine()
+		line, err := conn.NextLine()
 		if err != nil {
 			return err
 		}
 		if err := c.HandleLine(line); err != nil {
-			return fmt.Errorf("conveyor: %w in %.80q", err, line)
+			return fmt.Errorf("rollout service: %w in %.80q", err, line)
 		}
 	}
 }
 
-// HandleLine takes one line of the conveyor's.
+// HandleLine processes a line from the rollout service.
 func (c *RolloutClient) HandleLine(line string) error {
-	w := newLineParser(line)
-	switch w.oneOf("message", "STAGE", "VOTED", "TALLY", "FLAG") {
+	p := newLineParser(line)
+	switch p.oneOf("message", "STAGE", "VOTED", "TALLY", "FLAG") {
 	case 0:
-		ver, stage, phase, cap, age := parseStage(w)
-		if w.finish() == nil {
+		ver, stage, phase, cap, age := parseStage(p)
+		if p.finish() == nil {
 			c.OnStageUpdate(ver, stage, phase, cap, age, false)
 		}
 	case 1:
-		id := uint64(w.integer("id", 0, math.MaxInt64))
-		answer := w.oneOf("answer", "ok", "refused", "busy", "error")
+		id := uint64(p.integer("id", 0, math.MaxInt64))
+		answer := p.oneOf("answer", "ok", "refused", "busy", "error")
 		var ver, stage int
 		var phase balance.Phase
 		var cap, age float64
 		if answer == 0 {
-			ver, stage, phase, cap, age = parseStage(w)
+			ver, stage, phase, cap, age = parseStage(p)
 		}
-		if w.finish() == nil && c.resolveVote(id) {
+		if p.finish() == nil && c.resolveVote(id) {
 			if answer == 0 {
 				c.OnStageUpdate(ver, stage, phase, cap, age, true)
 			} else {
@@ -112,26 +114,26 @@
 			}
 		}
 	case 2:
-		ver, op := int(w.integer("ver", 0, 1<<31)), int(w.integer("operation", 0, 1<<16))
-		samples, errors := int(w.integer("samples", 0, 1<<40)), int(w.integer("errors", 0, 1<<40))
-		mean, age := w.float("mean", 0, maxMS), w.float("age", 0, maxMS)
-		if w.err == nil && errors > samples {
-			w.err = fmt.Errorf("errors: %d of %d samples", errors, samples)
+		ver, op := int(p.integer("ver", 0, 1<<31)), int(p.integer("operation", 0, 1<<16))
+		samples, errors := int(p.integer("samples", 0, 1<<40)), int(p.integer("errors", 0, 1<<40))
+		mean, age := p.float("mean", 0, maxMS), p.float("age", 0, maxMS)
+		if p.err == nil && errors > samples {
+			p.err = fmt.Errorf("errors: %d of %d samples", errors, samples)
 		}
-		if w.finish() == nil {
+		if p.finish() == nil {
 			c.OnBuildStats(ver, op, samples, errors, mean, age)
 		}
 	case 3:
-		node, op := uint32(w.integer("node", 0, math.MaxUint32)), int(w.integer("operation", 0, 1<<16))
-		age := w.float("age", 0, maxMS)
-		if w.finish() == nil {
+		node, op := uint32(p.integer("node", 0, math.MaxUint32)), int(p.integer("operation", 0, 1<<16))
+		age := p.float("age", 0, maxMS)
+		if p.finish() == nil {
 			c.OnWrongAnswer(node, op, age)
 		}
 	}
-	return w.finish()
+	return p.finish()
 }
 
-// resolveVote says that a vote was still waited for; what comes later, or twice, counts no more.
+// resolveVote reports whether the answer to a vote was pending, and clears it. Late and duplicate answers are ignored.
 func (c *RolloutClient) resolveVote(id uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -142,7 +144,11 @@
 	return true
 }
 
-// Vote sends a vote; it is answered by Staged or Failed. One that never left is an error, not silence.
+// unsentVoteDelay is the delay before a vote that could not be sent is reported as failed.
+const unsentVoteDelay = 10 * time.Millisecond
+
+// Vote sends a vote. Its result is reported to OnStageUpdate or OnVoteFailed: a vote that could not be sent fails after
+// unsentVoteDelay, one without an answer after VoteTimeout.
 func (c *RolloutClient) Vote(ver, stage int, verdict balance.Verdict) {
 	c.mu.Lock()
 	c.lastVoteID++
@@ -150,13 +156,13 @@
 	c.pendingVote = id
 	sent := c.conn != nil && c.conn.PrintfLine("VOTE %d %d %d %s", id, ver, stage, verdictNames[verdict]) == nil
 	c.mu.Unlock()
-	patience, how := c.VoteTimeout, balance.TimedOut
+	timeout, outcome := c.VoteTimeout, balance.TimedOut
 	if !sent {
-		patience, how = 10*time.Millisecond, balance.Failed
+		timeout, outcome = unsentVoteDelay, balance.Failed
 	}
-	time.AfterFunc(patience, func() {
+	time.AfterFunc(timeout, func() {
 		if c.resolveVote(id) {
-			c.OnVoteFailed(how)
+			c.OnVoteFailed(outcome)
 		}
 	})
 }
