--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -1,5 +1,5 @@
-// Package rest makes single calls and follows streams of JSON over HTTP/1.1, on the project's own framing. What can't be
-// read whole is an error, and its connection of no further use.
+// Package rest is a small HTTP/1.1 client for single calls and for streams of JSON objects, on package h1. After an error the
+// connection must not be used again.
 package rest
 
 import (
@@ -18,17 +18,17 @@
 	"arrowcleat/internal/h1"
 )
 
-// Bounds on what the other side may send.
+// Limits on what the server may send.
 const (
 	maxHeadBytes = 16 << 10
-	maxBodyBytes = 4 << 20 // of one answer, and of one object of a stream
+	maxBodyBytes = 4 << 20 // of a response, and of an object of a stream
 )
 
 var headLimits = h1.Limits{Line: maxHeadBytes / 4, Header: maxHeadBytes}
 
-// Call makes one call on a connection of its own. sent says whether all of it was written: if not, it was not carried
-// out.
-func Call(ctx context.Context, address, method, target string, body []byte) (status int, answer []byte, sent bool, err error) {
+// Call sends a request on a new connection and reads the response. sent reports whether the whole request was written; if
+// not, the server has not carried it out.
+func Call(ctx context.Context, address, method, target string, body []byte) (status int, response []byte, sent bool, err error) {
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", address)
 	if err != nil {
@@ -44,25 +44,25 @@
 	if err != nil {
 		return 0, nil, true, err
 	}
-	answer, err = io.ReadAll(io.LimitReader(r.Body(h, headLimits), maxBodyBytes+1))
-	if err == nil && len(answer) > maxBodyBytes {
+	response, err = io.ReadAll(io.LimitReader(r.Body(h, headLimits), maxBodyBytes+1))
+	if err == nil && len(response) > maxBodyBytes {
 		err = h1.ErrTooLarge
 	}
 	if err != nil {
-		return 0, nil, true, fmt.Errorf("reading the answer's body: %w", err)
+		return 0, nil, true, fmt.Errorf("reading the response body: %w", err)
 	}
-	return h.Status, answer, true, nil
+	return h.Status, response, true, nil
 }
 
-// Follow asks for a stream on a connection and hands on each of its JSON objects, until it ends, brings nothing for as long
-// as quiet, or an object is not accepted. An object may lie on a line, on several, indented, or beside others, and reads may
-// cut it anywhere; white space between objects is only a sign of life.
-func Follow(nc net.Conn, address, target string, quiet time.Duration, object func([]byte) error) error {
-	nc.SetWriteDeadline(time.Now().Add(quiet))
+// Follow requests a stream and calls handle with each of its JSON objects, until the stream ends, nothing arrives within
+// timeout, or handle returns an error. Objects may be separated by any white space, which also serves as a keep-alive, or by
+// none; reads may split them anywhere.
+func Follow(nc net.Conn, address, target string, timeout time.Duration, handle func([]byte) error) error {
+	nc.SetWriteDeadline(time.Now().Add(timeout))
 	if err := sendRequest(nc, address, "GET", target, nil); err != nil {
 		return err
 	}
-	r := h1.NewReader(&idleTimeoutReader{nc, quiet}, 4096)
+	r := h1.NewReader(&idleTimeoutReader{nc, timeout}, 4096)
 	h, err := readResponseHead(r, "GET")
 	if err != nil {
 		return err
@@ -75,9 +75,9 @@
 	objects.Split(splitObject)
 	for objects.Scan() {
 		if !json.Valid(objects.Bytes()) {
-			return fmt.Errorf("following %s: no JSON object: %.80q", target, objects.Bytes())
+			return fmt.Errorf("following %s: not a JSON object: %.80q", target, objects.Bytes())
 		}
-		if err := object(objects.Bytes()); err != nil {
+		if err := handle(objects.Bytes()); err != nil {
 			return err
 		}
 	}
@@ -87,7 +87,7 @@
 	return io.EOF
 }
 
-// splitObject is a bufio.SplitFunc: a token goes from an opening brace to the one that closes it.
+// splitObject is a bufio.SplitFunc whose tokens are JSON objects, from the opening brace to the matching closing brace.
 func splitObject(data []byte, atEOF bool) (advance int, token []byte, err error) {
 	rest := bytes.TrimLeft(data, " \t\r\n")
 	start := len(data) - len(rest)
@@ -95,17 +95,17 @@
 		return start, nil, nil
 	}
 	if rest[0] != '{' {
-		return 0, nil, fmt.Errorf("no JSON object: %.80q", rest)
+		return 0, nil, fmt.Errorf("not a JSON object: %.80q", rest)
 	}
-	depth, text, escaped := 0, false, false
+	depth, inString, escaped := 0, false, false
 	for i, c := range rest {
 		switch {
 		case escaped:
 			escaped = false
-		case text:
-			escaped, text = c == '\\', c != '"'
+		case inString:
+			escaped, inString = c == '\\', c != '"'
 		case c == '"':
-			text = true
+			inString = true
 		case c == '{':
 			depth++
 		case c == '}':
@@ -120,43 +120,44 @@
 	return start, nil, nil
 }
 
-// idleTimeoutReader reads a stream that is silent for no longer than quiet.
+// idleTimeoutReader fails a read when nothing arrives within timeout.
 type idleTimeoutReader struct {
 	nc      net.Conn
 	timeout time.Duration
 }
 
-// finalReadTimeout is how long a stream that seems silent is read once more. It guards against a process that itself stood still: its
-// deadline is past, but what came meanwhile is there.
+// finalReadTimeout is the time for one more read after a time-out. If this process was stalled, the deadline has passed
+// although data arrived in time.
 const finalReadTimeout = 20 * time.Millisecond
 
-func (p *idleTimeoutReader) Read(b []byte) (int, error) {
-	p.nc.SetReadDeadline(time.Now().Add(p.timeout))
-	n, err := p.nc.Read(b)
+func (r *idleTimeoutReader) Read(b []byte) (int, error) {
+	r.nc.SetReadDeadline(time.Now().Add(r.timeout))
+	n, err := r.nc.Read(b)
 	if n == 0 && errors.Is(err, os.ErrDeadlineExceeded) {
-		p.nc.SetReadDeadline(time.Now().Add(finalReadTimeout))
-		n, err = p.nc.Read(b)
+		r.nc.SetReadDeadline(time.Now().Add(finalReadTimeout))
+		n, err = r.nc.Read(b)
 	}
 	return n, err
 }
 
+// sendRequest writes a request; a nil body sends none.
 func sendRequest(nc net.Conn, address, method, target string, body []byte) error {
 	b := append([]byte(method+" "+target+" HTTP/1.1\r\n"), "Host: "+address+"\r\n"...)
 	if body != nil {
 		b = h1.AppendField(h1.AppendField(b, "Content-Type", "application/json"), "Content-Length", strconv.Itoa(len(body)))
 	}
 	if _, err := nc.Write(append(append(b, "\r\n"...), body...)); err != nil {
-		return fmt.Errorf("asking %s: %w", target, err)
+		return fmt.Errorf("sending the request for %s: %w", target, err)
 	}
 	return nil
 }
 
-// readResponseHead reads heads up to the final one.
+// readResponseHead reads the head of the response and skips interim (1xx) ones.
 func readResponseHead(r *h1.Reader, method string) (*h1.Head, error) {
 	for {
 		h, err := r.Response(method, headLimits)
 		if err != nil {
-			return nil, fmt.Errorf("reading the answer's head: %w", err)
+			return nil, fmt.Errorf("reading the response head: %w", err)
 		}
 		if h.Status >= 200 {
 			return h, nil
