--- a/internal/rest/rest_test.go
+++ b/internal/rest/rest_test.go
@@ -12,28 +12,29 @@
 	"time"
 )
 
-// follow follows a stream whose server writes pieces, and gives the objects, each on a line, with the end.
-func follow(t *testing.T, quiet time.Duration, hang bool, pieces ...string) (got []string, err error) {
+// follow follows a stream whose server writes pieces, each as a chunk, and then hangs or ends the stream. It returns the
+// objects, encoded again, and the error of Follow.
+func follow(t *testing.T, timeout time.Duration, hang bool, pieces ...string) (got []string, err error) {
 	t.Helper()
-	here, there := net.Pipe()
-	defer here.Close()
+	client, server := net.Pipe()
+	defer client.Close()
 	go func() {
 		defer func() {
 			if !hang {
-				there.Close()
+				server.Close()
 			}
 		}()
 		b := make([]byte, 4096)
-		there.Read(b)
-		io.WriteString(there, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+		server.Read(b)
+		io.WriteString(server, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 		for _, p := range pieces {
-			fmt.Fprintf(there, "%x\r\n%s\r\n", len(p), p)
+			fmt.Fprintf(server, "%x\r\n%s\r\n", len(p), p)
 		}
 		if !hang {
-			io.WriteString(there, "0\r\n\r\n")
+			io.WriteString(server, "0\r\n\r\n")
 		}
 	}()
-	err = Follow(here, "x", "/", quiet, func(b []byte) error {
+	err = Follow(client, "x", "/", timeout, func(b []byte) error {
 		var v any
 		if err := json.Unmarshal(b, &v); err != nil {
 			t.Errorf("%q: %v", b, err)
@@ -42,11 +43,11 @@
 		got = append(got, string(line))
 		return nil
 	})
-	there.Close()
+	server.Close()
 	return got, err
 }
 
-// Objects are found wherever they lie and wherever a read cuts them.
+// Objects are found in any layout of white space, and wherever a read splits them.
 func TestObjects(t *testing.T) {
 	list := map[string]any{"seq": 41, "s": `a}"{\`, "hosts": []any{}}
 	for i := range 150 {
@@ -59,7 +60,7 @@
 		"a line each":    "{\"a\":1}\n" + string(flat) + "\n{\"b\":\"}\"}\n{}\n",
 		"indented":       "{\n \"a\": 1\n}\n" + string(indented) + "\r\n\r\n\n{\"b\":\n\"}\"}\n\n{}",
 		"on one line":    "{\"a\":1}" + string(indented) + "  {\"b\":\"}\"}{}",
-		"signs of life":  "\n\n{\"a\":1}\n\n\n" + string(flat) + "\n\n{\"b\":\"}\"}\n{}\n\n",
+		"keep-alives":    "\n\n{\"a\":1}\n\n\n" + string(flat) + "\n\n{\"b\":\"}\"}\n{}\n\n",
 		"a byte a chunk": "",
 	} {
 		pieces := []string{text}
@@ -68,35 +69,35 @@
 		}
 		got, err := follow(t, time.Second, false, pieces...)
 		if strings.Join(got, "\n") != strings.Join(want, "\n") || err != io.EOF {
-			t.Errorf("%s: %d objects, %v", layout, len(got), err)
+			t.Errorf("%s: got %d objects, error %v; want %d objects, EOF", layout, len(got), err, len(want))
 		}
 	}
 	text := "{\"a\":1}\n\n{ \"b\":\"\\\"}\"}"
-	for cut := 1; cut < len(text); cut++ {
-		got, err := follow(t, time.Second, false, text[:cut], text[cut:])
+	for split := 1; split < len(text); split++ {
+		got, err := follow(t, time.Second, false, text[:split], text[split:])
 		if len(got) != 2 || err != io.EOF {
-			t.Errorf("cut at %d: %q, %v", cut, got, err)
+			t.Errorf("split at %d: got %q, error %v; want 2 objects, EOF", split, got, err)
 		}
 	}
 }
 
-// What is no object ends the stream; what came whole before it counts.
-func TestSpoiltStream(t *testing.T) {
-	for _, spoilt := range []string{"noise", "5\n", "[{}]", "{\"a\":nope}", "{\"a\":\"\n\"}", "{\"a\":1", "}"} {
-		got, err := follow(t, time.Second, false, "{\"a\":1}\n"+spoilt)
+// An invalid object ends the stream with an error; the objects before it are delivered.
+func TestInvalidStream(t *testing.T) {
+	for _, invalid := range []string{"noise", "5\n", "[{}]", "{\"a\":nope}", "{\"a\":\"\n\"}", "{\"a\":1", "}"} {
+		got, err := follow(t, time.Second, false, "{\"a\":1}\n"+invalid)
 		if len(got) != 1 || err == nil || err == io.EOF {
-			t.Errorf("%q: %q, %v", spoilt, got, err)
+			t.Errorf("%q: got %q, error %v; want 1 object and an error other than EOF", invalid, got, err)
 		}
 	}
 }
 
-// A stream that falls silent ends in time, wherever it does; signs of life keep it.
+// A stream that stops sending times out, at whatever point it stops.
 func TestSilentStream(t *testing.T) {
-	for name, pieces := range map[string][]string{"after its head": nil, "after an object": {"{}\n"}, "in mid-object": {"{\"a\":"}} {
-		from := time.Now()
+	for name, pieces := range map[string][]string{"after its head": nil, "after an object": {"{}\n"}, "within an object": {"{\"a\":"}} {
+		start := time.Now()
 		_, err := follow(t, 100*time.Millisecond, true, pieces...)
-		if took := time.Since(from); !errors.Is(err, os.ErrDeadlineExceeded) || took < 100*time.Millisecond || took > time.Second {
-			t.Errorf("%s: %v after %v", name, err, took)
+		if took := time.Since(start); !errors.Is(err, os.ErrDeadlineExceeded) || took < 100*time.Millisecond || took > time.Second {
+			t.Errorf("%s: error %v after %v; want a time-out after 100 ms to 1 s", name, err, took)
 		}
 	}
 }
