--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -11,33 +11,33 @@
 	"arrowcleat/internal/control"
 )
 
-// The waits between two connections; each is jittered, and a connection that hangs is given up after the longest.
+// Bounds of the jittered backoff between connections. maxBackoff is also the time-out for connecting.
 const (
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
 )
 
-var errSuperseded = errors.New("another address has spoken since")
+var errSuperseded = errors.New("superseded by a session with a newer address")
 
-// endpoint is an address that can change while a session with it is kept. The session with the address before goes on until
-// the one with the new has spoken, or until it ends: a marshal hears of changes all the while.
+// endpoint is a server whose address can change. A session with the previous address continues until the first message from
+// the new address, or until it ends, so that updates keep arriving during the change.
 type endpoint struct {
 	mu             sync.Mutex
 	address        string
-	addressChanged chan struct{} // closed at the next Move
-	latestSession  int           // number of the session that spoke last
+	addressChanged chan struct{} // closed by the next SetAddress; nil: nothing waits for it
+	latestSession  int           // number of the session that received the last message
 }
 
-// session is what is kept with one address.
+// session is a connection to one address that is maintained across reconnects.
 type session struct {
 	endpoint *endpoint
-	number   int
+	number   int // counted from 1; a session with a newer address has a higher number
 	address  string
 	cancel   context.CancelFunc
-	previous *session
+	previous *session // with the address before, until it is cancelled
 }
 
-// SetAddress goes over to another address.
+// SetAddress changes the address.
 func (e *endpoint) SetAddress(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -56,7 +56,7 @@
 	return e.address
 }
 
-// watchAddress waits for nothing: it gives the address, and what is closed once it is another.
+// watchAddress returns the address, and a channel that is closed when it changes.
 func (e *endpoint) watchAddress() (string, chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -66,44 +66,44 @@
 	return e.address, e.addressChanged
 }
 
-// keepConnected holds a session with the address there is, again and again, until the context ends.
+// keepConnected maintains a session with the current address until the context ends. follow handles one connection.
 func (e *endpoint) keepConnected(ctx context.Context, name string, log *slog.Logger, follow func(*session, net.Conn) error) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	var before *session
+	var previous *session
 	for number := 1; ctx.Err() == nil; number++ {
-		address, moved := e.watchAddress()
-		here, leave := context.WithCancel(ctx)
-		s := &session{e, number, address, leave, before}
+		address, changed := e.watchAddress()
+		sessionCtx, cancel := context.WithCancel(ctx)
+		s := &session{e, number, address, cancel, previous}
 		wg.Go(func() {
-			control.KeepConnected(here, name, address, initialBackoff, maxBackoff, log, func(_ context.Context, nc net.Conn) error {
+			control.KeepConnected(sessionCtx, name, address, initialBackoff, maxBackoff, log, func(_ context.Context, nc net.Conn) error {
 				err := follow(s, nc)
 				select {
-				case <-moved: // it is not opened again
-					leave()
+				case <-changed: // don't reconnect to the old address
+					cancel()
 				default:
 				}
 				return err
 			})
 		})
-		before = s
+		previous = s
 		select {
 		case <-ctx.Done():
-			leave()
-		case <-moved:
+			cancel()
+		case <-changed:
 		}
 	}
 }
 
-// withLock does something while no session of the endpoint speaks.
+// withLock calls f while no session of the endpoint delivers a message.
 func (s *session) withLock(f func()) {
 	s.endpoint.mu.Lock()
 	defer s.endpoint.mu.Unlock()
 	f()
 }
 
-// deliver does what the session's news asks for, and ends those with earlier addresses; false says that one with a later
-// address has spoken, so that this news is older.
+// deliver calls f for a message of the session, and cancels the sessions with older addresses. It returns false without
+// calling f if a session with a newer address has already received a message.
 func (s *session) deliver(f func()) bool {
 	s.endpoint.mu.Lock()
 	defer s.endpoint.mu.Unlock()
@@ -111,8 +111,8 @@
 		return false
 	}
 	s.endpoint.latestSession = s.number
-	for b := s.previous; b != nil; b = b.previous {
-		b.cancel()
+	for p := s.previous; p != nil; p = p.previous {
+		p.cancel()
 	}
 	s.previous = nil
 	f()
