--- a/internal/platform/heads.go
+++ b/internal/platform/heads.go
@@ -13,76 +13,76 @@
 	"arrowcleat/internal/settings"
 )
 
-// reportNames are the names of what nodes report, as the module knows them.
+// reportNames maps the names of the load metrics that nodes report to the module's names.
 var reportNames = map[string]string{"inflight": "held", "queue": "waiting", "util": "busy", "latency_ms": "service-ms",
 	"qps": "rate", "eps": "errors"}
 
-// readRequest reads what a request's head asks for. What nodes would turn away, and what could be read in two ways, is an
-// error: nothing was taken.
-func (c *Config) readRequest(h *h1.Head) (a front.Asked, err error) {
+// readRequest reads the parameters of a request from its head. A request that nodes would refuse, or that is ambiguous, is an
+// error; it is not accepted.
+func (c *Config) readRequest(h *h1.Head) (request front.Asked, err error) {
 	id, ok := singleValue(h.Header, "X-Trace-Id")
 	if !ok || !validID(id) {
-		return a, front.Refused(400, "one X-Trace-Id is due")
+		return request, front.Refused(400, "one X-Trace-Id is due")
 	}
 	class, ok := singleValue(h.Header, "X-Qos")
-	a.Op = slices.IndexFunc(c.Settings.Operation, func(o *settings.Operation) bool { return o.Name == class })
-	if !ok || a.Op < 0 {
-		return a, front.Refused(404, "no operation of this name in X-Qos")
+	request.Op = slices.IndexFunc(c.Settings.Operation, func(o *settings.Operation) bool { return o.Name == class })
+	if !ok || request.Op < 0 {
+		return request, front.Refused(404, "no operation of this name in X-Qos")
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
 	if !pathMatches(path, class) {
-		return a, front.Refused(404, "path and X-Qos name different operations")
+		return request, front.Refused(404, "path and X-Qos name different operations")
 	}
 	method := "GET"
-	if c.Settings.Operation[a.Op].Repeat != settings.Repeat_IDEMPOTENT {
+	if c.Settings.Operation[request.Op].Repeat != settings.Repeat_IDEMPOTENT {
 		method = "POST"
 	}
 	if h.Method != method {
-		return a, front.Refused(405, class+" is called by "+method)
+		return request, front.Refused(405, class+" is called by "+method)
 	}
 	if method == "GET" && h.Length != 0 {
-		return a, front.Refused(400, "a GET has no body here")
+		return request, front.Refused(400, "a GET has no body here")
 	}
-	if c.Settings.Operation[a.Op].Repeat == settings.Repeat_FINGERPRINTED {
-		if mark, ok := singleValue(h.Header, "Idempotency-Key"); !ok || mark == "" {
-			return a, front.Refused(400, "one Idempotency-Key is due")
+	if c.Settings.Operation[request.Op].Repeat == settings.Repeat_FINGERPRINTED {
+		if key, ok := singleValue(h.Header, "Idempotency-Key"); !ok || key == "" {
+			return request, front.Refused(400, "one Idempotency-Key is due")
 		}
 	}
-	a.Limit = c.Settings.Operation[a.Op].LimitMs
+	request.Limit = c.Settings.Operation[request.Op].LimitMs
 	if text, given := h.Header["X-Expires-In-Ms"]; given {
 		ms, err := strconv.ParseUint(text[0], 10, 64)
-		if err != nil && !errors.Is(err, strconv.ErrRange) || len(text) > 1 { // more than can be counted is longer than any limit
-			return a, front.Refused(400, "X-Expires-In-Ms is no number of whole milliseconds")
+		if err != nil && !errors.Is(err, strconv.ErrRange) || len(text) > 1 { // a number out of range exceeds any limit
+			return request, front.Refused(400, "X-Expires-In-Ms is no number of whole milliseconds")
 		}
-		a.Limit = min(a.Limit, float64(ms))
+		request.Limit = min(request.Limit, float64(ms))
 	}
 	if hint, err := strconv.ParseFloat(h.Header.Get("X-Size-Hint"), 64); err == nil && hint > 0 && hint < 1e12 {
-		a.Cost = hint / 1000
+		request.Cost = hint / 1000
 	}
-	a.ID, a.Tenant, a.Key = id, c.Settings.TenantIndex(h.Header.Get("X-Customer")), h.Header.Get("X-Object")
-	a.Retry = h.Header.Get("X-Second-Try") == "1"
+	request.ID, request.Tenant, request.Key = id, c.Settings.TenantIndex(h.Header.Get("X-Customer")), h.Header.Get("X-Object")
+	request.Retry = h.Header.Get("X-Second-Try") == "1"
 	for prop := range strings.SplitSeq(h.Header.Get("X-Props"), ",") {
 		if name, value, _ := strings.Cut(strings.TrimSpace(prop), "="); name == "write" {
-			a.Write = value != "" && value != "0" && value != "false"
+			request.Write = value != "" && value != "0" && value != "false"
 		}
 	}
-	return a, nil
+	return request, nil
 }
 
-// pathMatches says that a path's first part is a class, written as it is or escaped; its name may hold what ends a part.
+// pathMatches reports whether a path starts with the name of a class, literal or percent-escaped. The name may contain slashes.
 func pathMatches(path, class string) bool {
-	is := func(path string) bool {
+	hasClass := func(path string) bool {
 		rest, ok := strings.CutPrefix(path, "/"+class)
 		return ok && (rest == "" || rest[0] == '/')
 	}
-	if is(path) {
+	if hasClass(path) {
 		return true
 	}
-	plain, err := url.PathUnescape(path)
-	return err == nil && is(plain)
+	unescaped, err := url.PathUnescape(path)
+	return err == nil && hasClass(unescaped)
 }
 
-// singleValue is the value of a header that stands there once.
+// singleValue returns the value of a header field that occurs exactly once.
 func singleValue(h textproto.MIMEHeader, name string) (string, bool) {
 	if v := h[name]; len(v) == 1 {
 		return v[0], true
@@ -90,7 +90,7 @@
 	return "", false
 }
 
-// validID says that an id could be one of a client's.
+// validID reports whether an id has 1 to 128 printable ASCII characters and no space.
 func validID(id string) bool {
 	for i := range len(id) {
 		if id[i] <= ' ' || id[i] >= 0x7f {
