--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -11,35 +11,35 @@
 	"arrowcleat/balance"
 )
 
-// PeerTransport sends and receives datagrams between marshals. Who one is from, its sender's address says.
+// PeerTransport sends and receives messages between marshals over UDP. The source address of a datagram identifies its sender.
 type PeerTransport struct {
 	conn      *net.UDPConn
-	addresses []netip.AddrPort // by the marshals' numbers
+	addresses []netip.AddrPort // by the numbers of the marshals
 	allPeers  netip.AddrPort
 	numbers   map[netip.AddrPort]int
 	onMessage func(from int, text string)
 	log       *slog.Logger
 }
 
-// openPeers opens the socket between marshals.
-func (c *Config) openPeers(log *slog.Logger, told func(from int, text string)) (*PeerTransport, error) {
-	p := &PeerTransport{numbers: map[netip.AddrPort]int{}, onMessage: told, log: log}
-	read := func(name, text string) (netip.AddrPort, error) {
+// openPeers opens the socket for messages between marshals.
+func (c *Config) openPeers(log *slog.Logger, onMessage func(from int, text string)) (*PeerTransport, error) {
+	p := &PeerTransport{numbers: map[netip.AddrPort]int{}, onMessage: onMessage, log: log}
+	parse := func(name, text string) (netip.AddrPort, error) {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return a, fmt.Errorf("%s: %w", name, err)
 		}
 		return a, nil
 	}
-	listen, err := read("peer_listen", c.peerListen)
+	listen, err := parse("peer_listen", c.peerListen)
 	if err != nil {
 		return nil, err
 	}
-	if p.allPeers, err = read("peers_all", c.allPeersAddress); err != nil {
+	if p.allPeers, err = parse("peers_all", c.allPeersAddress); err != nil {
 		return nil, err
 	}
 	for i, text := range c.peerAddresses {
-		a, err := read("peers", text)
+		a, err := parse("peers", text)
 		if err != nil {
 			return nil, err
 		}
@@ -52,10 +52,10 @@
 	return p, nil
 }
 
-// receiveRetryDelay is the wait after a receive that failed: one that goes on failing must not take the processor.
+// receiveRetryDelay is the wait after a failed receive, so that a persistent error doesn't occupy the processor.
 const receiveRetryDelay = time.Millisecond
 
-// Run receives until the socket is closed; what is from no peer is dropped.
+// Run receives messages until the socket is closed. Messages from unknown addresses and oversized ones are dropped.
 func (p *PeerTransport) Run() {
 	b := make([]byte, maxDatagramBytes+1)
 	for {
@@ -74,7 +74,7 @@
 	}
 }
 
-// Tell sends to one marshal, or to all; what is too long is not sent.
+// Tell sends a message to one marshal, or to all with balance.Everyone. A message that is too long is not sent.
 func (p *PeerTransport) Tell(to int, text string) {
 	address := p.allPeers
 	if to != balance.Everyone {
@@ -84,10 +84,10 @@
 		address = p.addresses[to]
 	}
 	if len(text) > maxDatagramBytes {
-		p.log.Warn("a message between marshals is too long and not sent", "bytes", len(text))
+		p.log.Warn("peer message too long; not sent", "bytes", len(text))
 		return
 	}
-	p.conn.WriteToUDPAddrPort([]byte(text), address) // it may be lost anyway
+	p.conn.WriteToUDPAddrPort([]byte(text), address) // errors are ignored: messages may be lost anyway
 }
 
 // Close closes the socket.
