--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -311,15 +311,15 @@
 		}
 		wg.Wait()
 	}()
-	transports[0].Tell(2, "one")
+	transports[0].SendToPeer(2, "one")
 	if s := <-got; s != "0>2 one" {
 		t.Error(s)
 	}
-	transports[1].Tell(-1, "all")
+	transports[1].SendToPeer(-1, "all")
 	if a, b := <-got, <-got; a+b != "1>0 all1>2 all" && a+b != "1>2 all1>0 all" {
 		t.Error(a, b)
 	}
-	transports[0].Tell(1, strings.Repeat("x", MaxMessageBytes+1))
+	transports[0].SendToPeer(1, strings.Repeat("x", MaxMessageBytes+1))
 	transports[0].Conn.WriteToUDP([]byte("hello"), addresses[1])
 	transports[0].Conn.WriteToUDP(AppendPeerMessage(nil, 9, "x"), addresses[1])
 	for range 3 {
--- a/internal/control/peers.go
+++ b/internal/control/peers.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// Tell sends a message to one peer, or to all peers if to is negative.
-func (p *PeerTransport) Tell(to int, text string) {
+// SendToPeer sends a message to one peer, or to all peers if to is negative.
+func (p *PeerTransport) SendToPeer(to int, text string) {
 	if len(text) > MaxMessageBytes {
 		p.OnError(fmt.Errorf("peer message not sent: its %d bytes exceed the limit of %d", len(text), MaxMessageBytes))
 		return
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// Tell sends a message to one marshal, or to all with balance.Everyone. A message that is too long is not sent.
-func (p *PeerTransport) Tell(to int, text string) {
+// SendToPeer sends a message to one marshal, or to all with balance.Everyone. A message that is too long is not sent.
+func (p *PeerTransport) SendToPeer(to int, text string) {
 	address := p.allPeers
 	if to != balance.Everyone {
 		if to < 0 || to >= len(p.addresses) {
--- a/internal/serve/hooks.go
+++ b/internal/serve/hooks.go
@@ -62,6 +62,6 @@
 // Peers are the other marshals.
 type Peers interface {
 	Run()
-	Tell(to int, text string)
+	SendToPeer(to int, text string)
 	Close() error
 }
--- a/internal/serve/outside.go
+++ b/internal/serve/outside.go
@@ -53,5 +53,5 @@
 	if len(l.m.groups) > 1 {
 		text = strconv.Itoa(l.number) + " " + text
 	}
-	l.m.peers.Tell(peer, text)
+	l.m.peers.SendToPeer(peer, text)
 }
