--- a/internal/platform/conveyor.go
+++ b/internal/platform/conveyor.go
@@ -16,56 +16,57 @@
 	"arrowcleat/internal/rest"
 )
 
+// apiBase is the prefix of the release API's paths.
 const apiBase = "/v2/projects/main"
 
 var (
 	phaseNames   = []string{"testing", "recalling", "live", "recalled"} // in the order of balance.Phase
-	verdictNames = []string{"none", "on", "hold", "back"}               // in that of balance.Verdict
-	// What a vote that was not carried out comes back with.
+	verdictNames = []string{"none", "on", "hold", "back"}               // in the order of balance.Verdict
+	// voteErrors are the answers to a vote that was not carried out, by status.
 	voteErrors = map[int]struct {
-		word   string
-		ending balance.Ending
+		code    string
+		outcome balance.Ending
 	}{429: {"BUSY", balance.Full}, 409: {"STALE", balance.Ignored}, 500: {"FAILED", balance.Failed}, 400: {"SYNTAX", balance.Failed}}
 )
 
-// StageUpdateFunc is told where the newest build stands.
+// StageUpdateFunc receives the rollout state of the newest build. reply is true for the answer to a vote.
 type StageUpdateFunc = func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
 
-// RolloutClient follows the platform's news of the newest build, and votes on it.
+// RolloutClient follows the rollout of the newest build on the release API, and votes on it.
 type RolloutClient struct {
 	endpoint
-	VoteTimeout   time.Duration // for a vote's answer
+	VoteTimeout   time.Duration // for the answer to a vote
 	Log           *slog.Logger
 	OnStageUpdate StageUpdateFunc
-	OnVoteFailed  func(how balance.Ending)
+	OnVoteFailed  func(outcome balance.Ending)
 
-	mu     sync.Mutex  // of what is told
-	latest *buildState // told last
+	mu     sync.Mutex  // orders the updates
+	latest *buildState // published last
 }
 
-// buildState is where a build stands.
+// buildState is the rollout state of a build.
 type buildState struct {
 	ver, stage int
 	phase      balance.Phase
 	cap        float64
-	since      time.Time
+	since      time.Time // when the build entered this state
 }
 
-// phaseOrder are the phases in the order that a build comes to stand in them.
+// phaseOrder is the order in which a build enters the phases.
 var phaseOrder = map[balance.Phase]int{balance.OnTrial: 0, balance.Released: 1, balance.GoingBack: 2, balance.Withdrawn: 3}
 
-// precedes says that a state is one that the build had precedes another. A vote's answer and the stream come on two connections:
-// the answer may have been given precedes what the stream told, and would raise a cap again that has fallen. patience bounds how
-// much later than it was given it can come; what came to stand so later than that is news, whatever it says.
-func (s *buildState) precedes(o *buildState, patience time.Duration) bool {
-	if s.ver != o.ver {
-		return s.ver < o.ver
+// precedes reports whether s is older than other. The answer to a vote and the event stream arrive on two connections, so that an
+// answer may be older than the last event, and would raise a cap that has been lowered since. An answer is delayed by at most
+// voteTimeout: a state that was entered later than that after other is new, even if its phase or stage is an earlier one.
+func (s *buildState) precedes(other *buildState, voteTimeout time.Duration) bool {
+	if s.ver != other.ver {
+		return s.ver < other.ver
 	}
-	less := phaseOrder[s.phase] < phaseOrder[o.phase] || s.phase == balance.OnTrial && o.phase == balance.OnTrial && s.stage < o.stage
-	return less && s.since.Before(o.since.Add(patience))
+	earlier := phaseOrder[s.phase] < phaseOrder[other.phase] || s.phase == balance.OnTrial && other.phase == balance.OnTrial && s.stage < other.stage
+	return earlier && s.since.Before(other.since.Add(voteTimeout))
 }
 
-// publish tells what is not overtaken; of a reply that is, what stands.
+// publish reports a state that is not older than the latest one. For an older state in a reply it reports the latest one instead.
 func (c *RolloutClient) publish(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -82,9 +83,10 @@
 	c.OnStageUpdate(s.ver, s.stage, s.phase, s.cap, age, reply)
 }
 
-const maxAgeMs = 1e11 // ms that a state's age is counted to
+// maxAgeMs is the greatest age of a state that is distinguished; it keeps the age in the range of time.Duration.
+const maxAgeMs = 1e11
 
-// Run follows the news until the context ends.
+// Run follows the events until the context ends.
 func (c *RolloutClient) Run(ctx context.Context) {
 	c.keepConnected(ctx, "release API", c.Log, func(s *session, nc net.Conn) error {
 		return rest.Follow(nc, s.address, apiBase+"/events", eventsTimeout, func(text []byte) (err error) {
@@ -96,62 +98,65 @@
 	})
 }
 
+// handleEvent processes an object of the event stream.
 func (c *RolloutClient) handleEvent(j gjson.Result) error {
-	if j.Get("type").Str != "ROLLOUT" { // a sign of life, or news of what a marshal has no use for
+	if j.Get("type").Str != "ROLLOUT" { // a keep-alive, or an event that does not concern marshals
 		return nil
 	}
-	c.Log.Debug("news", "object", j.Get("object").Raw)
+	c.Log.Debug("rollout event received", "object", j.Get("object").Raw)
 	return parseState(j.Get("object"), false, c.publish)
 }
 
-// parseState reads a state whole or not at all.
-func parseState(j gjson.Result, reply bool, tell StageUpdateFunc) error {
+// parseState reads a state and calls update with it. An incomplete or invalid state is an error, without a call.
+func parseState(j gjson.Result, reply bool, update StageUpdateFunc) error {
 	phase := slices.Index(phaseNames, j.Get("State").Str)
 	for _, name := range []string{"Revision", "Wave", "MaxShare", "AgeMs"} {
 		if v := j.Get(name); v.Type != gjson.Number || v.Num < 0 {
-			return fmt.Errorf("release API: %s: no number that can be read in %.120q", name, j.Raw)
+			return fmt.Errorf("release API: %s is missing or not a valid number in %.120q", name, j.Raw)
 		}
 	}
 	if phase < 0 || j.Get("MaxShare").Num > 1 {
-		return fmt.Errorf("release API: no state that can be read in %.120q", j.Raw)
+		return fmt.Errorf("release API: invalid State or MaxShare in %.120q", j.Raw)
 	}
-	tell(int(j.Get("Revision").Int()), int(j.Get("Wave").Int()), balance.Phase(phase), j.Get("MaxShare").Num, j.Get("AgeMs").Num, reply)
+	update(int(j.Get("Revision").Int()), int(j.Get("Wave").Int()), balance.Phase(phase), j.Get("MaxShare").Num, j.Get("AgeMs").Num, reply)
 	return nil
 }
 
-// Vote sends a vote on a connection of its own; it is answered by Staged or Failed.
+// Vote sends a vote on a new connection. Its result is reported to OnStageUpdate or OnVoteFailed.
 func (c *RolloutClient) Vote(ver, stage int, verdict balance.Verdict) {
 	go func() {
-		if how := c.sendVote(ver, stage, verdict); how != balance.Succeeded {
-			c.OnVoteFailed(how)
+		if outcome := c.sendVote(ver, stage, verdict); outcome != balance.Succeeded {
+			c.OnVoteFailed(outcome)
 		}
 	}()
 }
 
+// sendVote sends a vote and publishes the state in its answer. An answer that can't be understood leaves the result of the vote
+// open, like a time-out.
 func (c *RolloutClient) sendVote(ver, stage int, verdict balance.Verdict) balance.Ending {
-	ctx, done := context.WithTimeout(context.Background(), c.VoteTimeout)
-	defer done()
+	ctx, cancel := context.WithTimeout(context.Background(), c.VoteTimeout)
+	defer cancel()
 	body := fmt.Appendf(nil, `{"Revision":%d,"Wave":%d,"Decision":%q}`, ver, stage, verdictNames[verdict])
-	status, answer, sent, err := rest.Call(ctx, c.currentAddress(), "POST", apiBase+"/votes", body)
-	how := balance.Succeeded
-	switch refused, known := voteErrors[status]; {
+	status, response, sent, err := rest.Call(ctx, c.currentAddress(), "POST", apiBase+"/votes", body)
+	outcome := balance.Succeeded
+	switch refusal, known := voteErrors[status]; {
 	case err != nil && !sent:
-		how = balance.NoConnect
+		outcome = balance.NoConnect
 	case err != nil:
-		how = balance.TimedOut
-	case !gjson.ValidBytes(answer):
-		err, how = errors.New("not valid JSON"), balance.TimedOut
+		outcome = balance.TimedOut
+	case !gjson.ValidBytes(response):
+		err, outcome = errors.New("not valid JSON"), balance.TimedOut
 	case status == 200:
-		if err = parseState(gjson.ParseBytes(answer), true, c.publish); err != nil {
-			how = balance.TimedOut
+		if err = parseState(gjson.ParseBytes(response), true, c.publish); err != nil {
+			outcome = balance.TimedOut
 		}
-	case known && gjson.GetBytes(answer, "error").Str == refused.word:
-		how = refused.ending
+	case known && gjson.GetBytes(response, "error").Str == refusal.code:
+		outcome = refusal.outcome
 	default:
-		err, how = fmt.Errorf("status %d with %.80q", status, answer), balance.TimedOut
+		err, outcome = fmt.Errorf("unexpected response: status %d, body %.80q", status, response), balance.TimedOut
 	}
-	if how != balance.Succeeded {
+	if outcome != balance.Succeeded {
 		c.Log.Info("vote not answered", "ver", ver, "stage", stage, "status", status, "err", err)
 	}
-	return how
+	return outcome
 }
