--- a/internal/platform/roster.go
+++ b/internal/platform/roster.go
@@ -18,73 +18,74 @@
 	"arrowcleat/internal/rest"
 )
 
-// How long a watch may bring nothing. What a silent one misses counts as told 6 s after it fell silent, and within that it has
-// to be noticed, opened anew and read whole: a sign of life that is late by more than half of its period is missed.
+// Time-outs of streams that bring no data. An update that an unresponsive stream misses counts as delivered 6 s after the stream
+// stopped; within that time the marshal must detect it, reconnect and read the whole list. A keep-alive that is late by more
+// than half of its period may be taken for missing.
 const (
-	listTimeout   = 3200 * time.Millisecond // an empty line comes every 2 s
-	eventsTimeout = 2 * time.Second         // a sign of life every second
+	listTimeout   = 3200 * time.Millisecond // discovery sends an empty line every 2 s
+	eventsTimeout = 2 * time.Second         // the release API sends a keep-alive every second
 )
 
-// nameTable are the words of the settings that the wire nameTable things by, and the numbers of what it nameTable itself.
+// nameTable maps the names that discovery uses to numbers: by the settings, or assigned here for hosts and other zones.
 type nameTable struct {
-	zones, models []string
+	zones, models []string // from the settings; the index is the number
 
 	mu           sync.Mutex
 	hosts        map[string]*hostID
-	lastNumber   uint32         // number given to a host
-	unnamedZones map[string]int // numbers of zones that the settings don't name
+	lastNumber   uint32         // assigned to a host
+	unnamedZones map[string]int // numbers of zones that are not in the settings
 }
 
-// hostID is the number of a host; a number is never given twice.
+// hostID is the number of a host. Numbers are never reused.
 type hostID struct {
 	number    uint32
-	goneSince time.Time // since when, zero while it is listed
+	goneSince time.Time // zero while the host is listed
 }
 
-// hostRetention is for how long the number of a host that is gone is kept: longer than anything else of it.
+// hostRetention is how long the number of a host that is gone is kept: longer than any other state of the host.
 const hostRetention = 5 * time.Minute
 
-// hostNumber is the number of a hostNumber as it is told now.
+// hostNumber returns the number of a host, and records whether the host is gone.
 func (n *nameTable) hostNumber(name string, gone bool, now time.Time) uint32 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	h := n.hosts[name]
-	if h == nil {
+	id := n.hosts[name]
+	if id == nil {
 		if n.hosts == nil {
 			n.hosts = map[string]*hostID{}
 		}
 		n.lastNumber++
-		h = &hostID{number: n.lastNumber}
-		n.hosts[name] = h
+		id = &hostID{number: n.lastNumber}
+		n.hosts[name] = id
 	}
 	if !gone {
-		h.goneSince = time.Time{}
-	} else if h.goneSince.IsZero() {
-		h.goneSince = now
+		id.goneSince = time.Time{}
+	} else if id.goneSince.IsZero() {
+		id.goneSince = now
 	}
-	return h.number
+	return id.number
 }
 
-// markListed takes what a whole list leaves out for gone, and forgets what has been gone for long.
-func (n *nameTable) markListed(whole bool, lines []control.NodeEntry, now time.Time) {
+// markListed marks hosts that a whole list doesn't contain as gone, and removes hosts that were gone for hostRetention.
+func (n *nameTable) markListed(whole bool, entries []control.NodeEntry, now time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	there := map[uint32]bool{}
-	for _, l := range lines {
-		there[l.ID] = true
+	listed := map[uint32]bool{}
+	for _, e := range entries {
+		listed[e.ID] = true
 	}
-	for name, h := range n.hosts {
-		if whole && !there[h.number] && h.goneSince.IsZero() {
-			h.goneSince = now
+	for name, id := range n.hosts {
+		if whole && !listed[id.number] && id.goneSince.IsZero() {
+			id.goneSince = now
 		}
-		if !h.goneSince.IsZero() && now.Sub(h.goneSince) > hostRetention {
+		if !id.goneSince.IsZero() && now.Sub(id.goneSince) > hostRetention {
 			delete(n.hosts, name)
 		}
 	}
 }
 
-// zoneNumber is the number of a zoneNumber. One that the settings don't name gets one of its own: what is said of two nodes of one zoneNumber,
-// that they drop each other's repeats, must not hold for it and another. Where settings name none, all is one.
+// zoneNumber returns the number of a zone. A zone that is not in the settings gets a number of its own, because nodes of the same
+// zone may be assumed to drop each other's repeats. If the settings have no zones, all nodes are in zone 0.
 func (n *nameTable) zoneNumber(name string) int {
 	if len(n.zones) == 0 {
 		return 0
@@ -94,108 +95,110 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	i, known := n.unnamedZones[name]
+	number, known := n.unnamedZones[name]
 	if !known {
 		if n.unnamedZones == nil {
 			n.unnamedZones = map[string]int{}
 		}
-		i = len(n.zones) + len(n.unnamedZones)
-		n.unnamedZones[name] = i
+		number = len(n.zones) + len(n.unnamedZones)
+		n.unnamedZones[name] = number
 	}
-	return i
+	return number
 }
 
-// listReader makes lines of the list of what discovery tells.
+// listReader converts discovery's lists to node entries.
 type listReader struct {
 	names     *nameTable
-	now       func() time.Time // goes on steadily from the wall clock's time at the start
-	wallClock func() time.Time
+	now       func() time.Time // wall-clock time at the start plus elapsed monotonic time
+	wallClock func() time.Time // may be stepped
 	log       *slog.Logger
 }
 
+// healthByName maps discovery's health values.
 var healthByName = map[string]balance.Health{"in_service": balance.Serving, "terminating": balance.Draining, "terminated": balance.Gone}
 
-// entries reads a list. An entry that can't be read costs that entry, not the others.
-func (r *listReader) entries(list gjson.Result) (lines []control.NodeEntry, err error) {
+// entries converts a list. An invalid entry is skipped.
+func (r *listReader) entries(list gjson.Result) (entries []control.NodeEntry, err error) {
 	hosts := list.Get("hosts")
 	if !hosts.IsArray() || list.Get("seq").Type != gjson.Number {
-		return nil, errors.New("no list of hosts with a seq")
+		return nil, errors.New("not a list with hosts and a seq")
 	}
 	hosts.ForEach(func(_, h gjson.Result) bool {
-		l, err := r.entry(h)
+		e, err := r.entry(h)
 		if err != nil {
-			r.log.Warn("an entry of the list can't be read", "err", err)
+			r.log.Warn("invalid entry in the node list; skipped", "err", err)
 			return true
 		}
-		lines = append(lines, l)
+		entries = append(entries, e)
 		return true
 	})
-	r.names.markListed(list.Get("whole").Bool(), lines, r.now())
-	return lines, nil
+	r.names.markListed(list.Get("whole").Bool(), entries, r.now())
+	return entries, nil
 }
 
-func (r *listReader) entry(h gjson.Result) (l control.NodeEntry, err error) {
+// entry converts an entry of a list.
+func (r *listReader) entry(h gjson.Result) (e control.NodeEntry, err error) {
 	name := h.Get("host").Str
-	health, ok := healthByName[h.Get("health").Str]
-	if name == "" || !ok {
-		return l, fmt.Errorf("host %.40q: health %.40q is not known", name, h.Get("health").Str)
+	health, known := healthByName[h.Get("health").Str]
+	if name == "" || !known {
+		return e, fmt.Errorf("host %.40q: unknown health %.40q", name, h.Get("health").Str)
 	}
 	if v := h.Get("build"); v.Type != gjson.Number && health != balance.Gone {
-		return l, fmt.Errorf("host %.40q: build: no number: %.40q", name, v.Raw)
+		return e, fmt.Errorf("host %.40q: build %.40q is not a number", name, v.Raw)
 	}
 	address := h.Get("dial").Str
 	if _, _, err := net.SplitHostPort(address); err != nil && health != balance.Gone {
-		return l, fmt.Errorf("host %.40q: %.60q is no host:port", name, address)
+		return e, fmt.Errorf("host %.40q: %.60q is not host:port", name, address)
 	}
-	l = control.NodeEntry{Node: balance.Node{ID: r.names.hostNumber(name, health == balance.Gone, r.now()), Health: health,
+	e = control.NodeEntry{Node: balance.Node{ID: r.names.hostNumber(name, health == balance.Gone, r.now()), Health: health,
 		Ver: int(h.Get("build").Int()), Cell: int(h.Get("block").Int()), Size: 1, Zone: r.names.zoneNumber(h.Get("site").Str),
 		Model: max(0, slices.Index(r.names.models, h.Get("class").Str))}, Address: address}
 	if v := h.Get("share"); v.Type == gjson.Number && v.Num >= 0 {
-		l.Size = v.Num
+		e.Size = v.Num
 	}
-	if h.Get("block").Type != gjson.Number { // of a cell of its own: nothing is known to drop its repeats
-		l.Cell = -int(l.ID)
+	if h.Get("block").Type != gjson.Number { // a cell of its own: no other node is known to drop its repeats
+		e.Cell = -int(e.ID)
 	}
-	if born := h.Get("born_ms").Int(); born > 0 {
-		l.Incarnation, l.UptimeMs = uint64(born), r.ageMs(born)
+	if bornMs := h.Get("born_ms").Int(); bornMs > 0 {
+		e.Incarnation, e.UptimeMs = uint64(bornMs), r.ageMs(bornMs)
 	}
-	return l, nil
+	return e, nil
 }
 
-// minAgeMs is the age of a node that has just started, in ms: 0 would mean that it started long ago.
+// minAgeMs is the age of a node that has just started: 0 would mean that it started long ago.
 const minAgeMs = 1
 
-// ageMs is for how many ms at least a node runs that started at a time of the wall clock. That clock may be stepped while the marshal
-// runs, before or after the node started: of the clock as it is and the clock as it went on from the marshal's start the lesser ageMs
-// counts, and one from the future counts as none. A node that is taken for older than it is would be sent too much while it is cold.
-func (r *listReader) ageMs(born int64) float64 {
-	stepped, steady := r.wallClock().UnixMilli()-born, r.now().UnixMilli()-born
-	return max(minAgeMs, float64(min(stepped, steady)))
+// ageMs returns a lower bound of the age of a node, from the wall-clock time of its start. The wall clock may be stepped while the
+// marshal runs, before or after the node started. The lesser age by the wall clock and by the steady clock counts, and a start in
+// the future counts as now. A node whose age is overestimated would get too much load while it is warming up.
+func (r *listReader) ageMs(bornMs int64) float64 {
+	byWallClock, bySteadyClock := r.wallClock().UnixMilli()-bornMs, r.now().UnixMilli()-bornMs
+	return max(minAgeMs, float64(min(byWallClock, bySteadyClock)))
 }
 
 // DiscoveryClient follows discovery's list of nodes.
 type DiscoveryClient struct {
 	endpoint
 	Log           *slog.Logger
-	OnNodesListed func(whole bool, lines []control.NodeEntry)
+	OnNodesListed func(whole bool, entries []control.NodeEntry)
 
 	reader  *listReader
-	hasList bool
-	seq     int64
+	hasList bool  // false: the next request is for the whole list
+	seq     int64 // of the last list
 }
 
 // Run follows the list until the context ends.
-func (r *DiscoveryClient) Run(ctx context.Context) {
-	r.keepConnected(ctx, "discovery", r.Log, func(s *session, nc net.Conn) error {
+func (c *DiscoveryClient) Run(ctx context.Context) {
+	c.keepConnected(ctx, "discovery", c.Log, func(s *session, nc net.Conn) error {
 		target := "/v1/servers?follow=1"
 		s.withLock(func() {
-			if r.hasList {
-				target += "&since=" + strconv.FormatInt(r.seq, 10)
+			if c.hasList {
+				target += "&since=" + strconv.FormatInt(c.seq, 10)
 			}
 		})
 		return rest.Follow(nc, s.address, target, listTimeout, func(text []byte) (err error) {
 			j := gjson.ParseBytes(text)
-			if !s.deliver(func() { err = r.handleList(j) }) {
+			if !s.deliver(func() { err = c.handleList(j) }) {
 				return errSuperseded
 			}
 			return err
@@ -203,28 +206,30 @@
 	})
 }
 
-// handleList takes a list, or what has changed of it. Numbers of changes may leave some out, so that no gap can be seen; one that
-// is lower than what was had is another count, of which the whole list is asked for.
-func (r *DiscoveryClient) handleList(j gjson.Result) error {
-	if !j.Get("hosts").Exists() && !j.Get("seq").Exists() { // a sign of life
+// handleList delivers a list, whole or with changes. Sequence numbers may skip values, so that a gap can't be detected. A number
+// lower than the last one belongs to another sequence: the error closes the stream, and the next request is for the whole list.
+func (c *DiscoveryClient) handleList(j gjson.Result) error {
+	if !j.Get("hosts").Exists() && !j.Get("seq").Exists() { // a keep-alive
 		return nil
 	}
-	lines, err := r.reader.entries(j)
+	entries, err := c.reader.entries(j)
 	if err != nil {
-		r.hasList = false
+		c.hasList = false
 		return fmt.Errorf("discovery: %w", err)
 	}
 	whole, seq := j.Get("whole").Bool(), j.Get("seq").Int()
-	if !whole && (!r.hasList || seq < r.seq) {
-		r.hasList = false
-		return fmt.Errorf("discovery: changes up to %d where %d was had: the whole list is due", seq, r.seq)
+	if !whole && (!c.hasList || seq < c.seq) {
+		c.hasList = false
+		return fmt.Errorf("discovery: changes with seq %d do not follow seq %d; the whole list is needed", seq, c.seq)
 	}
-	r.hasList, r.seq = true, seq
-	r.Log.Debug("list taken", "seq", seq, "whole", whole, "hosts", len(lines))
-	r.OnNodesListed(whole, lines)
+	c.hasList, c.seq = true, seq
+	c.Log.Debug("node list received", "seq", seq, "whole", whole, "hosts", len(entries))
+	c.OnNodesListed(whole, entries)
 	return nil
 }
 
-// Fetch and Watch have nothing to do: the list is followed all the time.
-func (r *DiscoveryClient) Fetch()     {}
-func (r *DiscoveryClient) Watch(bool) {}
+// Fetch does nothing: the client always follows the list.
+func (c *DiscoveryClient) Fetch() {}
+
+// Watch does nothing: the client always follows the list.
+func (c *DiscoveryClient) Watch(bool) {}
