--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -17,18 +17,19 @@
 	"arrowcleat/internal/serve"
 )
 
-// Marshal is one in service on the platform.
+// Marshal is a marshal that serves on the platform.
 type Marshal struct {
 	*serve.Marshal
 	discovery        *DiscoveryClient
 	rollout          *RolloutClient
-	terminateAfterMs float64 // after the word to stop until what is open is terminated
+	terminateAfterMs float64 // from the start of Drain until open invocations are terminated
 }
 
-// Start starts a marshal as a configuration says.
+// Start starts a marshal with a configuration.
 func Start(c *Config, log *slog.Logger) (*Marshal, error) { return StartWith(c, log, serve.Hooks{}) }
 
-// StartWith starts one with a clock or with planted faults of its own; the ways of the platform are set here.
+// StartWith starts a marshal with hooks, for example another clock or injected faults. It sets the transport of the hooks to the
+// platform's protocols.
 func StartWith(c *Config, log *slog.Logger, hooks serve.Hooks) (*Marshal, error) {
 	if hooks.Clock == nil {
 		hooks.Clock = loop.Monotonic()
@@ -39,7 +40,7 @@
 	}
 	known, err := c.KnownNodes(log)
 	if err != nil {
-		log.Warn("the list that was held last is of no use", "err", err)
+		log.Warn("invalid node list in the configuration; ignored", "err", err)
 	}
 	m := &Marshal{terminateAfterMs: c.killDelayMs() - terminateBeforeKillMs}
 	hooks.Ways = &serve.Ways{
@@ -50,16 +51,16 @@
 		Strict:    true,
 		Settle:    reuseDelayMs * time.Millisecond,
 		Reports:   reportNames,
-		Roster: func(listed func(bool, []control.NodeEntry), _ func()) serve.Roster {
-			m.discovery = &DiscoveryClient{endpoint: endpoint{address: c.DiscoveryAddress}, Log: log, OnNodesListed: listed, reader: c.newListReader(log)}
+		Roster: func(onNodesListed func(bool, []control.NodeEntry), _ func()) serve.Roster {
+			m.discovery = &DiscoveryClient{endpoint: endpoint{address: c.DiscoveryAddress}, Log: log, OnNodesListed: onNodesListed, reader: c.newListReader(log)}
 			return m.discovery
 		},
-		Conveyor: func(told StageUpdateFunc, failed func(balance.Ending)) serve.Conveyor {
-			m.rollout = &RolloutClient{endpoint: endpoint{address: c.ReleaseAPIAddress}, Log: log, OnStageUpdate: told, OnVoteFailed: failed,
+		Conveyor: func(onStageUpdate StageUpdateFunc, onVoteFailed func(balance.Ending)) serve.Conveyor {
+			m.rollout = &RolloutClient{endpoint: endpoint{address: c.ReleaseAPIAddress}, Log: log, OnStageUpdate: onStageUpdate, OnVoteFailed: onVoteFailed,
 				VoteTimeout: time.Duration(c.Settings.Rollout.VoteTimeoutMs * float64(time.Millisecond))}
 			if c.initialRelease.IsObject() {
 				if err := parseState(c.initialRelease, false, m.rollout.publish); err != nil {
-					log.Warn("the news in the configuration is of no use", "err", err)
+					log.Warn("invalid rollout state in the configuration; ignored", "err", err)
 				}
 			}
 			return m.rollout
@@ -67,31 +68,33 @@
 	}
 	hooks.Ways.NodeConnections = int(c.Settings.Limits.IdlePerNode)
 	if c.peerListen != "" {
-		hooks.Ways.Peers = func(told func(int, string)) (serve.Peers, error) { return c.openPeers(log, told) }
+		hooks.Ways.Peers = func(onMessage func(int, string)) (serve.Peers, error) { return c.openPeers(log, onMessage) }
 	}
 	m.Marshal, err = serve.Start(c.Settings, log, hooks)
 	return m, err
 }
 
-// retryAfter says when to come back, in seconds with decimals, within what the settings allow.
+// retryAfter returns the header field that says when a throttled client may retry: in seconds with decimals, within the limit of
+// the settings.
 func (c *Config) retryAfter(ms float64) (field, value string) {
-	if most, ok := c.ModuleSettings["limits.max-retry-after-ms"].(float64); ok {
-		ms = min(ms, most)
+	if limit, ok := c.ModuleSettings["limits.max-retry-after-ms"].(float64); ok {
+		ms = min(ms, limit)
 	}
 	return "Retry-After", strconv.FormatFloat(ms/1000, 'f', 3, 64)
 }
 
-// UpdateAddresses takes the addresses of another configuration; all else needs a restart.
+// UpdateAddresses changes to the addresses in another configuration. Other changes need a restart.
 func (m *Marshal) UpdateAddresses(c *Config) {
 	m.discovery.SetAddress(c.DiscoveryAddress)
 	m.rollout.SetAddress(c.ReleaseAPIAddress)
 }
 
-// Drain is a planned end: for as long as new connections go on coming all is served, and after that what was taken, unless it is to
-// hurry: then what is still open is terminated. So it is before KILL can come: nobody else answers it then. Also in a hurry it serves what
-// comes: a listener closed earlier would lose it.
+// Drain shuts the marshal down. For drainMs, while new connections still arrive, it serves everything, and after that the accepted
+// invocations. When hurry is closed, and in any case before KILL can come, it terminates the invocations that are still open,
+// because nobody would answer them after KILL. It serves new connections for drainMs in a hurry too: closing the listener earlier
+// would lose them.
 func (m *Marshal) Drain(hurry <-chan struct{}) error {
-	killed := time.After(time.Duration(m.terminateAfterMs * float64(time.Millisecond)))
+	killSoon := time.After(time.Duration(m.terminateAfterMs * float64(time.Millisecond)))
 	m.Front.Drain()
 	select {
 	case <-time.After(drainMs * time.Millisecond):
@@ -100,7 +103,7 @@
 	go func() {
 		select {
 		case <-hurry:
-		case <-killed:
+		case <-killSoon:
 		case <-m.Ended():
 		}
 		m.End()
@@ -108,27 +111,27 @@
 	return m.Stop()
 }
 
-// stateTimeout is how long a view waits for a loop: who asks for it also waits for signals.
+// stateTimeout is the time-out of LogState for a worker's loop, short because its caller also handles signals.
 const stateTimeout = 100 * time.Millisecond
 
-// LogState logs what the marshal sees: what it took and answered, and of each node what was sent, how it ended and what is
-// out there, to be held against the traffic on the sockets.
+// LogState logs the state of the marshal at debug level: the counts of invocations and their results, and for each node its build
+// and health, the dispatches sent and their outcomes. The counts can be compared with the traffic on the sockets.
 func (m *Marshal) LogState() {
-	ctx, done := context.WithTimeout(context.Background(), stateTimeout)
-	defer done()
-	r, err := m.LookAt(ctx, 0)
+	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
+	defer cancel()
+	state, err := m.LookAt(ctx, 0)
 	if err != nil {
-		m.Log.Debug("no view", "err", err)
+		m.Log.Debug("state not available", "err", err)
 		return
 	}
-	nodes := make([]string, 0, len(r.Nodes))
-	for _, n := range r.Nodes {
+	nodes := make([]string, 0, len(state.Nodes))
+	for _, n := range state.Nodes {
 		if n.Health != balance.Gone {
 			nodes = append(nodes, fmt.Sprintf("%s/%d/%d:%d%v", n.Address, n.Ver, n.Health, n.Sent, n.Endings))
 		}
 	}
 	slices.Sort(nodes)
-	m.Log.Debug("view", "taken", r.Taken, "succeeded", r.Succeeded, "throttled", r.Throttled, "terminated", r.Terminated,
-		"lapsed", r.Lapsed, "open", r.Open, "dispatches", r.Dispatches, "endings", fmt.Sprint(r.Endings), "ver", r.Ver, "stage", r.Stage,
-		"cap", r.Cap, "requests", &m.Front.Counts, "violations", fmt.Sprintf("%+v", r.Violations), "refused_behind", m.Behind(), "goroutines", runtime.NumGoroutine(), "nodes", strings.Join(nodes, " "))
+	m.Log.Debug("view", "taken", state.Taken, "succeeded", state.Succeeded, "throttled", state.Throttled, "terminated", state.Terminated,
+		"lapsed", state.Lapsed, "open", state.Open, "dispatches", state.Dispatches, "endings", fmt.Sprint(state.Endings), "ver", state.Ver, "stage", state.Stage,
+		"cap", state.Cap, "requests", &m.Front.Counts, "violations", fmt.Sprintf("%+v", state.Violations), "refused_behind", m.Behind(), "goroutines", runtime.NumGoroutine(), "nodes", strings.Join(nodes, " "))
 }
