--- a/internal/platform/roster_test.go
+++ b/internal/platform/roster_test.go
@@ -18,266 +18,272 @@
 	"arrowcleat/internal/control"
 )
 
-// stream is a server whose answers never end; it hands each request's target on, and the connection to write to.
-type stream struct {
+// streamServer is a server whose responses are endless streams, which the test writes.
+type streamServer struct {
 	address string
-	asked   chan *streamed
+	streams chan *stream // one for each request
 }
 
-type streamed struct {
+// stream is the connection of a request.
+type stream struct {
 	net.Conn
 	target string
 }
 
-func (s *streamed) say(text string) { fmt.Fprintf(s, "%x\r\n%s\r\n", len(text), text) }
+// send sends a chunk.
+func (s *stream) send(text string) { fmt.Fprintf(s, "%x\r\n%s\r\n", len(text), text) }
 
-func streaming(t *testing.T) *stream {
+func startStreamServer(t *testing.T) *streamServer {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	s := &stream{ln.Addr().String(), make(chan *streamed, 10)}
+	s := &streamServer{ln.Addr().String(), make(chan *stream, 10)}
 	go func() {
-		defer close(s.asked)
+		defer close(s.streams)
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			q, err := http.ReadRequest(bufio.NewReader(nc))
+			request, err := http.ReadRequest(bufio.NewReader(nc))
 			if err != nil {
 				nc.Close()
 				continue
 			}
 			io.WriteString(nc, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
 			t.Cleanup(func() { nc.Close() })
-			s.asked <- &streamed{nc, q.RequestURI}
+			s.streams <- &stream{nc, request.RequestURI}
 		}
 	}()
 	return s
 }
 
-func (s *stream) next(t *testing.T) *streamed {
+// next waits for the next request.
+func (s *streamServer) next(t *testing.T) *stream {
 	t.Helper()
 	select {
-	case c := <-s.asked:
-		return c
+	case next := <-s.streams:
+		return next
 	case <-time.After(6 * time.Second):
-		t.Fatal("nobody asked")
+		t.Fatal("no request within 6 s")
 		return nil
 	}
 }
 
-// followed starts a Roster at an address and gives what it lists, a line each time.
-func followed(t *testing.T, address string) (*DiscoveryClient, chan string) {
-	listed := make(chan string, 20)
+// startClient starts a DiscoveryClient and returns a channel of the lists that it delivers, formatted as text.
+func startClient(t *testing.T, address string) (*DiscoveryClient, chan string) {
+	lists := make(chan string, 20)
 	log := slog.New(slog.DiscardHandler)
-	r := &DiscoveryClient{endpoint: endpoint{address: address}, Log: log, reader: &listReader{&nameTable{zones: []string{"a", "b"}}, time.Now, time.Now, log},
-		OnNodesListed: func(whole bool, lines []control.NodeEntry) {
+	client := &DiscoveryClient{endpoint: endpoint{address: address}, Log: log, reader: &listReader{&nameTable{zones: []string{"a", "b"}}, time.Now, time.Now, log},
+		OnNodesListed: func(whole bool, entries []control.NodeEntry) {
 			text := fmt.Sprint(whole)
-			for _, l := range lines {
-				text += fmt.Sprintf(" %d:%s/%d/%d/%d", l.ID, l.Address, l.Ver, l.Health, l.Zone)
+			for _, e := range entries {
+				text += fmt.Sprintf(" %d:%s/%d/%d/%d", e.ID, e.Address, e.Ver, e.Health, e.Zone)
 			}
-			listed <- text
+			lists <- text
 		}}
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { r.Run(ctx); close(done) }()
-	t.Cleanup(func() { end(); <-done })
-	return r, listed
+	go func() { client.Run(ctx); close(done) }()
+	t.Cleanup(func() { cancel(); <-done })
+	return client, lists
 }
 
-func expect(t *testing.T, listed chan string, want string) {
+// expect checks the next list.
+func expect(t *testing.T, lists chan string, want string) {
 	t.Helper()
 	select {
-	case got := <-listed:
+	case got := <-lists:
 		if got != want {
-			t.Errorf("listed %q; want %q", got, want)
+			t.Errorf("list %q; want %q", got, want)
 		}
 	case <-time.After(3 * time.Second):
-		t.Errorf("nothing was listed; want %q", want)
+		t.Errorf("no list within 3 s; want %q", want)
 	}
 }
 
-func told(seq int, whole bool, hosts ...string) string {
+// listText returns a list as discovery sends it.
+func listText(seq int, whole bool, hosts ...string) string {
 	return fmt.Sprintf("{\n \"seq\": %d, \"whole\": %v,\n \"hosts\": [%s]}\n", seq, whole, strings.Join(hosts, ",\n"))
 }
 
+// host returns an entry of a list.
 func host(name, site, health string, build int) string {
 	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:70","site":%q,"health":%q,"build":%d}`, name, site, health, build)
 }
 
-// One entry that can't be read costs that entry; a stream that ends is asked for what came after; a count that begins anew
-// is asked for whole, and so is one that follows what could not be read.
-func TestRosterSequence(t *testing.T) {
-	s := streaming(t)
-	_, listed := followed(t, s.address)
+// Invalid entries are skipped. After a stream ends, the client requests the changes since the last list. After a lower sequence
+// number or an invalid list it requests the whole list.
+func TestListSequence(t *testing.T) {
+	s := startStreamServer(t)
+	_, lists := startClient(t, s.address)
 	c := s.next(t)
 	if c.target != "/v1/servers?follow=1" {
 		t.Error(c.target)
 	}
-	c.say("\n")
-	c.say(told(41, true, host("x", "a", "in_service", 3), host("y", "b", "odd", 3), `{"host":"z","dial":"nowhere","health":"in_service","build":1}`,
+	c.send("\n")
+	c.send(listText(41, true, host("x", "a", "in_service", 3), host("y", "b", "odd", 3), `{"host":"z","dial":"nowhere","health":"in_service","build":1}`,
 		`{"host":"w","dial":"10.0.0.1:70","health":"in_service"}`, host("v", "c", "terminating", 3)))
-	expect(t, listed, "true 1:10.0.0.1:70/3/0/0 2:10.0.0.1:70/3/1/2")
-	c.say(told(43, false, host("x", "a", "terminated", 3)))
-	expect(t, listed, "false 1:10.0.0.1:70/3/2/0")
+	expect(t, lists, "true 1:10.0.0.1:70/3/0/0 2:10.0.0.1:70/3/1/2")
+	c.send(listText(43, false, host("x", "a", "terminated", 3)))
+	expect(t, lists, "false 1:10.0.0.1:70/3/2/0")
 	c.Close()
 	if c = s.next(t); c.target != "/v1/servers?follow=1&since=43" {
 		t.Error(c.target)
 	}
-	c.say(told(7, false, host("x", "a", "in_service", 4)))
+	c.send(listText(7, false, host("x", "a", "in_service", 4)))
 	if c = s.next(t); c.target != "/v1/servers?follow=1" {
 		t.Error(c.target)
 	}
-	c.say(told(8, true, host("x", "a", "in_service", 4)))
-	expect(t, listed, "true 1:10.0.0.1:70/4/0/0")
-	c.say(`{"seq":9,"whole":false,"hosts":{}}`)
+	c.send(listText(8, true, host("x", "a", "in_service", 4)))
+	expect(t, lists, "true 1:10.0.0.1:70/4/0/0")
+	c.send(`{"seq":9,"whole":false,"hosts":{}}`)
 	if c = s.next(t); c.target != "/v1/servers?follow=1" {
 		t.Error(c.target)
 	}
 }
 
-// After a move the stream of the old address goes on until the new one has spoken, and nothing of it counts from then on;
-// two moves in a row end in the last.
-func TestRosterMoves(t *testing.T) {
-	one, two, three := streaming(t), streaming(t), streaming(t)
-	r, listed := followed(t, one.address)
+// After a change of the address, the stream of the old address continues until the first list from the new one, and is ignored
+// and closed from then on. After two changes in a row the last address counts.
+func TestAddressChange(t *testing.T) {
+	one, two, three := startStreamServer(t), startStreamServer(t), startStreamServer(t)
+	client, lists := startClient(t, one.address)
 	a := one.next(t)
-	a.say(told(1, true, host("x", "a", "in_service", 3)))
-	expect(t, listed, "true 1:10.0.0.1:70/3/0/0")
-	r.SetAddress(two.address)
+	a.send(listText(1, true, host("x", "a", "in_service", 3)))
+	expect(t, lists, "true 1:10.0.0.1:70/3/0/0")
+	client.SetAddress(two.address)
 	b := two.next(t)
 	if b.target != "/v1/servers?follow=1&since=1" {
 		t.Error(b.target)
 	}
-	a.say(told(2, false, host("x", "a", "terminating", 3)))
-	expect(t, listed, "false 1:10.0.0.1:70/3/1/0")
-	r.SetAddress(three.address)
+	a.send(listText(2, false, host("x", "a", "terminating", 3)))
+	expect(t, lists, "false 1:10.0.0.1:70/3/1/0")
+	client.SetAddress(three.address)
 	c := three.next(t)
-	a.say(told(3, false, host("y", "a", "in_service", 3)))
-	expect(t, listed, "false 2:10.0.0.1:70/3/0/0")
-	c.say(told(4, true, host("x", "a", "terminating", 3)))
-	expect(t, listed, "true 1:10.0.0.1:70/3/1/0")
-	for _, old := range []*streamed{a, b} { // both are closed
+	a.send(listText(3, false, host("y", "a", "in_service", 3)))
+	expect(t, lists, "false 2:10.0.0.1:70/3/0/0")
+	c.send(listText(4, true, host("x", "a", "terminating", 3)))
+	expect(t, lists, "true 1:10.0.0.1:70/3/1/0")
+	for _, old := range []*stream{a, b} { // both must be closed
 		old.SetReadDeadline(time.Now().Add(3 * time.Second))
 		if _, err := old.Read(make([]byte, 1)); err == nil || strings.Contains(err.Error(), "timeout") {
-			t.Errorf("a stream with an old address: %v", err)
+			t.Errorf("stream of an old address: error %v; want closed", err)
 		}
 	}
-	c.say(told(5, false, host("x", "a", "terminated", 3)))
-	expect(t, listed, "false 1:10.0.0.1:70/3/2/0")
+	c.send(listText(5, false, host("x", "a", "terminated", 3)))
+	expect(t, lists, "false 1:10.0.0.1:70/3/2/0")
 }
 
-// A silent watch is opened anew in time, again and again, and a hung connection makes no wait grow.
-func TestSilentWatch(t *testing.T) {
-	if listTimeout+maxBackoff+maxBackoff*3/2 > 6*time.Second-time.Second { // notice, connect, one more try, and a second to read
-		t.Error("a silent watch is noticed too late")
+// An unresponsive stream is detected and reopened in time, each time: a hung connection doesn't increase the backoff.
+func TestUnresponsiveStream(t *testing.T) {
+	if listTimeout+maxBackoff+maxBackoff*3/2 > 6*time.Second-time.Second { // detect, connect, one retry, and 1 s to read
+		t.Error("an unresponsive stream is detected too late")
 	}
-	s := streaming(t)
-	followed(t, s.address)
+	s := startStreamServer(t)
+	startClient(t, s.address)
 	s.next(t)
-	from := time.Now()
-	s.next(t)                                                                 // silent after its head
-	if took := time.Since(from); took < listTimeout || took > 5*time.Second { // a second before what it misses counts
-		t.Errorf("opened anew after %v", took)
+	start := time.Now()
+	s.next(t)                                                                  // the first stream sends nothing after its head
+	if took := time.Since(start); took < listTimeout || took > 5*time.Second { // 1 s before missed updates count as delivered
+		t.Errorf("reopened after %v; want %v to 5 s", took, listTimeout)
 	}
 }
 
-// Numbers of hosts are never given twice, and those of hosts long gone are forgotten.
+// Numbers of hosts are never reused, and those of hosts that are gone for long are removed.
 func TestHostNumbers(t *testing.T) {
 	now := time.Unix(1000, 0)
 	n := &nameTable{}
 	r := &listReader{n, func() time.Time { return now }, time.Now, slog.New(slog.DiscardHandler)}
 	for i := range 5000 {
 		for _, health := range []string{"in_service", "terminated"} {
-			lines, err := r.entries(gjson.Parse(told(i, false, host(fmt.Sprint("s-", i), "", health, 1))))
-			if err != nil || lines[0].ID != uint32(i+1) {
-				t.Fatalf("host %d is %v, %v", i, lines, err)
+			entries, err := r.entries(gjson.Parse(listText(i, false, host(fmt.Sprint("s-", i), "", health, 1))))
+			if err != nil || entries[0].ID != uint32(i+1) {
+				t.Fatalf("host %d: entries %v, error %v; want number %d", i, entries, err, i+1)
 			}
 		}
 		now = now.Add(time.Second)
 	}
 	if most := int(hostRetention/time.Second) + 2; len(n.hosts) > most {
-		t.Errorf("%d numbers are kept; want %d at most", len(n.hosts), most)
+		t.Errorf("%d hosts are kept; want %d at most", len(n.hosts), most)
 	}
-	lines, _ := r.entries(gjson.Parse(told(5001, false, host("s-1", "", "in_service", 1))))
-	if lines[0].ID != 5001 {
-		t.Errorf("a host that comes back after long has number %d, which may meet old state", lines[0].ID)
+	entries, _ := r.entries(gjson.Parse(listText(5001, false, host("s-1", "", "in_service", 1))))
+	if entries[0].ID != 5001 {
+		t.Errorf("a host that returns after hostRetention has number %d; want 5001, which has no old state", entries[0].ID)
 	}
-	for i := range 3 { // what a whole list leaves out is gone
-		r.entries(gjson.Parse(told(6000+i, true, host("s-2", "", "in_service", 1))))
+	for i := range 3 { // hosts that are not in a whole list are gone
+		r.entries(gjson.Parse(listText(6000+i, true, host("s-2", "", "in_service", 1))))
 		now = now.Add(hostRetention)
 	}
 	if len(n.hosts) != 1 {
-		t.Errorf("%d numbers are kept after a whole list of one", len(n.hosts))
+		t.Errorf("%d hosts are kept after a whole list of one; want 1", len(n.hosts))
 	}
 }
 
-// Where nothing is known of what two nodes share, they share nothing.
-func TestUnknownPlaces(t *testing.T) {
+// Nodes with an unknown zone or cell share it with no other node.
+func TestUnknownZonesAndCells(t *testing.T) {
 	r := &listReader{&nameTable{zones: []string{"a"}}, time.Now, time.Now, slog.New(slog.DiscardHandler)}
-	lines, err := r.entries(gjson.Parse(told(1, true, host("x", "p", "in_service", 1), host("y", "q", "in_service", 1), host("z", "a", "in_service", 1))))
-	if err != nil || lines[0].Zone == lines[1].Zone || lines[0].Zone == 0 || lines[2].Zone != 0 || lines[0].Cell == lines[1].Cell || lines[0].Size != 1 {
-		t.Errorf("%+v, %v", lines, err)
+	entries, err := r.entries(gjson.Parse(listText(1, true, host("x", "p", "in_service", 1), host("y", "q", "in_service", 1), host("z", "a", "in_service", 1))))
+	if err != nil || entries[0].Zone == entries[1].Zone || entries[0].Zone == 0 || entries[2].Zone != 0 || entries[0].Cell == entries[1].Cell || entries[0].Size != 1 {
+		t.Errorf("entries %+v, error %v", entries, err)
 	}
 	r.names.zones = nil
-	if l, err := r.entry(gjson.Parse(host("x", "", "in_service", 1))); err != nil || l.Zone != 0 || l.Health != balance.Serving {
-		t.Errorf("without zones: %+v, %v", l, err)
+	if e, err := r.entry(gjson.Parse(host("x", "", "in_service", 1))); err != nil || e.Zone != 0 || e.Health != balance.Serving {
+		t.Errorf("without zones: entry %+v, error %v", e, err)
 	}
 }
 
-// A new process takes nothing before it has the list that discovery's agent has, and does not wait for one that is silent.
+// A new process accepts nothing before it has the list of discovery's agent, but doesn't wait long for an unresponsive agent.
 func TestFirstList(t *testing.T) {
-	for _, silent := range []bool{false, true} {
-		s := streaming(t)
+	for _, unresponsive := range []bool{false, true} {
+		s := startStreamServer(t)
 		c := config(t, "127.0.0.1:0", s.address, "127.0.0.1:0", s.address)
 		go func() {
-			for a := range s.asked { // until the streams are closed
-				if !silent && strings.HasPrefix(a.target, "/v1/servers") {
+			for a := range s.streams { // until the server is closed
+				if !unresponsive && strings.HasPrefix(a.target, "/v1/servers") {
 					time.Sleep(300 * time.Millisecond)
-					a.say(told(4, true, host("x", "there", "in_service", 7)))
+					a.send(listText(4, true, host("x", "there", "in_service", 7)))
 				}
 			}
 		}()
-		from := time.Now()
+		start := time.Now()
 		m, err := Start(c, slog.New(slog.DiscardHandler))
 		if err != nil {
 			t.Fatal(err)
 		}
-		took := time.Since(from)
-		if r, _ := m.Look(); !silent && (len(r.Nodes) != 1 || took < 300*time.Millisecond) {
-			t.Errorf("it runs after %v with %d nodes", took, len(r.Nodes))
+		took := time.Since(start)
+		if state, _ := m.Look(); !unresponsive && (len(state.Nodes) != 1 || took < 300*time.Millisecond) {
+			t.Errorf("started after %v with %d nodes; want 1 node after 300 ms or more", took, len(state.Nodes))
 		} else if most := firstListMs*time.Millisecond + time.Second; took > most {
-			t.Errorf("silent %v: it runs after %v; want %v at most", silent, took, most)
+			t.Errorf("unresponsive %v: started after %v; want %v at most", unresponsive, took, most)
 		}
 		m.End()
 	}
 }
 
-// The wall clock is stepped by an hour while the marshal runs, before or after a node starts. A node that has run for 5 s is not taken
-// for older: it would be sent what a warm one can do.
-func TestWallClockIsStepped(t *testing.T) {
+// The wall clock is stepped by an hour while the marshal runs, before or after a node starts. The age of a node that has run for
+// 5 s must not be overestimated: the node would get the load of one that has warmed up.
+func TestWallClockStep(t *testing.T) {
 	const age, hour = 5 * time.Second, time.Hour
-	started := time.Now()
+	start := time.Now()
 	for name, c := range map[string]struct {
 		step   time.Duration
 		before bool // the node started before the step
 	}{"forward after": {hour, true}, "forward before": {hour, false}, "back after": {-hour, true}, "back before": {-hour, false}, "none": {0, true}} {
-		now := started.Add(time.Minute) // by a clock that goes on steadily
+		now := start.Add(time.Minute) // by the steady clock
 		wall := now.Add(c.step)
 		born := now.Add(-age)
 		if !c.before {
 			born = wall.Add(-age)
 		}
 		r := &listReader{&nameTable{}, func() time.Time { return now }, func() time.Time { return wall }, slog.New(slog.DiscardHandler)}
-		l, err := r.entry(gjson.Parse(fmt.Sprintf(`{"host":"a","dial":"127.0.0.1:1","health":"in_service","build":7,"born_ms":%d}`, born.UnixMilli())))
-		if err != nil || l.UptimeMs < minAgeMs || l.UptimeMs > float64(age.Milliseconds()) {
-			t.Errorf("%s: %v ms, %v", name, l.UptimeMs, err)
+		e, err := r.entry(gjson.Parse(fmt.Sprintf(`{"host":"a","dial":"127.0.0.1:1","health":"in_service","build":7,"born_ms":%d}`, born.UnixMilli())))
+		if err != nil || e.UptimeMs < minAgeMs || e.UptimeMs > float64(age.Milliseconds()) {
+			t.Errorf("%s: uptime %v ms, error %v; want %v ms at most", name, e.UptimeMs, err, age.Milliseconds())
 		}
-		if c.step == 0 && l.UptimeMs != float64(age.Milliseconds()) {
-			t.Errorf("without a step: %v ms", l.UptimeMs)
+		if c.step == 0 && e.UptimeMs != float64(age.Milliseconds()) {
+			t.Errorf("without a step: uptime %v ms; want %v", e.UptimeMs, age.Milliseconds())
 		}
 	}
 }
