--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -24,8 +24,9 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// text is a configuration as the platform gives one, with the addresses left open: own, discovery, release API, datagrams.
-const text = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+// configFormat is a configuration of the platform. Its arguments are the addresses to listen on, of discovery, for messages between
+// marshals and of the release API.
+const configFormat = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":64,"sockets":256},"peer_listen":%q,"peers":["127.0.0.1:1"],"peers_all":"127.0.0.1:2",
 "release_api":{"address":%q,"news":{"Revision":7,"Wave":1,"State":"live","MaxShare":1,"AgeMs":90000}},
 "known":{"seq":3,"whole":true,"hosts":[]},
@@ -37,21 +38,23 @@
 {"name":"book","aim-s":0.4,"deadline-s":0.8,"repeat":"guarded","group":"zone","window-s":8.0}],
 "tenants":[{"name":"acme","quota-per-s":10.0},{"name":"zenith","quota-per-s":10.0}]}}`
 
-// nothing is said in the environment.
-func nothing(string) string { return "" }
+// emptyEnv is an environment without variables.
+func emptyEnv(string) string { return "" }
 
-func config(t *testing.T, listen, discovery, datagrams, api string) *Config {
+// config parses configFormat with these addresses.
+func config(t *testing.T, listen, discovery, peerListen, api string) *Config {
 	t.Helper()
-	c, err := parse(fmt.Sprintf(text, listen, discovery, datagrams, api), nothing)
+	c, err := parse(fmt.Sprintf(configFormat, listen, discovery, peerListen, api), emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return c
 }
 
+// A configuration is read completely; an invalid one gives an error that names the field, on one line.
 func TestConfiguration(t *testing.T) {
-	good := fmt.Sprintf(text, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
-	c, err := parse(good, nothing)
+	good := fmt.Sprintf(configFormat, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
+	c, err := parse(good, emptyEnv)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -59,12 +62,12 @@
 	if s.Instance.Zone != "there" || s.Operation[1].LimitMs != 800 || s.Times.DialMs != 250 || s.Rules.GraceMs != 500 ||
 		s.Seed != 0x8c1f30d27a5be964 || s.Times.StopMs != 1700 || c.ModuleSettings["rollout.api-timeout-ms"] != 300.0 ||
 		c.ModuleSettings["operations"].([]balance.Settings)[1]["repeat"] != "fingerprinted" {
-		t.Errorf("read otherwise than told: %v, module %v", s, c.ModuleSettings)
+		t.Errorf("settings differ from the configuration: %v, module %v", s, c.ModuleSettings)
 	}
 	c.ModuleSettings["limits.max-retry-after-ms"] = 500.0
 	for ms, want := range map[float64]string{200: "0.200", 900: "0.500"} {
 		if _, got := c.retryAfter(ms); got != want {
-			t.Errorf("to come back after %v ms: %s, want %s", ms, got, want)
+			t.Errorf("Retry-After for %v ms: %s; want %s", ms, got, want)
 		}
 	}
 	for change, want := range map[[2]string]string{
@@ -78,74 +81,74 @@
 		{`"memory_mb":64`, `"memory_mb":0`}:         "limits.memory_mb: 0 is too little: at least 8",
 		{`{"name":"n0"`, `"name":"n0"`}:             "not valid JSON",
 	} {
-		if _, err := parse(strings.Replace(good, change[0], change[1], 1), nothing); err == nil || !strings.Contains(err.Error(), want) ||
+		if _, err := parse(strings.Replace(good, change[0], change[1], 1), emptyEnv); err == nil || !strings.Contains(err.Error(), want) ||
 			strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q for %q: %v; want %q", change[1], change[0], err, want)
+			t.Errorf("%q replaced by %q: error %v; want one line with %q", change[0], change[1], err, want)
 		}
 	}
 }
 
-// What nodes could not use, and what could be read in two ways, is turned away; a good head is read as it stands.
-func TestHeads(t *testing.T) {
+// A valid request head is read completely; one that nodes would refuse, or that is ambiguous, is an error.
+func TestRequestHeads(t *testing.T) {
 	c := config(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 	good := func() *h1.Head {
 		return &h1.Head{Method: "POST", Target: "/book/now?x=1", Length: 3, Header: textproto.MIMEHeader{"X-Trace-Id": {"9b1f"},
 			"X-Qos": {"book"}, "X-Customer": {"zenith"}, "X-Object": {"o1"}, "X-Expires-In-Ms": {"480"}, "Idempotency-Key": {"k"},
 			"X-Size-Hint": {"2500"}, "X-Second-Try": {"1"}, "X-Props": {"a=2,write=1"}}}
 	}
-	a, err := c.readRequest(good())
-	if got := fmt.Sprint(a, err); got != "{1 1 o1 9b1f 480 2.5 true true} <nil>" {
-		t.Error(got)
-	}
-	for what, spoil := range map[string]func(*h1.Head){
-		"no id":          func(h *h1.Head) { delete(h.Header, "X-Trace-Id") },
-		"two ids":        func(h *h1.Head) { h.Header["X-Trace-Id"] = []string{"a", "b"} },
-		"an odd id":      func(h *h1.Head) { h.Header["X-Trace-Id"] = []string{"a b"} },
-		"no operation":   func(h *h1.Head) { h.Header["X-Qos"] = []string{"steal"} },
-		"two operations": func(h *h1.Head) { h.Target = "/look" },
-		"method":         func(h *h1.Head) { h.Method = "GET" },
-		"no mark":        func(h *h1.Head) { delete(h.Header, "Idempotency-Key") },
-		"no number":      func(h *h1.Head) { h.Header["X-Expires-In-Ms"] = []string{"soon"} },
-		"negative":       func(h *h1.Head) { h.Header["X-Expires-In-Ms"] = []string{"-4"} },
-		"decimal":        func(h *h1.Head) { h.Header["X-Expires-In-Ms"] = []string{"4.5"} },
-		"GET with body":  func(h *h1.Head) { h.Method, h.Target, h.Header["X-Qos"] = "GET", "/look", []string{"look"} },
+	request, err := c.readRequest(good())
+	if got := fmt.Sprint(request, err); got != "{1 1 o1 9b1f 480 2.5 true true} <nil>" {
+		t.Errorf("request read as %s", got)
+	}
+	for what, alter := range map[string]func(*h1.Head){
+		"no id":              func(h *h1.Head) { delete(h.Header, "X-Trace-Id") },
+		"two ids":            func(h *h1.Head) { h.Header["X-Trace-Id"] = []string{"a", "b"} },
+		"a space in the id":  func(h *h1.Head) { h.Header["X-Trace-Id"] = []string{"a b"} },
+		"no operation":       func(h *h1.Head) { h.Header["X-Qos"] = []string{"steal"} },
+		"two operations":     func(h *h1.Head) { h.Target = "/look" },
+		"method":             func(h *h1.Head) { h.Method = "GET" },
+		"no idempotency key": func(h *h1.Head) { delete(h.Header, "Idempotency-Key") },
+		"no number":          func(h *h1.Head) { h.Header["X-Expires-In-Ms"] = []string{"soon"} },
+		"negative":           func(h *h1.Head) { h.Header["X-Expires-In-Ms"] = []string{"-4"} },
+		"decimal":            func(h *h1.Head) { h.Header["X-Expires-In-Ms"] = []string{"4.5"} },
+		"GET with body":      func(h *h1.Head) { h.Method, h.Target, h.Header["X-Qos"] = "GET", "/look", []string{"look"} },
 	} {
 		h := good()
-		spoil(h)
+		alter(h)
 		if _, err := c.readRequest(h); err == nil {
-			t.Errorf("%s was taken", what)
+			t.Errorf("%s: the request was accepted", what)
 		}
 	}
 }
 
-// What the environment says counts where the configuration does not say it; where both do and differ, that is told.
+// An environment variable is used only if its field is missing; one that contradicts its field is reported.
 func TestEnvironment(t *testing.T) {
-	good := fmt.Sprintf(text, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
-	says := map[string]string{"GW_NAME": "n7", "GW_LISTEN": "127.0.0.1:1", "GW_DISCOVERY": "127.0.0.1:9"}
-	environment := func(variable string) string { return says[variable] }
-	c, err := parse(good, environment)
+	good := fmt.Sprintf(configFormat, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
+	variables := map[string]string{"GW_NAME": "n7", "GW_LISTEN": "127.0.0.1:1", "GW_DISCOVERY": "127.0.0.1:9"}
+	getenv := func(variable string) string { return variables[variable] }
+	c, err := parse(good, getenv)
 	if err != nil || c.DiscoveryAddress != "127.0.0.1:2" || len(c.EnvironmentConflicts) != 2 {
 		t.Errorf("%v, %v", err, c)
 	}
-	less := strings.NewReplacer(`"listen":"127.0.0.1:1",`, "", `"discovery":"127.0.0.1:2",`, "").Replace(good)
-	c, err = parse(less, environment)
+	partial := strings.NewReplacer(`"listen":"127.0.0.1:1",`, "", `"discovery":"127.0.0.1:2",`, "").Replace(good)
+	c, err = parse(partial, getenv)
 	if err != nil || c.DiscoveryAddress != "127.0.0.1:9" || c.Settings.Listen.Invocations != "127.0.0.1:1" || len(c.EnvironmentConflicts) != 1 {
 		t.Errorf("%v, %v", err, c)
 	}
-	says["GW_LISTEN"] = "nowhere"
-	if _, err = parse(less, environment); err == nil || !strings.Contains(err.Error(), "not host:port") {
+	variables["GW_LISTEN"] = "nowhere"
+	if _, err = parse(partial, getenv); err == nil || !strings.Contains(err.Error(), "not host:port") {
 		t.Error(err)
 	}
 }
 
-// Settings of other customers: names that are other names' beginnings or hold odd characters, parts left out, figures out of
-// any use. A marshal reads them, or says in one line what is wrong.
+// Settings of other customers are accepted: parts left out, extreme values, and names that are prefixes of other names or contain
+// special characters.
 func TestOtherCustomers(t *testing.T) {
-	good := fmt.Sprintf(text, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
+	good := fmt.Sprintf(configFormat, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 	change := func(from, to string) string {
 		changed := strings.Replace(good, from, to, 1)
 		if changed == good {
-			t.Fatalf("%s is not there", from)
+			t.Fatalf("%s is not in the configuration", from)
 		}
 		return changed
 	}
@@ -156,14 +159,14 @@
 		"no models":        change(`"models":["m1","m2"],`, ``),
 		"no limits":        change(`"limits":{"most-tries":3,"may-tell":true,"conn-idle-s":30.0,"dial-timeout-s":0.25},`, ``),
 		"no rules":         change(`"rules":{"stop-sending-within-s":0.5,"warm-up-s":3.0},`, ``),
-		"no call time":     change(`"api-timeout-s":0.3,`, ``),
-		"no news":          change(`"news":{`, `"other":{`),
+		"no call time-out": change(`"api-timeout-s":0.3,`, ``),
+		"no release":       change(`"news":{`, `"other":{`),
 		"largest seed":     change(`8c1f30d27a5be964`, `ffffffffffffffff`),
 		"short deadline":   change(`"deadline-s":1.0`, `"deadline-s":0.03`),
-		"very long one":    change(`"deadline-s":1.0`, `"deadline-s":86400`),
+		"long deadline":    change(`"deadline-s":1.0`, `"deadline-s":86400`),
 		"many descriptors": change(`"sockets":256`, `"sockets":1048576`),
 	} {
-		c, err := parse(text, nothing)
+		c, err := parse(text, emptyEnv)
 		if err != nil {
 			t.Errorf("%s: %v", name, err)
 			continue
@@ -181,13 +184,13 @@
 			"/" + url.PathEscape(class) + "/x": true, "/x/" + class: false, "": false} {
 			if _, err := c.readRequest(&h1.Head{Method: "GET", Target: path, Header: textproto.MIMEHeader{"X-Trace-Id": {"1"},
 				"X-Qos": {class}, "X-Expires-In-Ms": {"99999999999999999999999"}}}); (err == nil) != want {
-				t.Errorf("class %q at %q: %v", class, path, err)
+				t.Errorf("class %q, path %q: error %v; want accepted: %v", class, path, err, want)
 			}
 		}
 	}
 }
 
-// silentHost does nothing.
+// silentHost is a balance.Host that does nothing.
 type silentHost struct{}
 
 func (silentHost) Now() float64                     { return 1e6 }
@@ -203,8 +206,8 @@
 func (silentHost) Tell(int, string)                 {}
 func (silentHost) Log(string)                       {}
 
-// What a vote's answer says of a build that the stream has told more of since is dropped, and a reply tells what stands.
-func TestOvertaken(t *testing.T) {
+// A state that is older than the latest one is dropped; if it is the answer to a vote, the latest state is reported in its place.
+func TestOutdatedState(t *testing.T) {
 	var got string
 	c := &RolloutClient{VoteTimeout: time.Second, OnStageUpdate: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 		got = fmt.Sprintf("%d/%d/%d/%v/%v", ver, stage, phase, cap, reply)
@@ -218,7 +221,7 @@
 	}{
 		{7, 0, balance.OnTrial, 0.1, 500, false, "7/0/0/0.1/false"},
 		{7, 1, balance.OnTrial, 0.4, 0, false, "7/1/0/0.4/false"},
-		{7, 0, balance.OnTrial, 0.1, 700, true, "7/1/0/0.4/true"}, // given before, come after
+		{7, 0, balance.OnTrial, 0.1, 700, true, "7/1/0/0.4/true"}, // the answer is older than the last event
 		{7, 1, balance.GoingBack, 0, 0, false, "7/1/1/0/false"},
 		{7, 1, balance.OnTrial, 0.4, 100, false, ""},
 		{7, 1, balance.OnTrial, 0.4, 100, true, "7/1/1/0/true"},
@@ -228,26 +231,27 @@
 	} {
 		got = ""
 		if c.publish(x.ver, x.stage, x.phase, x.cap, x.age, x.reply); got != x.want {
-			t.Errorf("%d: told %q, want %q", i, got, x.want)
+			t.Errorf("state %d: reported %q; want %q", i, got, x.want)
 		}
 	}
-	c.latest.since = time.Now().Add(-3 * time.Second) // a state that began well after is news, whatever it says
+	c.latest.since = time.Now().Add(-3 * time.Second) // a state that was entered much later is new, whatever its phase
 	c.latest.phase = balance.GoingBack
 	if c.publish(8, 0, balance.OnTrial, 0.1, 0, false); got != "8/0/0/0.1/false" {
-		t.Errorf("told %q of a build on trial once more", got)
+		t.Errorf("reported %q for a build that is on trial again", got)
 	}
 }
 
-// surroundings are stand-ins of the platform on loopback.
-type surroundings struct {
-	api, discovery, moved *httptest.Server
-	mu                    sync.Mutex
-	nodes                 []net.Listener
-	votes, followed       int
-	vote                  func(n int, w http.ResponseWriter)
+// testbed is a fake platform on loopback.
+type testbed struct {
+	api, discovery, newDiscovery *httptest.Server
+	mu                           sync.Mutex
+	nodes                        []net.Listener
+	votes, streams               int                                     // requests so far
+	vote                         func(number int, w http.ResponseWriter) // answers a vote
 }
 
-func (s *surroundings) list(seq int) string {
+// list returns a whole list of the nodes.
+func (s *testbed) list(seq int) string {
 	var hosts []string
 	for i, n := range s.nodes {
 		hosts = append(hosts, fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"there","class":"m2","block":0,"health":"in_service","share":1,"born_ms":0,"build":7}`, i, n.Addr()))
@@ -255,10 +259,10 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`+"\n", seq, strings.Join(hosts, ","))
 }
 
-// surround starts discovery, which names a node for each play, and the release API.
-func surround(t *testing.T, plays ...func(net.Conn, *bufio.Reader)) *surroundings {
-	s := &surroundings{}
-	for _, play := range plays {
+// startTestbed starts a node for each script, discovery, which lists them, and the release API. A script answers one request.
+func startTestbed(t *testing.T, scripts ...func(net.Conn, *bufio.Reader)) *testbed {
+	s := &testbed{}
+	for _, script := range scripts {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -281,7 +285,7 @@
 							return
 						}
 						io.Copy(io.Discard, q.Body)
-						play(nc, r)
+						script(nc, r)
 					}
 				}()
 			}
@@ -290,14 +294,14 @@
 	follow := func(line string) http.HandlerFunc {
 		return func(w http.ResponseWriter, q *http.Request) {
 			s.mu.Lock()
-			s.followed++
+			s.streams++
 			s.mu.Unlock()
 			io.WriteString(w, line)
 			w.(http.Flusher).Flush()
 			<-q.Context().Done()
 		}
 	}
-	s.discovery, s.moved = httptest.NewServer(follow(s.list(4))), httptest.NewServer(follow(s.list(5)))
+	s.discovery, s.newDiscovery = httptest.NewServer(follow(s.list(4))), httptest.NewServer(follow(s.list(5)))
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+apiBase+"/events", follow(`{"type":"ROLLOUT","object":{"Revision":7,"Wave":1,"State":"live","MaxShare":1,"AgeMs":5}}`+"\n{}\n"))
 	mux.HandleFunc("POST "+apiBase+"/votes", func(w http.ResponseWriter, q *http.Request) {
@@ -308,21 +312,23 @@
 		s.vote(n, w)
 	})
 	s.api = httptest.NewServer(mux)
-	for _, server := range []*httptest.Server{s.discovery, s.moved, s.api} {
+	for _, server := range []*httptest.Server{s.discovery, s.newDiscovery, s.api} {
 		t.Cleanup(func() { server.CloseClientConnections(); server.Close() })
 	}
 	return s
 }
 
-func at(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
+// hostPort returns the address of a server.
+func hostPort(s *httptest.Server) string { return strings.TrimPrefix(s.URL, "http://") }
 
-func run(t *testing.T, s *surroundings) (*Marshal, *Config) {
-	c := config(t, "127.0.0.1:0", at(s.discovery), "127.0.0.1:0", at(s.api))
+// run starts a marshal with the configuration of the testbed.
+func run(t *testing.T, s *testbed) (*Marshal, *Config) {
+	c := config(t, "127.0.0.1:0", hostPort(s.discovery), "127.0.0.1:0", hostPort(s.api))
 	return runWith(t, s, c), c
 }
 
-// runWith starts a marshal and waits until it knows the nodes.
-func runWith(t *testing.T, s *surroundings, c *Config) *Marshal {
+// runWith starts a marshal and waits until it has the list of nodes.
+func runWith(t *testing.T, s *testbed, c *Config) *Marshal {
 	t.Helper()
 	m, err := Start(c, slog.New(slog.DiscardHandler))
 	if err != nil {
@@ -330,15 +336,16 @@
 	}
 	t.Cleanup(func() { m.End() })
 	for end := time.Now().Add(3 * time.Second); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if r, _ := m.Look(); len(r.Nodes) == len(s.nodes) {
+		if state, _ := m.Look(); len(state.Nodes) == len(s.nodes) {
 			return m
 		}
 	}
-	t.Fatal("the list did not arrive")
+	t.Fatal("the marshal did not get the list of nodes within 3 s")
 	return nil
 }
 
-func ask(t *testing.T, m *Marshal, id string) (status int, body string, err error) {
+// request sends a request to a marshal on a new connection.
+func request(t *testing.T, m *Marshal, id string) (status int, body string, err error) {
 	nc, err := net.Dial("tcp", m.Address())
 	if err != nil {
 		return 0, "", err
@@ -354,116 +361,117 @@
 	return r.StatusCode, string(b), err
 }
 
-func say(text string) func(net.Conn, *bufio.Reader) {
+// reply returns a script that writes text.
+func reply(text string) func(net.Conn, *bufio.Reader) {
 	return func(nc net.Conn, _ *bufio.Reader) { io.WriteString(nc, text) }
 }
 
-const fine = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
+// validResponse is a valid response of a node.
+const validResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
 
-// Whatever a node sends in place of an answer, the client gets the other node's, or is told that there is none; what
-// is more than the answer is never the next one.
-func TestSpoiltAnswers(t *testing.T) {
-	for name, spoilt := range map[string]string{
+// When a node sends an invalid response, the client gets the response of another node. Data after a response is never used as the
+// next response.
+func TestInvalidResponses(t *testing.T) {
+	for name, response := range map[string]string{
 		"noise":       "\x00\x01\x02 noise\r\n\r\n",
 		"endless":     "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("y", 40000),
 		"3 GB":        "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nxxxx",
 		"two lengths": "HTTP/1.1 200 OK\r\nContent-Length: 4\r\nContent-Length: 9\r\n\r\nxxxx",
-		"not for it":  "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
-		"twice":       fine + strings.Replace(fine, "fine", "more", 1),
-		"ahead":       "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + fine,
-		"odd report":  strings.Replace(fine, "\r\n", "\r\nEndpoint-Load-Metrics: TEXT queue=much,,=\r\n", 1),
+		"not found":   "HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n",
+		"twice":       validResponse + strings.Replace(validResponse, "fine", "more", 1),
+		"interim":     "HTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n" + validResponse,
+		"bad metrics": strings.Replace(validResponse, "\r\n", "\r\nEndpoint-Load-Metrics: TEXT queue=much,,=\r\n", 1),
 	} {
 		t.Run(name, func(t *testing.T) {
-			m, _ := run(t, surround(t, say(spoilt), say(fine)))
+			m, _ := run(t, startTestbed(t, reply(response), reply(validResponse)))
 			for i := range 6 {
-				status, body, err := ask(t, m, fmt.Sprint("id", i))
+				status, body, err := request(t, m, fmt.Sprint("id", i))
 				if err != nil || status != 200 || body != "fine" {
-					t.Errorf("request %d: %d %q %v", i, status, body, err)
+					t.Errorf("request %d: status %d, body %q, error %v; want 200, fine", i, status, body, err)
 				}
 			}
 		})
 	}
 }
 
-// A vote's answer that can't be read leaves it open; one that can says what became of it.
+// A valid answer to a vote gives its outcome; an invalid one counts as a time-out.
 func TestVotes(t *testing.T) {
-	s := surround(t)
-	reply := func(status int, body string) func(http.ResponseWriter) {
+	s := startTestbed(t)
+	answer := func(status int, body string) func(http.ResponseWriter) {
 		return func(w http.ResponseWriter) { w.WriteHeader(status); io.WriteString(w, body) }
 	}
 	state := `{"Revision":7,"Wave":1,"State":"testing","MaxShare":0.28,"AgeMs":310}`
 	cases := []struct {
-		reply func(http.ResponseWriter)
-		want  balance.Ending
+		answer func(http.ResponseWriter)
+		want   balance.Ending
 	}{
-		{reply(200, state), balance.Succeeded},
-		{reply(200, state[:30]), balance.TimedOut},
-		{reply(200, strings.Replace(state, "testing", "t?st!ng", 1)), balance.TimedOut},
-		{reply(429, `{"error":"BUSY"}`), balance.Full},
-		{reply(409, `{"error":"STALE"}`), balance.Ignored},
-		{reply(500, `{"error":"FAILED"}`), balance.Failed},
-		{reply(409, `{"error":"#!*"}`), balance.TimedOut},
+		{answer(200, state), balance.Succeeded},
+		{answer(200, state[:30]), balance.TimedOut},
+		{answer(200, strings.Replace(state, "testing", "t?st!ng", 1)), balance.TimedOut},
+		{answer(429, `{"error":"BUSY"}`), balance.Full},
+		{answer(409, `{"error":"STALE"}`), balance.Ignored},
+		{answer(500, `{"error":"FAILED"}`), balance.Failed},
+		{answer(409, `{"error":"#!*"}`), balance.TimedOut},
 		{func(http.ResponseWriter) { time.Sleep(400 * time.Millisecond) }, balance.TimedOut},
 		{func(http.ResponseWriter) { panic(http.ErrAbortHandler) }, balance.TimedOut},
 	}
-	s.vote = func(n int, w http.ResponseWriter) { cases[n-1].reply(w) }
-	told := 0
-	c := &RolloutClient{endpoint: endpoint{address: at(s.api)}, VoteTimeout: 300 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+	s.vote = func(number int, w http.ResponseWriter) { cases[number-1].answer(w) }
+	updates := 0
+	c := &RolloutClient{endpoint: endpoint{address: hostPort(s.api)}, VoteTimeout: 300 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
 		OnStageUpdate: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
-			if told++; ver != 7 || stage != 1 || phase != balance.OnTrial || cap != 0.28 || age != 310 || !reply {
-				t.Error("told", ver, stage, phase, cap, age, reply)
+			if updates++; ver != 7 || stage != 1 || phase != balance.OnTrial || cap != 0.28 || age != 310 || !reply {
+				t.Error("reported", ver, stage, phase, cap, age, reply)
 			}
 		}}
 	for i, x := range cases {
 		if got := c.sendVote(7, 1, balance.On); got != x.want {
-			t.Errorf("vote %d: %v, want %v", i, got, x.want)
+			t.Errorf("vote %d: outcome %v; want %v", i, got, x.want)
 		}
 	}
-	if told != 1 {
-		t.Errorf("told %d times", told)
+	if updates != 1 {
+		t.Errorf("%d states reported; want 1", updates)
 	}
 	c.SetAddress("127.0.0.1:1")
 	if got := c.sendVote(7, 1, balance.On); got != balance.NoConnect {
-		t.Errorf("where nobody listens: %v", got)
+		t.Errorf("vote to a closed port: outcome %v; want %v", got, balance.NoConnect)
 	}
 }
 
-// New addresses are followed at once; a marshal that leaves serves what comes for a while, ends its connections with
-// their next answer, and then ends.
-func TestMoveAndDrain(t *testing.T) {
-	s := surround(t, say(fine))
+// The marshal follows new addresses at once. While it drains it still serves new connections for a while, and then it ends.
+func TestUpdateAddressesAndDrain(t *testing.T) {
+	s := startTestbed(t, reply(validResponse))
 	m, c := run(t, s)
 	next := *c
-	next.DiscoveryAddress = at(s.moved)
+	next.DiscoveryAddress = hostPort(s.newDiscovery)
 	s.mu.Lock()
-	before := s.followed
+	before := s.streams
 	s.mu.Unlock()
 	m.UpdateAddresses(&next)
 	for end := time.Now().Add(2 * time.Second); ; time.Sleep(5 * time.Millisecond) {
 		s.mu.Lock()
-		moved := s.followed > before
+		followed := s.streams > before
 		s.mu.Unlock()
-		if moved {
+		if followed {
 			break
 		} else if time.Now().After(end) {
-			t.Fatal("the new address is not followed")
+			t.Fatal("the new address was not followed within 2 s")
 		}
 	}
-	left := make(chan error)
-	go func() { left <- m.Drain(nil) }()
+	drained := make(chan error)
+	go func() { drained <- m.Drain(nil) }()
 	time.Sleep(200 * time.Millisecond)
-	if status, body, err := ask(t, m, "late"); status != 200 || body != "fine" || err != nil {
-		t.Errorf("while it leaves: %d %q %v", status, body, err)
+	if status, body, err := request(t, m, "late"); status != 200 || body != "fine" || err != nil {
+		t.Errorf("while draining: status %d, body %q, error %v; want 200, fine", status, body, err)
 	}
 	select {
-	case err := <-left:
+	case err := <-drained:
 		if err != nil {
 			t.Error(err)
 		}
 	case <-time.After(3 * time.Second):
-		t.Fatal("it did not end")
+		t.Fatal("Drain did not return within 3 s")
 	}
-	if _, _, err := ask(t, m, "too late"); err == nil || errors.Is(err, io.EOF) {
-		t.Errorf("after its end: %v", err)
+	if _, _, err := request(t, m, "too late"); err == nil || errors.Is(err, io.EOF) {
+		t.Errorf("after Drain: error %v; want a refused connection", err)
 	}
 }
