--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -146,8 +146,8 @@
 	t.Cleanup(func() { cancel(); <-done })
 }
 
-// The client reconnects when the registry closes the connection, sends an invalid message or sends an endless line, and the
-// watch continues from the last version.
+// The client reconnects when the registry closes the connection, sends an invalid message or sends an endless line, and
+// the watch continues from the last version.
 func TestRegistryReconnects(t *testing.T) {
 	s := listen(t, func(number int, conn *LineConn, lines chan string) {
 		for range 2 {
--- a/internal/control/lines.go
+++ b/internal/control/lines.go
@@ -24,7 +24,7 @@
 
 func newLineParser(line string) *lineParser { return &lineParser{remaining: strings.Fields(line)} }
 
-// word reads the next word. Like in the other methods, what is the name of the field for error messages.
+// word reads the next word. In this and the other methods, what names the field in error messages.
 func (p *lineParser) word(what string) string {
 	if p.err != nil {
 		return ""
@@ -97,8 +97,8 @@
 var phaseNames = []string{"trial", "back", "released", "withdrawn"}
 var verdictNames = []string{"none", "on", "hold", "back"}
 
-// LineConn is a connection of a line protocol. A line longer than MaxLineBytes is a read error, so that a peer can't make
-// the reader buffer an endless line.
+// LineConn is a connection of a line protocol. A line longer than MaxLineBytes is a read error, so that a peer can't
+// make the reader buffer an endless line.
 type LineConn struct {
 	*textproto.Conn
 	bounded *boundedConn
--- a/internal/control/roster.go
+++ b/internal/control/roster.go
@@ -49,8 +49,8 @@
 	return n, p.finish()
 }
 
-// ParseListHeader decodes the LIST line that starts a list: whether it is the whole list or changes, the registry's epoch,
-// the version that the changes start from, the version of the list, and the number of NODE lines that follow.
+// ParseListHeader decodes the LIST line that starts a list: whether it is the whole list or changes, the registry's
+// epoch, the version that the changes start from, the version of the list, and the number of NODE lines that follow.
 func ParseListHeader(text string) (whole bool, epoch, from, version uint64, lines int, err error) {
 	p := newLineParser(text)
 	p.oneOf("message", "LIST")
@@ -62,9 +62,9 @@
 	return whole, epoch, from, version, lines, p.finish()
 }
 
-// RegistryClient is a marshal's connection to the service registry. It maintains one connection, reconnects with jittered
-// exponential backoff, and delivers lists in order: a duplicate or outdated list is dropped, and after a gap in the versions
-// the whole list is fetched.
+// RegistryClient is a marshal's connection to the service registry. It maintains one connection, reconnects with
+// jittered exponential backoff, and delivers lists in order: a duplicate or outdated list is dropped, and after a gap
+// in the versions the whole list is fetched.
 type RegistryClient struct {
 	Address          string
 	Number           int  // this marshal's
@@ -95,8 +95,9 @@
 	KeepConnected(ctx, "roster", r.Address, r.InitialBackoff, r.MaxBackoff, r.Log, r.session)
 }
 
-// KeepConnected connects to an address, runs session on the connection, and reconnects with backoff when it ends, until the
-// context ends. longest bounds both the backoff and the time to connect; a session that lasted longer resets the backoff.
+// KeepConnected connects to an address, runs session on the connection, and reconnects with backoff when it ends, until
+// the context ends. longest bounds both the backoff and the time to connect; a session that lasted longer resets the
+// backoff.
 func KeepConnected(ctx context.Context, name, address string, initial, longest time.Duration, log *slog.Logger,
 	session func(context.Context, net.Conn) error) {
 	delays := NewBackoff(initial, longest)
@@ -244,8 +245,8 @@
 	}
 }
 
-// failLater reports a request that could not be sent as failed, after a random delay of 10 to 50 ms, as if the registry had
-// answered. A request that a new connection has taken up meanwhile has not failed.
+// failLater reports a request that could not be sent as failed, after a random delay of 10 to 50 ms, as if the registry
+// had answered. A request that a new connection has taken up meanwhile has not failed.
 
 func (r *RegistryClient) failLater() {
 	time.AfterFunc(time.Duration(10+rand.IntN(40))*time.Millisecond, func() {
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -1,5 +1,5 @@
-// Package platform runs a marshal on the operators' platform. It reads the platform's configuration and request headers and
-// implements its protocols to discovery, to the release API and between marshals. It makes no routing decisions.
+// Package platform runs a marshal on the operators' platform. It reads the platform's configuration and request headers
+// and implements its protocols to discovery, to the release API and between marshals. It makes no routing decisions.
 // See docs/platform.md.
 package platform
 
@@ -68,8 +68,8 @@
 // environmentVariables are the variables that correspond to fields of the configuration.
 var environmentVariables = map[string]string{"name": "GW_NAME", "listen": "GW_LISTEN", "discovery": "GW_DISCOVERY"}
 
-// ReadConfig reads a configuration file. Errors name the field that is missing or invalid. An environment variable is used only
-// if its field is missing.
+// ReadConfig reads a configuration file. Errors name the field that is missing or invalid. An environment variable is
+// used only if its field is missing.
 func ReadConfig(path string, getenv func(variable string) string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -150,8 +150,8 @@
 	return missing
 }
 
-// marshalSettings makes the settings of the marshal itself, for its client side and its connections to nodes. The module uses
-// ModuleSettings.
+// marshalSettings makes the settings of the marshal itself, for its client side and its connections to nodes. The
+// module uses ModuleSettings.
 func (c *Config) marshalSettings(listen string, sockets int) (*settings.Settings, error) {
 	number := func(name string) float64 { v, _ := c.ModuleSettings[name].(float64); return v }
 	c.names = &nameTable{}
@@ -208,7 +208,8 @@
 	return s, nil
 }
 
-// KnownNodes returns the node list of the configuration, which is the one that the marshal last held; nil if there is none.
+// KnownNodes returns the node list of the configuration, which is the one that the marshal last held; nil if there is
+// none.
 func (c *Config) KnownNodes(log *slog.Logger) ([]control.NodeEntry, error) {
 	if !c.knownList.IsObject() {
 		return nil, nil
--- a/internal/platform/conveyor.go
+++ b/internal/platform/conveyor.go
@@ -55,9 +55,10 @@
 // phaseOrder is the order in which a build enters the phases.
 var phaseOrder = map[balance.Phase]int{balance.OnTrial: 0, balance.Released: 1, balance.GoingBack: 2, balance.Withdrawn: 3}
 
-// precedes reports whether s is older than other. The answer to a vote and the event stream arrive on two connections, so that an
-// answer may be older than the last event, and would raise a cap that has been lowered since. An answer is delayed by at most
-// voteTimeout: a state that was entered later than that after other is new, even if its phase or stage is an earlier one.
+// precedes reports whether s is older than other. The answer to a vote and the event stream arrive on two connections,
+// so that an answer may be older than the last event, and would raise a cap that has been lowered since. An answer is
+// delayed by at most voteTimeout: a state that was entered later than that after other is new, even if its phase or
+// stage is an earlier one.
 func (s *buildState) precedes(other *buildState, voteTimeout time.Duration) bool {
 	if s.ver != other.ver {
 		return s.ver < other.ver
@@ -66,7 +67,8 @@
 	return earlier && s.since.Before(other.since.Add(voteTimeout))
 }
 
-// publish reports a state that is not older than the latest one. For an older state in a reply it reports the latest one instead.
+// publish reports a state that is not older than the latest one. For an older state in a reply it reports the latest
+// one instead.
 func (c *RolloutClient) publish(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -131,8 +133,8 @@
 	}()
 }
 
-// sendVote sends a vote and publishes the state in its answer. An answer that can't be understood leaves the result of the vote
-// open, like a time-out.
+// sendVote sends a vote and publishes the state in its answer. An answer that can't be understood leaves the result of
+// the vote open, like a time-out.
 func (c *RolloutClient) sendVote(ver, stage int, verdict balance.Verdict) balance.Ending {
 	ctx, cancel := context.WithTimeout(context.Background(), c.VoteTimeout)
 	defer cancel()
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -19,8 +19,8 @@
 
 var errSuperseded = errors.New("superseded by a session with a newer address")
 
-// endpoint is a server whose address can change. A session with the previous address continues until the first message from
-// the new address, or until it ends, so that updates keep arriving during the change.
+// endpoint is a server whose address can change. A session with the previous address continues until the first message
+// from the new address, or until it ends, so that updates keep arriving during the change.
 type endpoint struct {
 	mu             sync.Mutex
 	address        string
--- a/internal/platform/heads.go
+++ b/internal/platform/heads.go
@@ -17,8 +17,8 @@
 var reportNames = map[string]string{"inflight": "held", "queue": "waiting", "util": "busy", "latency_ms": "service-ms",
 	"qps": "rate", "eps": "errors"}
 
-// readRequest reads the parameters of a request from its head. A request that nodes would refuse, or that is ambiguous, is an
-// error; it is not accepted.
+// readRequest reads the parameters of a request from its head. A request that nodes would refuse, or that is ambiguous,
+// is an error; it is not accepted.
 func (c *Config) readRequest(h *h1.Head) (request front.Asked, err error) {
 	id, ok := singleValue(h.Header, "X-Trace-Id")
 	if !ok || !validID(id) {
@@ -69,7 +69,8 @@
 	return request, nil
 }
 
-// pathMatches reports whether a path starts with the name of a class, literal or percent-escaped. The name may contain slashes.
+// pathMatches reports whether a path starts with the name of a class, literal or percent-escaped. The name may contain
+// slashes.
 func pathMatches(path, class string) bool {
 	hasClass := func(path string) bool {
 		rest, ok := strings.CutPrefix(path, "/"+class)
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -11,7 +11,8 @@
 	"arrowcleat/balance"
 )
 
-// PeerTransport sends and receives messages between marshals over UDP. The source address of a datagram identifies its sender.
+// PeerTransport sends and receives messages between marshals over UDP. The source address of a datagram identifies its
+// sender.
 type PeerTransport struct {
 	conn      *net.UDPConn
 	addresses []netip.AddrPort // by the numbers of the marshals
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -28,8 +28,8 @@
 // Start starts a marshal with a configuration.
 func Start(c *Config, log *slog.Logger) (*Marshal, error) { return StartWith(c, log, serve.Hooks{}) }
 
-// StartWith starts a marshal with hooks, for example another clock or injected faults. It sets the transport of the hooks to the
-// platform's protocols.
+// StartWith starts a marshal with hooks, for example another clock or injected faults. It sets the transport of the
+// hooks to the platform's protocols.
 func StartWith(c *Config, log *slog.Logger, hooks serve.Hooks) (*Marshal, error) {
 	if hooks.Clock == nil {
 		hooks.Clock = loop.Monotonic()
@@ -74,8 +74,8 @@
 	return m, err
 }
 
-// retryAfter returns the header field that says when a throttled client may retry: in seconds with decimals, within the limit of
-// the settings.
+// retryAfter returns the header field that says when a throttled client may retry: in seconds with decimals, within the
+// limit of the settings.
 func (c *Config) retryAfter(ms float64) (field, value string) {
 	if limit, ok := c.ModuleSettings["limits.max-retry-after-ms"].(float64); ok {
 		ms = min(ms, limit)
@@ -89,10 +89,10 @@
 	m.rollout.SetAddress(c.ReleaseAPIAddress)
 }
 
-// Drain shuts the marshal down. For drainMs, while new connections still arrive, it serves everything, and after that the accepted
-// invocations. When hurry is closed, and in any case before KILL can come, it terminates the invocations that are still open,
-// because nobody would answer them after KILL. It serves new connections for drainMs in a hurry too: closing the listener earlier
-// would lose them.
+// Drain shuts the marshal down. For drainMs, while new connections still arrive, it serves everything, and after that
+// the accepted invocations. When hurry is closed, and in any case before KILL can come, it terminates the invocations
+// that are still open, because nobody would answer them after KILL. It serves new connections for drainMs in a hurry
+// too: closing the listener earlier would lose them.
 func (m *Marshal) Drain(hurry <-chan struct{}) error {
 	killSoon := time.After(time.Duration(m.terminateAfterMs * float64(time.Millisecond)))
 	m.Front.Drain()
@@ -114,8 +114,9 @@
 // stateTimeout is the time-out of LogState for a worker's loop, short because its caller also handles signals.
 const stateTimeout = 100 * time.Millisecond
 
-// LogState logs the state of the marshal at debug level: the counts of invocations and their results, and for each node its build
-// and health, the dispatches sent and their outcomes. The counts can be compared with the traffic on the sockets.
+// LogState logs the state of the marshal at debug level: the counts of invocations and their results, and for each node
+// its build and health, the dispatches sent and their outcomes. The counts can be compared with the traffic on the
+// sockets.
 func (m *Marshal) LogState() {
 	ctx, cancel := context.WithTimeout(context.Background(), stateTimeout)
 	defer cancel()
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -24,8 +24,8 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// configFormat is a configuration of the platform. Its arguments are the addresses to listen on, of discovery, for messages between
-// marshals and of the release API.
+// configFormat is a configuration of the platform. Its arguments are the addresses to listen on, of discovery, for
+// messages between marshals and of the release API.
 const configFormat = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":0.5,"memory_mb":64,"sockets":256},"peer_listen":%q,"peers":["127.0.0.1:1"],"peers_all":"127.0.0.1:2",
 "release_api":{"address":%q,"news":{"Revision":7,"Wave":1,"State":"live","MaxShare":1,"AgeMs":90000}},
@@ -141,8 +141,8 @@
 	}
 }
 
-// Settings of other customers are accepted: parts left out, extreme values, and names that are prefixes of other names or contain
-// special characters.
+// Settings of other customers are accepted: parts left out, extreme values, and names that are prefixes of other names
+// or contain special characters.
 func TestOtherCustomers(t *testing.T) {
 	good := fmt.Sprintf(configFormat, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 	change := func(from, to string) string {
@@ -206,7 +206,8 @@
 func (silentHost) Tell(int, string)                 {}
 func (silentHost) Log(string)                       {}
 
-// A state that is older than the latest one is dropped; if it is the answer to a vote, the latest state is reported in its place.
+// A state that is older than the latest one is dropped; if it is the answer to a vote, the latest state is reported in
+// its place.
 func TestOutdatedState(t *testing.T) {
 	var got string
 	c := &RolloutClient{VoteTimeout: time.Second, OnStageUpdate: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
@@ -259,7 +260,8 @@
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`+"\n", seq, strings.Join(hosts, ","))
 }
 
-// startTestbed starts a node for each script, discovery, which lists them, and the release API. A script answers one request.
+// startTestbed starts a node for each script, discovery, which lists them, and the release API. A script answers one
+// request.
 func startTestbed(t *testing.T, scripts ...func(net.Conn, *bufio.Reader)) *testbed {
 	s := &testbed{}
 	for _, script := range scripts {
@@ -369,8 +371,8 @@
 // validResponse is a valid response of a node.
 const validResponse = "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nfine"
 
-// When a node sends an invalid response, the client gets the response of another node. Data after a response is never used as the
-// next response.
+// When a node sends an invalid response, the client gets the response of another node. Data after a response is never
+// used as the next response.
 func TestInvalidResponses(t *testing.T) {
 	for name, response := range map[string]string{
 		"noise":       "\x00\x01\x02 noise\r\n\r\n",
@@ -437,7 +439,8 @@
 	}
 }
 
-// The marshal follows new addresses at once. While it drains it still serves new connections for a while, and then it ends.
+// The marshal follows new addresses at once. While it drains it still serves new connections for a while, and then it
+// ends.
 func TestUpdateAddressesAndDrain(t *testing.T) {
 	s := startTestbed(t, reply(validResponse))
 	m, c := run(t, s)
--- a/internal/platform/roster.go
+++ b/internal/platform/roster.go
@@ -18,9 +18,9 @@
 	"arrowcleat/internal/rest"
 )
 
-// Time-outs of streams that bring no data. An update that an unresponsive stream misses counts as delivered 6 s after the stream
-// stopped; within that time the marshal must detect it, reconnect and read the whole list. A keep-alive that is late by more
-// than half of its period may be taken for missing.
+// Time-outs of streams that bring no data. An update that an unresponsive stream misses counts as delivered 6 s after
+// the stream stopped; within that time the marshal must detect it, reconnect and read the whole list. A keep-alive that
+// is late by more than half of its period may be taken for missing.
 const (
 	listTimeout   = 3200 * time.Millisecond // discovery sends an empty line every 2 s
 	eventsTimeout = 2 * time.Second         // the release API sends a keep-alive every second
@@ -84,8 +84,8 @@
 	}
 }
 
-// zoneNumber returns the number of a zone. A zone that is not in the settings gets a number of its own, because nodes of the same
-// zone may be assumed to drop each other's repeats. If the settings have no zones, all nodes are in zone 0.
+// zoneNumber returns the number of a zone. A zone that is not in the settings gets a number of its own, because nodes
+// of the same zone may be assumed to drop each other's repeats. If the settings have no zones, all nodes are in zone 0.
 func (n *nameTable) zoneNumber(name string) int {
 	if len(n.zones) == 0 {
 		return 0
@@ -168,9 +168,10 @@
 // minAgeMs is the age of a node that has just started: 0 would mean that it started long ago.
 const minAgeMs = 1
 
-// ageMs returns a lower bound of the age of a node, from the wall-clock time of its start. The wall clock may be stepped while the
-// marshal runs, before or after the node started. The lesser age by the wall clock and by the steady clock counts, and a start in
-// the future counts as now. A node whose age is overestimated would get too much load while it is warming up.
+// ageMs returns a lower bound of the age of a node, from the wall-clock time of its start. The wall clock may be
+// stepped while the marshal runs, before or after the node started. The lesser age by the wall clock and by the steady
+// clock counts, and a start in the future counts as now. A node whose age is overestimated would get too much load
+// while it is warming up.
 func (r *listReader) ageMs(bornMs int64) float64 {
 	byWallClock, bySteadyClock := r.wallClock().UnixMilli()-bornMs, r.now().UnixMilli()-bornMs
 	return max(minAgeMs, float64(min(byWallClock, bySteadyClock)))
@@ -206,8 +207,9 @@
 	})
 }
 
-// handleList delivers a list, whole or with changes. Sequence numbers may skip values, so that a gap can't be detected. A number
-// lower than the last one belongs to another sequence: the error closes the stream, and the next request is for the whole list.
+// handleList delivers a list, whole or with changes. Sequence numbers may skip values, so that a gap can't be detected.
+// A number lower than the last one belongs to another sequence: the error closes the stream, and the next request is
+// for the whole list.
 func (c *DiscoveryClient) handleList(j gjson.Result) error {
 	if !j.Get("hosts").Exists() && !j.Get("seq").Exists() { // a keep-alive
 		return nil
--- a/internal/platform/roster_test.go
+++ b/internal/platform/roster_test.go
@@ -114,8 +114,8 @@
 	return fmt.Sprintf(`{"host":%q,"dial":"10.0.0.1:70","site":%q,"health":%q,"build":%d}`, name, site, health, build)
 }
 
-// Invalid entries are skipped. After a stream ends, the client requests the changes since the last list. After a lower sequence
-// number or an invalid list it requests the whole list.
+// Invalid entries are skipped. After a stream ends, the client requests the changes since the last list. After a lower
+// sequence number or an invalid list it requests the whole list.
 func TestListSequence(t *testing.T) {
 	s := startStreamServer(t)
 	_, lists := startClient(t, s.address)
@@ -145,8 +145,8 @@
 	}
 }
 
-// After a change of the address, the stream of the old address continues until the first list from the new one, and is ignored
-// and closed from then on. After two changes in a row the last address counts.
+// After a change of the address, the stream of the old address continues until the first list from the new one, and is
+// ignored and closed from then on. After two changes in a row the last address counts.
 func TestAddressChange(t *testing.T) {
 	one, two, three := startStreamServer(t), startStreamServer(t), startStreamServer(t)
 	client, lists := startClient(t, one.address)
@@ -234,7 +234,8 @@
 	}
 }
 
-// A new process accepts nothing before it has the list of discovery's agent, but doesn't wait long for an unresponsive agent.
+// A new process accepts nothing before it has the list of discovery's agent, but doesn't wait long for an unresponsive
+// agent.
 func TestFirstList(t *testing.T) {
 	for _, unresponsive := range []bool{false, true} {
 		s := startStreamServer(t)
@@ -262,8 +263,8 @@
 	}
 }
 
-// The wall clock is stepped by an hour while the marshal runs, before or after a node starts. The age of a node that has run for
-// 5 s must not be overestimated: the node would get the load of one that has warmed up.
+// The wall clock is stepped by an hour while the marshal runs, before or after a node starts. The age of a node that
+// has run for 5 s must not be overestimated: the node would get the load of one that has warmed up.
 func TestWallClockStep(t *testing.T) {
 	const age, hour = 5 * time.Second, time.Hour
 	start := time.Now()
--- a/internal/platform/soak_test.go
+++ b/internal/platform/soak_test.go
@@ -19,7 +19,8 @@
 	"arrowcleat/internal/serve"
 )
 
-// usage returns the goroutines and file descriptors of the process, and the bytes of its heap after a garbage collection.
+// usage returns the goroutines and file descriptors of the process, and the bytes of its heap after a garbage
+// collection.
 func usage(t *testing.T) (goroutines, descriptors int, heap int64) {
 	t.Helper()
 	open, err := os.ReadDir("/proc/self/fd")
@@ -32,8 +33,9 @@
 	return runtime.NumGoroutine(), len(open), int64(m.HeapAlloc)
 }
 
-// warmRuntime starts many goroutines at once and ends them. The runtime keeps the memory of ended goroutines for reuse, 0.4 kB each,
-// and counts it as heap: beside ten busy processes a heap profile showed 54 kB of it, and at most 3 kB of the marshal's own.
+// warmRuntime starts many goroutines at once and ends them. The runtime keeps the memory of ended goroutines for reuse,
+// 0.4 kB each, and counts it as heap: beside ten busy processes a heap profile showed 54 kB of it, and at most 3 kB of
+// the marshal's own.
 func warmRuntime() {
 	gate := make(chan struct{})
 	var wg sync.WaitGroup
@@ -85,8 +87,8 @@
 	}
 }
 
-// sendKeepAlives sends keep-alives until the client closes the stream. Without them the client would reconnect, and this end would
-// hold another descriptor.
+// sendKeepAlives sends keep-alives until the client closes the stream. Without them the client would reconnect, and
+// this end would hold another descriptor.
 func (s *stream) sendKeepAlives() {
 	defer s.Close()
 	for {
@@ -122,12 +124,12 @@
 	return served
 }
 
-// Hosts, addresses, builds, ids, keys and connections come and go, and the marshal must not leak any of them. What it keeps for a
-// while expires by its clock, which the test advances before it measures: node connections after conn-idle, hosts that are gone
-// after 5 minutes. The number of connections kept in between varies with the load, because a connection is reused only 20 ms after
-// its response, and each has goroutines of the test's nodes at its other end: 58 and then 86 goroutines were counted beside six busy
-// processes, without a leak. A heap growth of 3.7 kB per host was the capacity of the sliding windows (balance, sliding.add), with
-// 80 requests per round.
+// Hosts, addresses, builds, ids, keys and connections come and go, and the marshal must not leak any of them. What it
+// keeps for a while expires by its clock, which the test advances before it measures: node connections after conn-idle,
+// hosts that are gone after 5 minutes. The number of connections kept in between varies with the load, because a
+// connection is reused only 20 ms after its response, and each has goroutines of the test's nodes at its other end: 58
+// and then 86 goroutines were counted beside six busy processes, without a leak. A heap growth of 3.7 kB per host was
+// the capacity of the sliding windows (balance, sliding.add), with 80 requests per round.
 func TestNoLeaks(t *testing.T) {
 	s := startStreamServer(t)
 	c := config(t, "127.0.0.1:0", s.address, "127.0.0.1:0", s.address)
--- a/internal/platform/stop_test.go
+++ b/internal/platform/stop_test.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// The nodes hang from before TERM until after KILL, and the time limit of a request ends after KILL. The request must be answered
-// before KILL, and an incomplete request must not delay the end.
+// The nodes hang from before TERM until after KILL, and the time limit of a request ends after KILL. The request must
+// be answered before KILL, and an incomplete request must not delay the end.
 func TestDrainWithHungNodes(t *testing.T) {
 	hang := func(_ net.Conn, b *bufio.Reader) {
 		b.ReadByte() // until the dispatch is abandoned
--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -1,5 +1,5 @@
-// Package rest is a small HTTP/1.1 client for single calls and for streams of JSON objects, on package h1. After an error the
-// connection must not be used again.
+// Package rest is a small HTTP/1.1 client for single calls and for streams of JSON objects, on package h1. After an
+// error the connection must not be used again.
 package rest
 
 import (
@@ -26,8 +26,8 @@
 
 var headLimits = h1.Limits{Line: maxHeadBytes / 4, Header: maxHeadBytes}
 
-// Call sends a request on a new connection and reads the response. sent reports whether the whole request was written; if
-// not, the server has not carried it out.
+// Call sends a request on a new connection and reads the response. sent reports whether the whole request was written;
+// if not, the server has not carried it out.
 func Call(ctx context.Context, address, method, target string, body []byte) (status int, response []byte, sent bool, err error) {
 	var d net.Dialer
 	nc, err := d.DialContext(ctx, "tcp", address)
@@ -54,9 +54,9 @@
 	return h.Status, response, true, nil
 }
 
-// Follow requests a stream and calls handle with each of its JSON objects, until the stream ends, nothing arrives within
-// timeout, or handle returns an error. Objects may be separated by any white space, which also serves as a keep-alive, or by
-// none; reads may split them anywhere.
+// Follow requests a stream and calls handle with each of its JSON objects, until the stream ends, nothing arrives
+// within timeout, or handle returns an error. Objects may be separated by any white space, which also serves as a
+// keep-alive, or by none; reads may split them anywhere.
 func Follow(nc net.Conn, address, target string, timeout time.Duration, handle func([]byte) error) error {
 	nc.SetWriteDeadline(time.Now().Add(timeout))
 	if err := sendRequest(nc, address, "GET", target, nil); err != nil {
