--- a/internal/control/conveyor.go
+++ b/internal/control/conveyor.go
@@ -12,63 +12,65 @@
 	"arrowcleat/balance"
 )
 
-// Conveyor is a marshal's connection to the conveyor.
-type Conveyor struct {
-	Address  string
-	Number   int // the marshal's
-	Wait     time.Duration
-	WaitMost time.Duration
-	Patience time.Duration // for a vote's answer
-	Log      *slog.Logger
+// RolloutClient is a marshal's connection to the rollout service.
+type RolloutClient struct {
+	Address        string
+	Number         int // this marshal's
+	InitialBackoff time.Duration
+	MaxBackoff     time.Duration
+	VoteTimeout    time.Duration // for the answer to a vote
+	Log            *slog.Logger
 
-	Staged  func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
-	Failed  func(how balance.Outcome)
-	Tallied func(ver, op, samples, errors int, mean, age float64)
-	Flagged func(node uint32, op int, age float64)
+	// OnStageUpdate receives the stage of a build. reply is true for the answer to a vote.
+	OnStageUpdate func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
+	OnVoteFailed  func(outcome balance.Outcome)
+	OnBuildStats  func(ver, op, samples, errors int, mean, age float64)
+	OnWrongAnswer func(node uint32, op int, age float64)
 
-	mu   sync.Mutex
-	conn *Link
-	next uint64
-	out  uint64 // the vote that waits for its answer, 0 for none
+	mu          sync.Mutex
+	conn        *LineConn
+	lastVoteID  uint64
+	pendingVote uint64 // id of the vote whose answer is pending; 0: none
 }
 
-// AppendStage writes the news of a stage.
+// AppendStage appends the STAGE message to b.
 func AppendStage(b []byte, ver, stage int, phase balance.Phase, cap, age float64) []byte {
-	return fmt.Appendf(b, "STAGE %d %d %s %g %.0f", ver, stage, phases[phase], cap, age)
+	return fmt.Appendf(b, "STAGE %d %d %s %g %.0f", ver, stage, phaseNames[phase], cap, age)
 }
 
-func stageOf(w *words) (ver, stage int, phase balance.Phase, cap, age float64) {
-	ver = int(w.whole("ver", 0, 1<<31))
-	stage = int(w.whole("stage", 0, 1000))
-	phase = balance.Phase(w.one("phase", phases...))
-	cap = w.number("cap", 0, 1)
-	age = w.number("age", 0, mostMS)
+// parseStage reads the fields of a STAGE message.
+func parseStage(p *lineParser) (ver, stage int, phase balance.Phase, cap, age float64) {
+	ver = int(p.integer("ver", 0, 1<<31))
+	stage = int(p.integer("stage", 0, 1000))
+	phase = balance.Phase(p.oneOf("phase", phaseNames...))
+	cap = p.float("cap", 0, 1)
+	age = p.float("age", 0, maxMS)
 	return
 }
 
-// ParseVote reads a vote, on the conveyor's side.
+// ParseVote decodes a VOTE message, for the service's side.
 func ParseVote(text string) (id uint64, ver, stage int, verdict balance.Verdict, err error) {
-	w := fields(text)
-	w.one("message", "VOTE")
-	id = uint64(w.whole("id", 0, math.MaxInt64))
-	ver = int(w.whole("ver", 0, 1<<31))
-	stage = int(w.whole("stage", 0, 1000))
-	verdict = balance.Verdict(w.one("verdict", verdicts...))
-	return id, ver, stage, verdict, w.end()
+	p := newLineParser(text)
+	p.oneOf("message", "VOTE")
+	id = uint64(p.integer("id", 0, math.MaxInt64))
+	ver = int(p.integer("ver", 0, 1<<31))
+	stage = int(p.integer("stage", 0, 1000))
+	verdict = balance.Verdict(p.oneOf("verdict", verdictNames...))
+	return id, ver, stage, verdict, p.finish()
 }
 
-// Run keeps the connection until the context ends.
-func (c *Conveyor) Run(ctx context.Context) {
-	Keep(ctx, "conveyor", c.Address, c.Wait, c.WaitMost, c.Log, c.session)
+// Run maintains the connection until the context ends.
+func (c *RolloutClient) Run(ctx context.Context) {
+	KeepConnected(ctx, "conveyor", c.Address, c.InitialBackoff, c.MaxBackoff, c.Log, c.session)
 }
 
-func (c *Conveyor) session(_ context.Context, nc net.Conn) error {
-	t := NewLink(nc)
-	if err := t.PrintfLine("HELLO %d", c.Number); err != nil {
+func (c *RolloutClient) session(_ context.Context, nc net.Conn) error {
+	conn := NewLineConn(nc)
+	if err := conn.PrintfLine("HELLO %d", c.Number); err != nil {
 		return err
 	}
 	c.mu.Lock()
-	c.conn = t
+	c.conn = conn
 	c.mu.Unlock()
 	defer func() {
 		c.mu.Lock()
@@ -76,87 +78,91 @@
 		c.mu.Unlock()
 	}()
 	for {
-		line, err := t.Line()
+		line, err := conn.NextLine()
 		if err != nil {
 			return err
 		}
-		if err := c.News(line); err != nil {
-			return fmt.Errorf("conveyor: %w in %.80q", err, line)
+		if err := c.HandleLine(line); err != nil {
+			return fmt.Errorf("rollout service: %w in %.80q", err, line)
 		}
 	}
 }
 
-// News takes one line of the conveyor's.
-func (c *Conveyor) News(line string) error {
-	w := fields(line)
-	switch w.one("message", "STAGE", "VOTED", "TALLY", "FLAG") {
+// HandleLine processes a line from the rollout service.
+func (c *RolloutClient) HandleLine(line string) error {
+	p := newLineParser(line)
+	switch p.oneOf("message", "STAGE", "VOTED", "TALLY", "FLAG") {
 	case 0:
-		ver, stage, phase, cap, age := stageOf(w)
-		if w.end() == nil {
-			c.Staged(ver, stage, phase, cap, age, false)
+		ver, stage, phase, cap, age := parseStage(p)
+		if p.finish() == nil {
+			c.OnStageUpdate(ver, stage, phase, cap, age, false)
 		}
 	case 1:
-		id := uint64(w.whole("id", 0, math.MaxInt64))
-		answer := w.one("answer", "ok", "refused", "busy", "error")
+		id := uint64(p.integer("id", 0, math.MaxInt64))
+		answer := p.oneOf("answer", "ok", "refused", "busy", "error")
 		var ver, stage int
 		var phase balance.Phase
 		var cap, age float64
 		if answer == 0 {
-			ver, stage, phase, cap, age = stageOf(w)
+			ver, stage, phase, cap, age = parseStage(p)
 		}
-		if w.end() == nil && c.answered(id) {
+		if p.finish() == nil && c.resolveVote(id) {
 			if answer == 0 {
-				c.Staged(ver, stage, phase, cap, age, true)
+				c.OnStageUpdate(ver, stage, phase, cap, age, true)
 			} else {
-				c.Failed([]balance.Outcome{1: balance.Ignored, 2: balance.Rejected, 3: balance.Failed}[answer])
+				c.OnVoteFailed([]balance.Outcome{1: balance.Ignored, 2: balance.Rejected, 3: balance.Failed}[answer])
 			}
 		}
 	case 2:
-		ver, op := int(w.whole("ver", 0, 1<<31)), int(w.whole("operation", 0, 1<<16))
-		samples, errors := int(w.whole("samples", 0, 1<<40)), int(w.whole("errors", 0, 1<<40))
-		mean, age := w.number("mean", 0, mostMS), w.number("age", 0, mostMS)
-		if w.err == nil && errors > samples {
-			w.err = fmt.Errorf("errors: %d of %d samples", errors, samples)
+		ver, op := int(p.integer("ver", 0, 1<<31)), int(p.integer("operation", 0, 1<<16))
+		samples, errors := int(p.integer("samples", 0, 1<<40)), int(p.integer("errors", 0, 1<<40))
+		mean, age := p.float("mean", 0, maxMS), p.float("age", 0, maxMS)
+		if p.err == nil && errors > samples {
+			p.err = fmt.Errorf("errors: %d of %d samples", errors, samples)
 		}
-		if w.end() == nil {
-			c.Tallied(ver, op, samples, errors, mean, age)
+		if p.finish() == nil {
+			c.OnBuildStats(ver, op, samples, errors, mean, age)
 		}
 	case 3:
-		node, op := uint32(w.whole("node", 0, math.MaxUint32)), int(w.whole("operation", 0, 1<<16))
-		age := w.number("age", 0, mostMS)
-		if w.end() == nil {
-			c.Flagged(node, op, age)
+		node, op := uint32(p.integer("node", 0, math.MaxUint32)), int(p.integer("operation", 0, 1<<16))
+		age := p.float("age", 0, maxMS)
+		if p.finish() == nil {
+			c.OnWrongAnswer(node, op, age)
 		}
 	}
-	return w.end()
+	return p.finish()
 }
 
-// answered says that a vote was still waited for; what comes later, or twice, counts no more.
-func (c *Conveyor) answered(id uint64) bool {
+// resolveVote reports whether the answer to a vote was pending, and clears it. Late and duplicate answers are ignored.
+func (c *RolloutClient) resolveVote(id uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.out != id || id == 0 {
+	if c.pendingVote != id || id == 0 {
 		return false
 	}
-	c.out = 0
+	c.pendingVote = 0
 	return true
 }
 
-// Vote sends a vote; it is answered by Staged or Failed. One that never left is an error, not silence.
-func (c *Conveyor) Vote(ver, stage int, verdict balance.Verdict) {
+// unsentVoteDelay is the delay before a vote that could not be sent is reported as failed.
+const unsentVoteDelay = 10 * time.Millisecond
+
+// Vote sends a vote. Its result is reported to OnStageUpdate or OnVoteFailed: a vote that could not be sent fails after
+// unsentVoteDelay, one without an answer after VoteTimeout.
+func (c *RolloutClient) Vote(ver, stage int, verdict balance.Verdict) {
 	c.mu.Lock()
-	c.next++
-	id := c.next
-	c.out = id
-	sent := c.conn != nil && c.conn.PrintfLine("VOTE %d %d %d %s", id, ver, stage, verdicts[verdict]) == nil
+	c.lastVoteID++
+	id := c.lastVoteID
+	c.pendingVote = id
+	sent := c.conn != nil && c.conn.PrintfLine("VOTE %d %d %d %s", id, ver, stage, verdictNames[verdict]) == nil
 	c.mu.Unlock()
-	patience, how := c.Patience, balance.TimedOut
+	timeout, outcome := c.VoteTimeout, balance.TimedOut
 	if !sent {
-		patience, how = 10*time.Millisecond, balance.Failed
+		timeout, outcome = unsentVoteDelay, balance.Failed
 	}
-	time.AfterFunc(patience, func() {
-		if c.answered(id) {
-			c.Failed(how)
+	time.AfterFunc(timeout, func() {
+		if c.resolveVote(id) {
+			c.OnVoteFailed(outcome)
 		}
 	})
 }
--- a/internal/platform/conveyor.go
+++ b/internal/platform/conveyor.go
@@ -16,142 +16,149 @@
 	"arrowcleat/internal/rest"
 )
 
+// apiBase is the prefix of the release API's paths.
 const apiBase = "/v2/projects/main"
 
 var (
-	phases   = []string{"testing", "recalling", "live", "recalled"} // in the order of balance.Phase
-	verdicts = []string{"none", "on", "hold", "back"}               // in that of balance.Verdict
-	// What a vote that was not carried out comes back with.
-	refusals = map[int]struct {
-		word   string
-		ending balance.Outcome
+	phaseNames   = []string{"testing", "recalling", "live", "recalled"} // in the order of balance.Phase
+	verdictNames = []string{"none", "on", "hold", "back"}               // in the order of balance.Verdict
+	// voteErrors are the answers to a vote that was not carried out, by status.
+	voteErrors = map[int]struct {
+		code    string
+		outcome balance.Outcome
 	}{429: {"BUSY", balance.Rejected}, 409: {"STALE", balance.Ignored}, 500: {"FAILED", balance.Failed}, 400: {"SYNTAX", balance.Failed}}
 )
 
-// Staged is told where the newest build stands.
-type Staged = func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
+// StageUpdateFunc receives the rollout state of the newest build. reply is true for the answer to a vote.
+type StageUpdateFunc = func(ver, stage int, phase balance.Phase, cap, age float64, reply bool)
 
-// Conveyor follows the platform's news of the newest build, and votes on it.
-type Conveyor struct {
+// RolloutClient follows the rollout of the newest build on the release API, and votes on it.
+type RolloutClient struct {
 	endpoint
-	Patience time.Duration // for a vote's answer
-	Log      *slog.Logger
-	Staged   Staged
-	Failed   func(how balance.Outcome)
+	VoteTimeout   time.Duration // for the answer to a vote
+	Log           *slog.Logger
+	OnStageUpdate StageUpdateFunc
+	OnVoteFailed  func(outcome balance.Outcome)
 
-	order sync.Mutex // of what is told
-	last  *state     // told last
+	mu     sync.Mutex  // orders the updates
+	latest *buildState // published last
 }
 
-// state is where a build stands.
-type state struct {
+// buildState is the rollout state of a build.
+type buildState struct {
 	ver, stage int
 	phase      balance.Phase
 	cap        float64
-	since      time.Time
+	since      time.Time // when the build entered this state
 }
 
-// later are the phases in the order that a build comes to stand in them.
-var later = map[balance.Phase]int{balance.OnTrial: 0, balance.Released: 1, balance.RollingBack: 2, balance.Withdrawn: 3}
+// phaseOrder is the order in which a build enters the phases.
+var phaseOrder = map[balance.Phase]int{balance.OnTrial: 0, balance.Released: 1, balance.RollingBack: 2, balance.Withdrawn: 3}
 
-// before says that a state is one that the build had before another. A vote's answer and the stream come on two connections:
-// the answer may have been given before what the stream told, and would raise a cap again that has fallen. patience bounds how
-// much later than it was given it can come; what came to stand so later than that is news, whatever it says.
-func (s *state) before(o *state, patience time.Duration) bool {
-	if s.ver != o.ver {
-		return s.ver < o.ver
+// precedes reports whether s is older than other. The answer to a vote and the event stream arrive on two connections,
+// so that an answer may be older than the last event, and would raise a cap that has been lowered since. An answer is
+// delayed by at most voteTimeout: a state that was entered later than that after other is new, even if its phase or
+// stage is an earlier one.
+func (s *buildState) precedes(other *buildState, voteTimeout time.Duration) bool {
+	if s.ver != other.ver {
+		return s.ver < other.ver
 	}
-	less := later[s.phase] < later[o.phase] || s.phase == balance.OnTrial && o.phase == balance.OnTrial && s.stage < o.stage
-	return less && s.since.Before(o.since.Add(patience))
+	earlier := phaseOrder[s.phase] < phaseOrder[other.phase] || s.phase == balance.OnTrial && other.phase == balance.OnTrial && s.stage < other.stage
+	return earlier && s.since.Before(other.since.Add(voteTimeout))
 }
 
-// tell tells what is not overtaken; of a reply that is, what stands.
-func (c *Conveyor) tell(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
-	c.order.Lock()
-	defer c.order.Unlock()
+// publish reports a state that is not older than the latest one. For an older state in a reply it reports the latest
+// one instead.
+func (c *RolloutClient) publish(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	now := time.Now()
-	s := &state{ver, stage, phase, cap, now.Add(-time.Duration(min(age, mostAge) * float64(time.Millisecond)))}
-	if c.last != nil && s.before(c.last, c.Patience) {
+	s := &buildState{ver, stage, phase, cap, now.Add(-time.Duration(min(age, maxAgeMs) * float64(time.Millisecond)))}
+	if c.latest != nil && s.precedes(c.latest, c.VoteTimeout) {
 		if !reply {
 			return
 		}
-		s = c.last
+		s = c.latest
 		age = float64(now.Sub(s.since)) / float64(time.Millisecond)
 	}
-	c.last = s
-	c.Staged(s.ver, s.stage, s.phase, s.cap, age, reply)
+	c.latest = s
+	c.OnStageUpdate(s.ver, s.stage, s.phase, s.cap, age, reply)
 }
 
-const mostAge = 1e11 // ms that a state's age is counted to
+// maxAgeMs is the greatest age of a state that is distinguished; it keeps the age in the range of time.Duration.
+const maxAgeMs = 1e11
 
-// Run follows the news until the context ends.
-func (c *Conveyor) Run(ctx context.Context) {
-	c.keep(ctx, "release API", c.Log, func(s *session, nc net.Conn) error {
+// Run follows the events until the context ends.
+func (c *RolloutClient) Run(ctx context.Context) {
+	c.keepConnected(ctx, "release API", c.Log, func(s *session, nc net.Conn) error {
 		return rest.Follow(nc, s.address, apiBase+"/events", eventsTimeout, func(text []byte) (err error) {
-			if !s.speak(func() { err = c.news(gjson.ParseBytes(text)) }) {
-				return errMoved
+			if !s.deliver(func() { err = c.handleEvent(gjson.ParseBytes(text)) }) {
+				return errSuperseded
 			}
 			return err
 		})
 	})
 }
 
-func (c *Conveyor) news(j gjson.Result) error {
-	if j.Get("type").Str != "ROLLOUT" { // a sign of life, or news of what a marshal has no use for
+// handleEvent processes an object of the event stream.
+func (c *RolloutClient) handleEvent(j gjson.Result) error {
+	if j.Get("type").Str != "ROLLOUT" { // a keep-alive, or an event that does not concern marshals
 		return nil
 	}
-	c.Log.Debug("news", "object", j.Get("object").Raw)
-	return staged(j.Get("object"), false, c.tell)
+	c.Log.Debug("rollout event received", "object", j.Get("object").Raw)
+	return parseState(j.Get("object"), false, c.publish)
 }
 
-// staged reads a state whole or not at all.
-func staged(j gjson.Result, reply bool, tell Staged) error {
-	phase := slices.Index(phases, j.Get("State").Str)
+// parseState reads a state and calls update with it. An incomplete or invalid state is an error, without a call.
+func parseState(j gjson.Result, reply bool, update StageUpdateFunc) error {
+	phase := slices.Index(phaseNames, j.Get("State").Str)
 	for _, name := range []string{"Revision", "Wave", "MaxShare", "AgeMs"} {
 		if v := j.Get(name); v.Type != gjson.Number || v.Num < 0 {
-			return fmt.Errorf("release API: %s: no number that can be read in %.120q", name, j.Raw)
+			return fmt.Errorf("release API: %s is missing or not a valid number in %.120q", name, j.Raw)
 		}
 	}
 	if phase < 0 || j.Get("MaxShare").Num > 1 {
-		return fmt.Errorf("release API: no state that can be read in %.120q", j.Raw)
+		return fmt.Errorf("release API: invalid State or MaxShare in %.120q", j.Raw)
 	}
-	tell(int(j.Get("Revision").Int()), int(j.Get("Wave").Int()), balance.Phase(phase), j.Get("MaxShare").Num, j.Get("AgeMs").Num, reply)
+	update(int(j.Get("Revision").Int()), int(j.Get("Wave").Int()), balance.Phase(phase), j.Get("MaxShare").Num, j.Get("AgeMs").Num, reply)
 	return nil
 }
 
-// Vote sends a vote on a connection of its own; it is answered by Staged or Failed.
-func (c *Conveyor) Vote(ver, stage int, verdict balance.Verdict) {
+// Vote sends a vote on a new connection. Its result is reported to OnStageUpdate or OnVoteFailed.
+func (c *RolloutClient) Vote(ver, stage int, verdict balance.Verdict) {
 	go func() {
-		if how := c.vote(ver, stage, verdict); how != balance.Succeeded {
-			c.Failed(how)
+		if outcome := c.sendVote(ver, stage, verdict); outcome != balance.Succeeded {
+			c.OnVoteFailed(outcome)
 		}
 	}()
 }
 
-func (c *Conveyor) vote(ver, stage int, verdict balance.Verdict) balance.Outcome {
-	ctx, done := context.WithTimeout(context.Background(), c.Patience)
-	defer done()
-	body := fmt.Appendf(nil, `{"Revision":%d,"Wave":%d,"Decision":%q}`, ver, stage, verdicts[verdict])
-	status, answer, sent, err := rest.Call(ctx, c.at(), "POST", apiBase+"/votes", body)
-	how := balance.Succeeded
-	switch refused, known := refusals[status]; {
+// sendVote sends a vote and publishes the state in its answer. An answer that can't be understood leaves the result of
+// the vote open, like a time-out.
+func (c *RolloutClient) sendVote(ver, stage int, verdict balance.Verdict) balance.Outcome {
+	ctx, cancel := context.WithTimeout(context.Background(), c.VoteTimeout)
+	defer cancel()
+	body := fmt.Appendf(nil, `{"Revision":%d,"Wave":%d,"Decision":%q}`, ver, stage, verdictNames[verdict])
+	status, response, sent, err := rest.Call(ctx, c.currentAddress(), "POST", apiBase+"/votes", body)
+	outcome := balance.Succeeded
+	switch refusal, known := voteErrors[status]; {
 	case err != nil && !sent:
-		how = balance.ConnectFailed
+		outcome = balance.ConnectFailed
 	case err != nil:
-		how = balance.TimedOut
-	case !gjson.ValidBytes(answer):
-		err, how = errors.New("not valid JSON"), balance.TimedOut
+		outcome = balance.TimedOut
+	case !gjson.ValidBytes(response):
+		err, outcome = errors.New("not valid JSON"), balance.TimedOut
 	case status == 200:
-		if err = staged(gjson.ParseBytes(answer), true, c.tell); err != nil {
-			how = balance.TimedOut
+		if err = parseState(gjson.ParseBytes(response), true, c.publish); err != nil {
+			outcome = balance.TimedOut
 		}
-	case known && gjson.GetBytes(answer, "error").Str == refused.word:
-		how = refused.ending
+	case known && gjson.GetBytes(response, "error").Str == refusal.code:
+		outcome = refusal.outcome
 	default:
-		err, how = fmt.Errorf("status %d with %.80q", status, answer), balance.TimedOut
+		err, outcome = fmt.Errorf("unexpected response: status %d, body %.80q", status, response), balance.TimedOut
 	}
-	if how != balance.Succeeded {
+	if outcome != balance.Succeeded {
 		c.Log.Info("vote not answered", "ver", ver, "stage", stage, "status", status, "err", err)
 	}
-	return how
+	return outcome
 }
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -11,110 +11,110 @@
 	"arrowcleat/internal/control"
 )
 
-// The waits between two connections; each is jittered, and a connection that hangs is given up after the longest.
+// Bounds of the jittered backoff between connections. maxBackoff is also the time-out for connecting.
 const (
-	waitFirst = 20 * time.Millisecond
-	waitMost  = 500 * time.Millisecond
+	initialBackoff = 20 * time.Millisecond
+	maxBackoff     = 500 * time.Millisecond
 )
 
-var errMoved = errors.New("another address has spoken since")
+var errSuperseded = errors.New("superseded by a session with a newer address")
 
-// endpoint is an address that can change while a session with it is kept. The session with the address before goes on until
-// the one with the new has spoken, or until it ends: a marshal hears of changes all the while.
+// endpoint is a server whose address can change. A session with the previous address continues until the first message
+// from the new address, or until it ends, so that updates keep arriving during the change.
 type endpoint struct {
-	mu      sync.Mutex
-	address string
-	moved   chan struct{} // closed at the next Move
-	last    int           // number of the session that spoke last
+	mu             sync.Mutex
+	address        string
+	addressChanged chan struct{} // closed by the next SetAddress; nil: nothing waits for it
+	latestSession  int           // number of the session that received the last message
 }
 
-// session is what is kept with one address.
+// session is a connection to one address that is maintained across reconnects.
 type session struct {
-	e       *endpoint
-	number  int
-	address string
-	leave   context.CancelFunc
-	before  *session
+	endpoint *endpoint
+	number   int // counted from 1; a session with a newer address has a higher number
+	address  string
+	cancel   context.CancelFunc
+	previous *session // with the address before, until it is cancelled
 }
 
-// Move goes over to another address.
-func (e *endpoint) Move(address string) {
+// SetAddress changes the address.
+func (e *endpoint) SetAddress(address string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if address != e.address {
 		e.address = address
-		if e.moved != nil {
-			close(e.moved)
-			e.moved = nil
+		if e.addressChanged != nil {
+			close(e.addressChanged)
+			e.addressChanged = nil
 		}
 	}
 }
 
-func (e *endpoint) at() string {
+func (e *endpoint) currentAddress() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.address
 }
 
-// next waits for nothing: it gives the address, and what is closed once it is another.
-func (e *endpoint) next() (string, chan struct{}) {
+// watchAddress returns the address, and a channel that is closed when it changes.
+func (e *endpoint) watchAddress() (string, chan struct{}) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.moved == nil {
-		e.moved = make(chan struct{})
+	if e.addressChanged == nil {
+		e.addressChanged = make(chan struct{})
 	}
-	return e.address, e.moved
+	return e.address, e.addressChanged
 }
 
-// keep holds a session with the address there is, again and again, until the context ends.
-func (e *endpoint) keep(ctx context.Context, name string, log *slog.Logger, follow func(*session, net.Conn) error) {
+// keepConnected maintains a session with the current address until the context ends. follow handles one connection.
+func (e *endpoint) keepConnected(ctx context.Context, name string, log *slog.Logger, follow func(*session, net.Conn) error) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	var before *session
+	var previous *session
 	for number := 1; ctx.Err() == nil; number++ {
-		address, moved := e.next()
-		here, leave := context.WithCancel(ctx)
-		s := &session{e, number, address, leave, before}
+		address, changed := e.watchAddress()
+		sessionCtx, cancel := context.WithCancel(ctx)
+		s := &session{e, number, address, cancel, previous}
 		wg.Go(func() {
-			control.Keep(here, name, address, waitFirst, waitMost, log, func(_ context.Context, nc net.Conn) error {
+			control.KeepConnected(sessionCtx, name, address, initialBackoff, maxBackoff, log, func(_ context.Context, nc net.Conn) error {
 				err := follow(s, nc)
 				select {
-				case <-moved: // it is not opened again
-					leave()
+				case <-changed: // don't reconnect to the old address
+					cancel()
 				default:
 				}
 				return err
 			})
 		})
-		before = s
+		previous = s
 		select {
 		case <-ctx.Done():
-			leave()
-		case <-moved:
+			cancel()
+		case <-changed:
 		}
 	}
 }
 
-// alone does something while no session of the endpoint speaks.
-func (s *session) alone(f func()) {
-	s.e.mu.Lock()
-	defer s.e.mu.Unlock()
+// withLock calls f while no session of the endpoint delivers a message.
+func (s *session) withLock(f func()) {
+	s.endpoint.mu.Lock()
+	defer s.endpoint.mu.Unlock()
 	f()
 }
 
-// speak does what the session's news asks for, and ends those with earlier addresses; false says that one with a later
-// address has spoken, so that this news is older.
-func (s *session) speak(f func()) bool {
-	s.e.mu.Lock()
-	defer s.e.mu.Unlock()
-	if s.number < s.e.last {
+// deliver calls f for a message of the session, and cancels the sessions with older addresses. It returns false without
+// calling f if a session with a newer address has already received a message.
+func (s *session) deliver(f func()) bool {
+	s.endpoint.mu.Lock()
+	defer s.endpoint.mu.Unlock()
+	if s.number < s.endpoint.latestSession {
 		return false
 	}
-	s.e.last = s.number
-	for b := s.before; b != nil; b = b.before {
-		b.leave()
+	s.endpoint.latestSession = s.number
+	for p := s.previous; p != nil; p = p.previous {
+		p.cancel()
 	}
-	s.before = nil
+	s.previous = nil
 	f()
 	return true
 }
--- a/internal/serve/bench_test.go
+++ b/internal/serve/bench_test.go
@@ -62,9 +62,9 @@
 	if err != nil {
 		b.Fatal(err)
 	}
-	var lines []control.Line
+	var lines []control.NodeEntry
 	for i := range nodes {
-		lines = append(lines, control.Line{Node: balance.Node{ID: uint32(i + 1), Ver: 1, Size: 1}, Address: address})
+		lines = append(lines, control.NodeEntry{Node: balance.Node{ID: uint32(i + 1), Ver: 1, Size: 1}, Address: address})
 	}
 	m.pools[0].nodesListed(true, lines)
 	m.pools[0].stageUpdate(1, 0, balance.Released, 1, 60000, false)
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -204,7 +204,7 @@
 		}}
 	}}})
 	for id := range uint32(4) {
-		r.registry.Set(control.Line{Node: balance.Node{ID: id + 1, Ver: 1 + int(id)/2, Size: 1}, Address: r.nodeListeners[id].Addr().String()}, 0)
+		r.registry.Set(control.NodeEntry{Node: balance.Node{ID: id + 1, Ver: 1 + int(id)/2, Size: 1}, Address: r.nodeListeners[id].Addr().String()}, 0)
 	}
 	for _, p := range r.m.pools {
 		p.stageUpdate(2, 0, balance.OnTrial, 0.5, 0, false)
@@ -270,7 +270,7 @@
 		s.Rollout.Allowance, s.Rollout.CountedOverMs = 2, float64(window.Milliseconds())
 		s.Rollout.Stage = []*settings.Stage{{Part: 0.25, Cap: 0.1}, {Part: 1, Cap: 1}}
 	}), testHooks{})
-	r.registry.Set(control.Line{Node: balance.Node{ID: 4, Ver: 2, Size: 1}, Address: r.nodeListeners[3].Addr().String()}, 0)
+	r.registry.Set(control.NodeEntry{Node: balance.Node{ID: 4, Ver: 2, Size: 1}, Address: r.nodeListeners[3].Addr().String()}, 0)
 	r.waitFor("the marshal knows the build of node 4", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[4].Ver == 2 })
 	p := r.m.pools[0]
 	p.stageUpdate(2, 0, balance.OnTrial, 0.1, 0, false)
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -85,18 +85,18 @@
 		return
 	}
 	if r := p.settings.Roster; r.Address != "" {
-		p.registry = &control.Roster{Address: r.Address, Ask: r.Ask, Number: int(p.settings.Instance.Number),
-			Wait: milliseconds(r.ReconnectMs), WaitMost: milliseconds(r.ReconnectMostMs), Log: p.m.Log, Listed: p.nodesListed, Failed: listFailed}
+		p.registry = &control.RegistryClient{Address: r.Address, WatchOnDemand: r.Ask, Number: int(p.settings.Instance.Number),
+			InitialBackoff: milliseconds(r.ReconnectMs), MaxBackoff: milliseconds(r.ReconnectMostMs), Log: p.m.Log, OnNodesListed: p.nodesListed, OnNodeListFailed: listFailed}
 	}
 	if c := p.settings.Conveyor; c.Address != "" {
-		p.rollout = &control.Conveyor{Address: c.Address, Number: int(p.settings.Instance.Number), Wait: milliseconds(c.ReconnectMs),
-			WaitMost: milliseconds(c.ReconnectMostMs), Patience: milliseconds(p.settings.Rollout.VoteTimeoutMs), Log: p.m.Log,
-			Staged: p.stageUpdate,
-			Failed: voteFailed,
-			Tallied: func(ver, op, samples, errors int, mean, age float64) {
+		p.rollout = &control.RolloutClient{Address: c.Address, Number: int(p.settings.Instance.Number), InitialBackoff: milliseconds(c.ReconnectMs),
+			MaxBackoff: milliseconds(c.ReconnectMostMs), VoteTimeout: milliseconds(p.settings.Rollout.VoteTimeoutMs), Log: p.m.Log,
+			OnStageUpdate: p.stageUpdate,
+			OnVoteFailed:  voteFailed,
+			OnBuildStats: func(ver, op, samples, errors int, mean, age float64) {
 				p.postAll(func(w *worker) { w.module().BuildStats(ver, op, samples, errors, mean, age) })
 			},
-			Flagged: func(node uint32, op int, age float64) {
+			OnWrongAnswer: func(node uint32, op int, age float64) {
 				p.postAll(func(w *worker) { w.module().WrongAnswer(node, op, age) })
 			}}
 	}
@@ -255,7 +255,7 @@
 const maxSchedulingDelay = 150 * time.Millisecond
 
 // applyLines allows or blocks dispatches to the addresses of registry lines, and converts the lines to nodes.
-func (p *nodePool) applyLines(lines []control.Line) ([]balance.Node, []string) {
+func (p *nodePool) applyLines(lines []control.NodeEntry) ([]balance.Node, []string) {
 	for _, line := range lines {
 		if line.Health == balance.Serving && line.Ver != p.blockedVer {
 			p.m.upstream.Reopen(line.Address)
@@ -272,7 +272,7 @@
 }
 
 // nodesListed passes an update of the node list to all workers and has it saved.
-func (p *nodePool) nodesListed(complete bool, lines []control.Line) {
+func (p *nodePool) nodesListed(complete bool, lines []control.NodeEntry) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	nodes, addresses := p.applyLines(lines)
--- a/internal/serve/hooks.go
+++ b/internal/serve/hooks.go
@@ -37,14 +37,14 @@
 // for the service registry, the rollout service and peers.
 type Transport struct {
 	ProtocolOptions    front.ProtocolOptions
-	ModuleSettings     balance.Settings  // of the decision module
-	Strict             bool              // a response other than 200 is a failure
-	ReportNames        map[string]string // names of the figures that nodes report, as the module knows them
-	MaxNodeConnections int               // connections to all nodes together above which idle ones are closed; 0: no bound
-	ReuseDelay         time.Duration     // how long a connection to a node stays unused after a response
-	KnownNodes         []control.Line    // the node list that the marshal held last
-	FirstListTimeout   time.Duration     // how long the marshal waits for the first node list before it accepts invocations
-	NewRegistry        func(onNodes func(complete bool, lines []control.Line), onFailure func()) Registry
+	ModuleSettings     balance.Settings    // of the decision module
+	Strict             bool                // a response other than 200 is a failure
+	ReportNames        map[string]string   // names of the figures that nodes report, as the module knows them
+	MaxNodeConnections int                 // connections to all nodes together above which idle ones are closed; 0: no bound
+	ReuseDelay         time.Duration       // how long a connection to a node stays unused after a response
+	KnownNodes         []control.NodeEntry // the node list that the marshal held last
+	FirstListTimeout   time.Duration       // how long the marshal waits for the first node list before it accepts invocations
+	NewRegistry        func(onNodes func(complete bool, lines []control.NodeEntry), onFailure func()) Registry
 	NewRolloutService  func(onStageUpdate func(ver, stage int, phase balance.Phase, cap, age float64, reply bool),
 		onVoteFailure func(balance.Outcome)) RolloutService
 	// NewPeers may be nil: the marshal then has no peers.
@@ -67,6 +67,6 @@
 // Peers exchanges messages with the other marshals.
 type Peers interface {
 	Run()
-	Tell(to int, text string)
+	SendToPeer(to int, text string)
 	Close() error
 }
--- a/internal/serve/leave_test.go
+++ b/internal/serve/leave_test.go
@@ -302,7 +302,7 @@
 		s.Operation[0].LimitMs = 10000
 		s.Rollout.CountedOverMs = 5000
 	}, testHooks{})
-	r.registry.Set(control.Line{Node: balance.Node{ID: 9, Ver: 2, Size: 1}, Address: hangingAddress}, 0)
+	r.registry.Set(control.NodeEntry{Node: balance.Node{ID: 9, Ver: 2, Size: 1}, Address: hangingAddress}, 0)
 	r.waitFor("the marshal knows the node", func() bool { s, _ := r.m.Snapshot(); return len(s.Nodes) == 1 })
 	p := r.m.pools[0]
 	p.stageUpdate(2, 0, balance.OnTrial, 1, 0, false)
--- a/internal/serve/list.go
+++ b/internal/serve/list.go
@@ -23,7 +23,7 @@
 	file          string
 	clock         loop.Clock
 	processStarts map[process]float64
-	lines         map[uint32]control.Line
+	lines         map[uint32]control.NodeEntry
 	ageReceivedAt map[uint32]float64 // clock time in ms at which the age in a line was received
 	// servingNode is the node that serves at an address.
 	servingNode map[string]uint32
@@ -38,21 +38,21 @@
 }
 
 func newNodeList(file string, clock loop.Clock) *nodeList {
-	return &nodeList{file: file, clock: clock, processStarts: map[process]float64{}, lines: map[uint32]control.Line{},
+	return &nodeList{file: file, clock: clock, processStarts: map[process]float64{}, lines: map[uint32]control.NodeEntry{},
 		ageReceivedAt: map[uint32]float64{}, servingNode: map[string]uint32{}, write: writeSynced}
 }
 
 // processStart returns the clock time at which the process of a node started, or 0 if unknown. The first report for a
 // process counts, so that a later report does not look like a restart.
-func (l *nodeList) processStart(line control.Line) float64 {
-	if line.Up <= 0 {
+func (l *nodeList) processStart(line control.NodeEntry) float64 {
+	if line.UptimeMs <= 0 {
 		return 0
 	}
 	p := process{line.ID, line.Incarnation}
 	if at, ok := l.processStarts[p]; ok {
 		return at
 	}
-	at := max(1, l.clock.Now()-line.Up)
+	at := max(1, l.clock.Now()-line.UptimeMs)
 	l.processStarts[p] = at
 	return at
 }
@@ -62,7 +62,7 @@
 
 // update applies a complete list or changes to the current one. It does nothing else: during a rolling restart of a
 // large fleet the next update waits for it.
-func (l *nodeList) update(complete bool, lines []control.Line) {
+func (l *nodeList) update(complete bool, lines []control.NodeEntry) {
 	now := l.clock.Now()
 	if complete {
 		clear(l.lines)
@@ -84,22 +84,22 @@
 }
 
 // snapshot returns the lines to be saved, with current ages. It also discards state of processes and nodes that are gone.
-func (l *nodeList) snapshot() []control.Line {
+func (l *nodeList) snapshot() []control.NodeEntry {
 	now := l.clock.Now()
 	for p := range l.processStarts { // processes that are gone
 		if line, ok := l.lines[p.node]; !ok || line.Incarnation != p.incarnation {
 			delete(l.processStarts, p)
 		}
 	}
-	lines := make([]control.Line, 0, len(l.lines))
+	lines := make([]control.NodeEntry, 0, len(l.lines))
 	for id, at := range l.ageReceivedAt {
 		line, ok := l.lines[id]
 		if !ok {
 			delete(l.ageReceivedAt, id)
 			continue
 		}
-		if line.Up > 0 {
-			line.Up += now - at
+		if line.UptimeMs > 0 {
+			line.UptimeMs += now - at
 		}
 		lines = append(lines, line)
 	}
@@ -107,23 +107,23 @@
 }
 
 // encodeList returns lines in the format of the saved list.
-func encodeList(lines []control.Line) []byte {
+func encodeList(lines []control.NodeEntry) []byte {
 	slices.SortFunc(lines, byID)
 	b := fmt.Appendf(nil, "%s %d %d\n", listHeader, time.Now().UnixMilli(), len(lines))
 	for _, line := range lines {
-		b = append(control.AppendLine(b, line), '\n')
+		b = append(control.AppendNode(b, line), '\n')
 	}
 	return b
 }
 
 // servedByOther reports whether another node now serves at the address of a line: the address was reused.
-func (l *nodeList) servedByOther(line control.Line) bool {
+func (l *nodeList) servedByOther(line control.NodeEntry) bool {
 	id, ok := l.servingNode[line.Address]
 	return ok && id != line.ID
 }
 
 // toNodes converts lines to nodes and their addresses.
-func (l *nodeList) toNodes(lines []control.Line) ([]balance.Node, []string) {
+func (l *nodeList) toNodes(lines []control.NodeEntry) ([]balance.Node, []string) {
 	nodes, addresses := make([]balance.Node, len(lines)), make([]string, len(lines))
 	for i, line := range lines {
 		line.Started = l.processStart(line)
@@ -132,7 +132,7 @@
 	return nodes, addresses
 }
 
-func byID(a, b control.Line) int { return cmp.Compare(a.ID, b.ID) }
+func byID(a, b control.NodeEntry) int { return cmp.Compare(a.ID, b.ID) }
 
 // save replaces the saved list. The previous one stays intact until the new one is complete.
 func (l *nodeList) save(b []byte) error {
@@ -173,7 +173,7 @@
 }
 
 // load reads the list that a previous process of the marshal saved. A list that is truncated or malformed is an error.
-func (l *nodeList) load() ([]control.Line, error) {
+func (l *nodeList) load() ([]control.NodeEntry, error) {
 	if l.file == "" {
 		return nil, nil
 	}
@@ -196,9 +196,9 @@
 	// How long ago the list was saved is unknown, since the wall clock of the machine may have been stepped in between.
 	// A node that is taken for older than it is would get too much load while it is warming up. Nodes keep their saved
 	// age until the registry reports another.
-	var lines []control.Line
+	var lines []control.NodeEntry
 	for s.Scan() {
-		line, err := control.ParseLine(s.Text())
+		line, err := control.ParseNode(s.Text())
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", len(lines)+2, err)
 		}
--- a/internal/serve/list_test.go
+++ b/internal/serve/list_test.go
@@ -62,13 +62,13 @@
 	const upMs = 400.0
 	for _, step := range []time.Duration{time.Hour, -time.Hour} {
 		l := newNodeList(tempFile(t, "list"), loop.Monotonic())
-		line := control.Line{Node: balance.Node{ID: 1, Ver: 1, Size: 1}, Address: "127.0.0.1:1", Incarnation: 1, Up: upMs}
-		saved := fmt.Sprintf("%s %d 1\n%s\n", listHeader, time.Now().Add(-step).UnixMilli(), control.AppendLine(nil, line))
+		line := control.NodeEntry{Node: balance.Node{ID: 1, Ver: 1, Size: 1}, Address: "127.0.0.1:1", Incarnation: 1, UptimeMs: upMs}
+		saved := fmt.Sprintf("%s %d 1\n%s\n", listHeader, time.Now().Add(-step).UnixMilli(), control.AppendNode(nil, line))
 		if err := l.save([]byte(saved)); err != nil {
 			t.Fatal(err)
 		}
 		lines, err := l.load()
-		if err != nil || len(lines) != 1 || lines[0].Up != upMs {
+		if err != nil || len(lines) != 1 || lines[0].UptimeMs != upMs {
 			t.Errorf("wall clock stepped by %v: lines %v, error %v", step, lines, errors.Join(err))
 		}
 	}
--- a/internal/serve/open.go
+++ b/internal/serve/open.go
@@ -61,11 +61,11 @@
 		if err := retryOnShortage(func() error { conn, err = net.ListenUDP("udp", address); return err }); err != nil {
 			return fmt.Errorf("listen.peers: %w", err)
 		}
-		peers := &control.Peers{Number: int(m.Settings.Instance.Number), Conn: conn, To: map[int]*net.UDPAddr{}, Told: m.peerMessage,
-			Bad: func(err error) { m.Log.Warn("message from peer rejected", "err", err) }}
+		peers := &control.PeerTransport{Number: int(m.Settings.Instance.Number), Conn: conn, Addresses: map[int]*net.UDPAddr{}, OnPeerMessage: m.peerMessage,
+			OnError: func(err error) { m.Log.Warn("message from peer rejected", "err", err) }}
 		m.peers = peers
 		for _, p := range m.Settings.Peer {
-			if peers.To[int(p.Number)], err = net.ResolveUDPAddr("udp", p.Address); err != nil {
+			if peers.Addresses[int(p.Number)], err = net.ResolveUDPAddr("udp", p.Address); err != nil {
 				return fmt.Errorf("peer %d: %w", p.Number, err)
 			}
 		}
--- a/internal/serve/outside.go
+++ b/internal/serve/outside.go
@@ -60,5 +60,5 @@
 	if len(w.m.pools) > 1 {
 		text = strconv.Itoa(w.number) + " " + text
 	}
-	w.m.peers.Tell(peer, text)
+	w.m.peers.SendToPeer(peer, text)
 }
--- a/internal/serve/rig_test.go
+++ b/internal/serve/rig_test.go
@@ -116,7 +116,7 @@
 
 // setNode sets a node of build 1 in the service registry.
 func (r *testRig) setNode(id uint32, address string, health balance.Health) {
-	r.registry.Set(control.Line{Node: balance.Node{ID: id, Ver: 1, Size: 1, Health: health}, Address: address}, 0)
+	r.registry.Set(control.NodeEntry{Node: balance.Node{ID: id, Ver: 1, Size: 1, Health: health}, Address: address}, 0)
 }
 
 // close ends the marshal, the service registry and the nodes.
