--- a/cmd/arrowcleat/platform_test.go
+++ b/cmd/arrowcleat/platform_test.go
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(own.Release)
-	p := &program{Cmd: command, t: t, address: own.At(loopback.RequestPort), file: filepath.Join(t.TempDir(), "config.json")}
+	p := &program{Cmd: command, t: t, address: own.Address(loopback.RequestPort), file: filepath.Join(t.TempDir(), "config.json")}
 	p.write(configured(p.address))
 	p.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG="+p.file)
 	p.Stderr = &p.log
--- a/internal/back/back.go
+++ b/internal/back/back.go
@@ -23,16 +23,16 @@
 type Pool struct {
 	Now    func() time.Time // nil: the machine's clock
 	Limits h1.Limits
-	Dial   time.Duration // the longest a connection may take to open
+	DialTimeout   time.Duration // the longest a connection may take to open
 	// Connect opens a connection; nil: the machine's own.
 	Connect func(ctx context.Context, network, address string) (net.Conn, error)
-	Idle    time.Duration // how long one is kept unused
-	Most    int           // unused ones kept for a node
-	Settle  time.Duration // how long one rests after its answer: what comes unasked behind it must not be the next one's
-	All     int           // connections to all nodes together, beyond which an unused one gives way; 0: no bound
+	IdleTimeout    time.Duration // how long one is kept unused
+	MaxIdlePerNode    int           // unused ones kept for a node
+	ReuseDelay  time.Duration // how long one rests after its answer: what comes unasked behind it must not be the next one's
+	MaxConns     int           // connections to all nodes together, beyond which an unused one gives way; 0: no bound
 
 	Strict bool              // an answer is 200, all else is a failure
-	Names  map[string]string // of what nodes report, as the module knows them; nil: ORCA's own
+	ReportNames  map[string]string // of what nodes report, as the module knows them; nil: ORCA's own
 
 	total atomic.Int64
 	nodes sync.Map // address -> *idle
@@ -41,31 +41,31 @@
 	done  atomic.Bool
 }
 
-// Time is the time by which the pool keeps and forgets.
-func (p *Pool) Time() time.Time {
+// CurrentTime is the time by which the pool keeps and forgets.
+func (p *Pool) CurrentTime() time.Time {
 	if p.Now != nil {
 		return p.Now()
 	}
 	return time.Now()
 }
 
-// Shut notes the first word that a node drains or is gone, after which it gets nothing new once a grace is over; Reopen,
+// MarkDraining notes the first word that a node drains or is gone, after which it gets nothing new once a grace is over; Reopen,
 // that it serves. The word may be here before a core that stands still has it, or come while a dispatch waits to be
 // written: Late says that it must not be any more.
-func (p *Pool) Shut(address string, grace time.Duration) {
-	p.shut.LoadOrStore(address, p.Time().Add(grace))
+func (p *Pool) MarkDraining(address string, grace time.Duration) {
+	p.shut.LoadOrStore(address, p.CurrentTime().Add(grace))
 }
 
-func (p *Pool) Reopen(address string) { p.shut.Delete(address) }
+func (p *Pool) MarkServing(address string) { p.shut.Delete(address) }
 
-func (p *Pool) Late(address string) bool {
+func (p *Pool) Draining(address string) bool {
 	from, ok := p.shut.Load(address)
-	return ok && !p.Time().Before(from.(time.Time))
+	return ok && !p.CurrentTime().Before(from.(time.Time))
 }
 
-// Lower notes that the cap of a build fell whose node has this address. What was decided on before must not be written any
+// RecordCapReduction notes that the cap of a build fell whose node has this address. What was decided on before must not be written any
 // more: it may have waited for its connection until long after the lower cap binds. Superseded says so of a decision.
-func (p *Pool) Lower(address string) { p.fell.Store(address, p.Time()) }
+func (p *Pool) RecordCapReduction(address string) { p.fell.Store(address, p.CurrentTime()) }
 
 func (p *Pool) Superseded(address string, decided time.Time) bool {
 	at, ok := p.fell.Load(address)
@@ -81,8 +81,8 @@
 // Conn is one connection to a node.
 type Conn struct {
 	net.Conn
-	R       *h1.Reader
-	Kept    bool // it has carried a request before
+	Reader       *h1.Reader
+	Reused    bool // it has carried a request before
 	address string
 	pool    *Pool
 	closed  atomic.Bool
@@ -90,7 +90,7 @@
 	raw     syscall.RawConn
 	alive   bool
 	peek    func(fd uintptr) bool
-	Buf     []byte // room to write requests
+	WriteBuffer     []byte // room to write requests
 }
 
 const (
@@ -98,8 +98,8 @@
 	keepShut   = 5 * time.Minute // by then every core knows
 )
 
-// Kept gives a connection that was put back and is still open, or nil.
-func (p *Pool) Kept(address string) *Conn {
+// IdleConn gives a connection that was put back and is still open, or nil.
+func (p *Pool) IdleConn(address string) *Conn {
 	v, ok := p.nodes.Load(address)
 	if !ok {
 		return nil
@@ -109,7 +109,7 @@
 		n.mu.Lock()
 		var c *Conn
 		last := len(n.conns) - 1
-		for last >= 0 && p.Time().Sub(n.conns[last].since) < p.Settle {
+		for last >= 0 && p.CurrentTime().Sub(n.conns[last].since) < p.ReuseDelay {
 			last--
 		}
 		if last >= 0 {
@@ -117,7 +117,7 @@
 			n.conns = slices.Delete(n.conns, last, last+1)
 		}
 		n.mu.Unlock()
-		if c == nil || p.Time().Sub(c.since) < p.Idle && c.open() {
+		if c == nil || p.CurrentTime().Sub(c.since) < p.IdleTimeout && c.open() {
 			return c
 		}
 		c.Close()
@@ -127,11 +127,11 @@
 // Get gives a connection: a kept one, or a new one. fresh leaves kept ones out.
 func (p *Pool) Get(ctx context.Context, address string, fresh bool) (*Conn, error) {
 	if !fresh {
-		if c := p.Kept(address); c != nil {
+		if c := p.IdleConn(address); c != nil {
 			return c, nil
 		}
 	}
-	if p.All > 0 && p.total.Load() >= int64(p.All) {
+	if p.MaxConns > 0 && p.total.Load() >= int64(p.MaxConns) {
 		p.dropOldest()
 	}
 	p.total.Add(1) // it holds a descriptor from here on
@@ -140,7 +140,7 @@
 		p.total.Add(-1)
 		return nil, err
 	}
-	c := &Conn{Conn: nc, address: address, pool: p, R: h1.NewReader(nc, readBuffer)}
+	c := &Conn{Conn: nc, address: address, pool: p, Reader: h1.NewReader(nc, readBuffer)}
 	if t, ok := nc.(syscall.Conn); ok {
 		c.raw, _ = t.SyscallConn()
 	}
@@ -160,9 +160,9 @@
 // dial opens a connection within the pool's time and the context's. What this machine lacks for a moment is waited for: nothing has been
 // sent, and the node has no part in it.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
-	if p.Dial > 0 {
+	if p.DialTimeout > 0 {
 		var done context.CancelFunc
-		ctx, done = context.WithTimeout(ctx, p.Dial)
+		ctx, done = context.WithTimeout(ctx, p.DialTimeout)
 		defer done()
 	}
 	connect := p.Connect
@@ -171,7 +171,7 @@
 	}
 	for wait := scarceWait; ; wait = min(2*wait, scarceWaitMost) {
 		nc, err := connect(ctx, "tcp", address)
-		if err == nil || !Scarce(err) {
+		if err == nil || !IsResourceShortage(err) {
 			return nc, err
 		}
 		select {
@@ -190,8 +190,8 @@
 	return c.Conn.Close()
 }
 
-// Open is the number of connections that are open or being opened.
-func (p *Pool) Open() int { return int(p.total.Load()) }
+// OpenConns is the number of connections that are open or being opened.
+func (p *Pool) OpenConns() int { return int(p.total.Load()) }
 
 // dropOldest closes the connection that has been unused for longest.
 func (p *Pool) dropOldest() {
@@ -219,7 +219,7 @@
 
 // open says that the node has neither closed the connection nor sent something unasked on it.
 func (c *Conn) open() bool {
-	if c.R.Buffered() > 0 {
+	if c.Reader.Buffered() > 0 {
 		return false
 	}
 	if c.raw == nil {
@@ -234,10 +234,10 @@
 
 // Put takes back a connection on which nothing is out.
 func (p *Pool) Put(c *Conn) {
-	c.Kept, c.since = true, p.Time()
+	c.Reused, c.since = true, p.CurrentTime()
 	c.SetDeadline(time.Time{})
 	n := p.idleOf(c.address)
-	keep := len(n.conns) < p.Most
+	keep := len(n.conns) < p.MaxIdlePerNode
 	if keep {
 		n.conns = append(n.conns, c)
 	}
@@ -245,7 +245,7 @@
 	if !keep {
 		c.Close()
 	} else if p.done.Load() {
-		p.Drop(c.address)
+		p.CloseIdle(c.address)
 	}
 }
 
@@ -265,8 +265,8 @@
 	}
 }
 
-// Drop closes what is kept for an address.
-func (p *Pool) Drop(address string) {
+// CloseIdle closes what is kept for an address.
+func (p *Pool) CloseIdle(address string) {
 	v, ok := p.nodes.Load(address)
 	if !ok {
 		return
@@ -291,7 +291,7 @@
 func (p *Pool) Sweep() {
 	for _, noted := range []*sync.Map{&p.shut, &p.fell} {
 		noted.Range(func(address, from any) bool {
-			if p.Time().Sub(from.(time.Time)) > keepShut {
+			if p.CurrentTime().Sub(from.(time.Time)) > keepShut {
 				noted.Delete(address)
 			}
 			return true
@@ -302,7 +302,7 @@
 		n.mu.Lock()
 		defer n.mu.Unlock()
 		old := 0
-		for old < len(n.conns) && p.Time().Sub(n.conns[old].since) >= p.Idle {
+		for old < len(n.conns) && p.CurrentTime().Sub(n.conns[old].since) >= p.IdleTimeout {
 			n.conns[old].Close()
 			old++
 		}
@@ -317,44 +317,44 @@
 // Close closes all that is kept, and all that comes back.
 func (p *Pool) Close() {
 	p.done.Store(true)
-	p.nodes.Range(func(address, _ any) bool { p.Drop(address.(string)); return true })
+	p.nodes.Range(func(address, _ any) bool { p.CloseIdle(address.(string)); return true })
 }
 
-// Fate is what became of one dispatch on the wire, as far as it got.
-type Fate struct {
-	Dialed   bool  // there was a connection
-	Wrote    int64 // bytes of the request that left
-	Part     bool  // some did not, and the node begins only what it has whole
+// DispatchOutcome is what became of one dispatch on the wire, as far as it got.
+type DispatchOutcome struct {
+	Connected   bool  // there was a connection
+	BytesWritten    int64 // bytes of the request that left
+	PartialWrite     bool  // some did not, and the node begins only what it has whole
 	Err      error // what ended it, nil for a whole answer
 	Status   int   // of the answer, 0 for none
-	Away     bool  // the node says that it turned the work away before it began
+	Rejected     bool  // the node says that it turned the work away before it began
 	Strict   bool  // only 200 is an answer
 	Canceled bool  // the module gave it up
 	Expired  bool  // its time limit had passed
 }
 
-// Ending is what a fate proves; the table is in docs/protocol.md. Only proof counts as never having run: no
+// Classify is what a fate proves; the table is in docs/protocol.md. Only proof counts as never having run: no
 // connection, no byte written (or, where nodes begin only what they have whole, not all), or the node's own word. All else
 // may have run.
-func (f Fate) Ending() balance.Outcome {
+func (f DispatchOutcome) Classify() balance.Outcome {
 	switch {
-	case f.Status != 0 && f.Err == nil && f.Away && (f.Status == 429 || f.Status == 503 || f.Status == 504):
+	case f.Status != 0 && f.Err == nil && f.Rejected && (f.Status == 429 || f.Status == 503 || f.Status == 504):
 		return balance.Rejected
 	case f.Status != 0 && f.Err == nil && (f.Status == 200 || f.Status < 500 && !f.Strict):
 		return balance.Succeeded
 	case f.Status != 0 && f.Err == nil:
 		return balance.Failed
-	case f.Part && !f.Canceled && !f.Expired:
+	case f.PartialWrite && !f.Canceled && !f.Expired:
 		return balance.ConnectFailed
-	case f.Part:
+	case f.PartialWrite:
 		return balance.Ignored
-	case f.Wrote == 0 && (f.Canceled || f.Expired && f.Dialed):
+	case f.BytesWritten == 0 && (f.Canceled || f.Expired && f.Connected):
 		return balance.Ignored
-	case f.Wrote == 0:
+	case f.BytesWritten == 0:
 		return balance.ConnectFailed
 	case f.Canceled:
 		return balance.Canceled
-	case f.Expired || Timeout(f.Err):
+	case f.Expired || IsTimeout(f.Err):
 		return balance.TimedOut
 	case errors.Is(f.Err, h1.ErrMalformed) || errors.Is(f.Err, h1.ErrTooLarge) || errors.Is(f.Err, h1.ErrTransferCoding) ||
 		errors.Is(f.Err, h1.ErrVersion):
@@ -369,9 +369,9 @@
 var orca = map[string]string{"cpu_utilization": "busy", "rps_fractional": "rate", "eps": "errors",
 	"named_metrics.service_ms": "service-ms", "named_metrics.held": "held", "named_metrics.waiting": "waiting"}
 
-// Report reads a node's load report from an answer's header.
-func (p *Pool) Report(header textproto.MIMEHeader) map[string]float64 {
-	names := p.Names
+// ParseReport reads a node's load report from an answer's header.
+func (p *Pool) ParseReport(header textproto.MIMEHeader) map[string]float64 {
+	names := p.ReportNames
 	if names == nil {
 		names = orca
 	}
@@ -397,24 +397,24 @@
 
 // Probe asks a node over its own connection whether it answers, and how loaded it is.
 func (p *Pool) Probe(ctx context.Context, address, path string) (balance.Outcome, map[string]float64) {
-	f := Fate{Strict: p.Strict}
+	f := DispatchOutcome{Strict: p.Strict}
 	c, err := p.Get(ctx, address, true)
 	if err != nil {
 		f.Err = err
-		return f.Ending(), nil
+		return f.Classify(), nil
 	}
 	defer c.Close()
-	f.Dialed = true
-	c.SetDeadline(time.Now().Add(p.Dial))
+	f.Connected = true
+	c.SetDeadline(time.Now().Add(p.DialTimeout))
 	n, err := c.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: close\r\n\r\n"))
-	f.Wrote, f.Err = int64(n), err
+	f.BytesWritten, f.Err = int64(n), err
 	if err != nil {
-		return f.Ending(), nil
+		return f.Classify(), nil
 	}
-	h, err := c.R.Response("GET", p.Limits)
+	h, err := c.Reader.Response("GET", p.Limits)
 	if f.Err = err; err != nil {
-		return f.Ending(), nil
+		return f.Classify(), nil
 	}
 	f.Status = h.Status
-	return f.Ending(), p.Report(h.Header)
+	return f.Classify(), p.ParseReport(h.Header)
 }
--- a/internal/back/back_test.go
+++ b/internal/back/back_test.go
@@ -27,36 +27,36 @@
 	deadline := fmt.Errorf("read: %w", os.ErrDeadlineExceeded)
 	for _, c := range []struct {
 		what string
-		fate Fate
+		fate DispatchOutcome
 		want balance.Outcome
 		ran  bool
 	}{
-		{"refused", Fate{Err: syscall.ECONNREFUSED}, balance.ConnectFailed, false},
-		{"not open in time", Fate{Err: deadline, Expired: true}, balance.ConnectFailed, false},
-		{"cancelled while it opened", Fate{Err: context.Canceled, Canceled: true}, balance.Ignored, false},
-		{"time over before a byte", Fate{Dialed: true, Err: deadline, Expired: true}, balance.Ignored, false},
-		{"no byte taken", Fate{Dialed: true, Err: syscall.EPIPE}, balance.ConnectFailed, false},
-		{"one byte taken", Fate{Dialed: true, Wrote: 1, Err: syscall.EPIPE}, balance.ConnectionReset, true},
-		{"part taken", Fate{Dialed: true, Wrote: 1, Part: true, Err: syscall.EPIPE}, balance.ConnectFailed, false},
-		{"time over with part taken", Fate{Dialed: true, Wrote: 1, Part: true, Err: deadline, Expired: true}, balance.Ignored, false},
-		{"cancelled with part taken", Fate{Dialed: true, Wrote: 1, Part: true, Err: deadline, Canceled: true}, balance.Ignored, false},
-		{"closed without an answer", Fate{Dialed: true, Wrote: 9, Err: io.EOF}, balance.ConnectionReset, true},
-		{"reset", Fate{Dialed: true, Wrote: 9, Err: syscall.ECONNRESET}, balance.ConnectionReset, true},
-		{"time over after a byte", Fate{Dialed: true, Wrote: 9, Err: deadline, Expired: true}, balance.TimedOut, true},
-		{"cancelled after a byte", Fate{Dialed: true, Wrote: 9, Err: deadline, Canceled: true}, balance.Canceled, true},
-		{"no HTTP", Fate{Dialed: true, Wrote: 9, Err: errors.Join(h1.ErrMalformed)}, balance.Failed, true},
-		{"answered", Fate{Dialed: true, Wrote: 9, Status: 200}, balance.Succeeded, true},
-		{"answered in the moment of a cancel", Fate{Dialed: true, Wrote: 9, Status: 200, Canceled: true}, balance.Succeeded, true},
-		{"the client's fault", Fate{Dialed: true, Wrote: 9, Status: 404}, balance.Succeeded, true},
-		{"an error", Fate{Dialed: true, Wrote: 9, Status: 500}, balance.Failed, true},
-		{"turned away", Fate{Dialed: true, Wrote: 9, Status: 503, Away: true}, balance.Rejected, false},
-		{"too many, turned away", Fate{Dialed: true, Wrote: 9, Status: 429, Away: true}, balance.Rejected, false},
-		{"503 without the word", Fate{Dialed: true, Wrote: 9, Status: 503}, balance.Failed, true},
-		{"the word with another status", Fate{Dialed: true, Wrote: 9, Status: 500, Away: true}, balance.Failed, true},
-		{"turned away, but the answer broke", Fate{Dialed: true, Wrote: 9, Status: 503, Away: true, Err: io.ErrUnexpectedEOF},
+		{"refused", DispatchOutcome{Err: syscall.ECONNREFUSED}, balance.ConnectFailed, false},
+		{"not open in time", DispatchOutcome{Err: deadline, Expired: true}, balance.ConnectFailed, false},
+		{"cancelled while it opened", DispatchOutcome{Err: context.Canceled, Canceled: true}, balance.Ignored, false},
+		{"time over before a byte", DispatchOutcome{Connected: true, Err: deadline, Expired: true}, balance.Ignored, false},
+		{"no byte taken", DispatchOutcome{Connected: true, Err: syscall.EPIPE}, balance.ConnectFailed, false},
+		{"one byte taken", DispatchOutcome{Connected: true, BytesWritten: 1, Err: syscall.EPIPE}, balance.ConnectionReset, true},
+		{"part taken", DispatchOutcome{Connected: true, BytesWritten: 1, PartialWrite: true, Err: syscall.EPIPE}, balance.ConnectFailed, false},
+		{"time over with part taken", DispatchOutcome{Connected: true, BytesWritten: 1, PartialWrite: true, Err: deadline, Expired: true}, balance.Ignored, false},
+		{"cancelled with part taken", DispatchOutcome{Connected: true, BytesWritten: 1, PartialWrite: true, Err: deadline, Canceled: true}, balance.Ignored, false},
+		{"closed without an answer", DispatchOutcome{Connected: true, BytesWritten: 9, Err: io.EOF}, balance.ConnectionReset, true},
+		{"reset", DispatchOutcome{Connected: true, BytesWritten: 9, Err: syscall.ECONNRESET}, balance.ConnectionReset, true},
+		{"time over after a byte", DispatchOutcome{Connected: true, BytesWritten: 9, Err: deadline, Expired: true}, balance.TimedOut, true},
+		{"cancelled after a byte", DispatchOutcome{Connected: true, BytesWritten: 9, Err: deadline, Canceled: true}, balance.Canceled, true},
+		{"no HTTP", DispatchOutcome{Connected: true, BytesWritten: 9, Err: errors.Join(h1.ErrMalformed)}, balance.Failed, true},
+		{"answered", DispatchOutcome{Connected: true, BytesWritten: 9, Status: 200}, balance.Succeeded, true},
+		{"answered in the moment of a cancel", DispatchOutcome{Connected: true, BytesWritten: 9, Status: 200, Canceled: true}, balance.Succeeded, true},
+		{"the client's fault", DispatchOutcome{Connected: true, BytesWritten: 9, Status: 404}, balance.Succeeded, true},
+		{"an error", DispatchOutcome{Connected: true, BytesWritten: 9, Status: 500}, balance.Failed, true},
+		{"turned away", DispatchOutcome{Connected: true, BytesWritten: 9, Status: 503, Rejected: true}, balance.Rejected, false},
+		{"too many, turned away", DispatchOutcome{Connected: true, BytesWritten: 9, Status: 429, Rejected: true}, balance.Rejected, false},
+		{"503 without the word", DispatchOutcome{Connected: true, BytesWritten: 9, Status: 503}, balance.Failed, true},
+		{"the word with another status", DispatchOutcome{Connected: true, BytesWritten: 9, Status: 500, Rejected: true}, balance.Failed, true},
+		{"turned away, but the answer broke", DispatchOutcome{Connected: true, BytesWritten: 9, Status: 503, Rejected: true, Err: io.ErrUnexpectedEOF},
 			balance.ConnectionReset, true},
 	} {
-		got := c.fate.Ending()
+		got := c.fate.Classify()
 		ran := got != balance.Rejected && got != balance.ConnectFailed && got != balance.Ignored
 		if got != c.want || ran != c.ran {
 			t.Errorf("%s: ending %d, may have run %v", c.what, got, ran)
@@ -70,11 +70,11 @@
 		"TEXT cpu_utilization=-1, rps_fractional=NaN, eps=1e99, other=3":           "map[]",
 		"JSON {}": "map[]", "": "map[]",
 	} {
-		if got := fmt.Sprint((&Pool{}).Report(textproto.MIMEHeader{"Endpoint-Load-Metrics": {text}})); got != want {
+		if got := fmt.Sprint((&Pool{}).ParseReport(textproto.MIMEHeader{"Endpoint-Load-Metrics": {text}})); got != want {
 			t.Errorf("%q: %s", text, got)
 		}
 	}
-	if got := (&Pool{}).Report(textproto.MIMEHeader{}); got != nil {
+	if got := (&Pool{}).ParseReport(textproto.MIMEHeader{}); got != nil {
 		t.Error(got)
 	}
 }
@@ -100,7 +100,7 @@
 			wg.Go(func() { io.Copy(io.Discard, bufio.NewReader(c)) })
 		}
 	})
-	p := &Pool{Limits: h1.Limits{LineBytes: 100, HeaderBytes: 100}, Dial: time.Second, Idle: 60 * time.Millisecond, Most: 2}
+	p := &Pool{Limits: h1.Limits{LineBytes: 100, HeaderBytes: 100}, DialTimeout: time.Second, IdleTimeout: 60 * time.Millisecond, MaxIdlePerNode: 2}
 	defer func() {
 		p.Close()
 		ln.Close()
@@ -126,12 +126,12 @@
 	if _, err := c.Write([]byte("x")); err == nil {
 		t.Error("what is too many stays open")
 	}
-	if d := get(true); d == a || d == b || d.Kept {
+	if d := get(true); d == a || d == b || d.Reused {
 		t.Error("a fresh one was kept")
 	} else {
 		d.Close()
 	}
-	if d := get(false); d != b || !d.Kept {
+	if d := get(false); d != b || !d.Reused {
 		t.Error("not the last one used")
 	}
 	mu.Lock()
@@ -146,7 +146,7 @@
 	mu.Unlock()
 	time.Sleep(10 * time.Millisecond)
 	e := get(false)
-	if e == a || e.Kept {
+	if e == a || e.Reused {
 		t.Error("a connection that the node closed was used")
 	}
 	p.Put(e)
@@ -175,7 +175,7 @@
 		t.Fatal(err)
 	}
 	defer ln.Close()
-	p := &Pool{Idle: time.Minute, Most: 9, Settle: 80 * time.Millisecond, Dial: time.Second}
+	p := &Pool{IdleTimeout: time.Minute, MaxIdlePerNode: 9, ReuseDelay: 80 * time.Millisecond, DialTimeout: time.Second}
 	defer p.Close()
 	get := func() (*Conn, net.Conn) {
 		c, err := p.Get(context.Background(), ln.Addr().String(), true)
@@ -191,19 +191,19 @@
 	first, there := get()
 	defer there.Close()
 	p.Put(first)
-	if p.Kept(first.address) != nil {
+	if p.IdleConn(first.address) != nil {
 		t.Error("one that has not rested is used")
 	}
-	time.Sleep(p.Settle)
+	time.Sleep(p.ReuseDelay)
 	second, there2 := get()
 	defer there2.Close()
 	p.Put(second)
-	if got := p.Kept(first.address); got != first {
+	if got := p.IdleConn(first.address); got != first {
 		t.Error("the one that has rested is not used")
 	}
 	io.WriteString(there2, "late")
-	time.Sleep(p.Settle)
-	if p.Kept(first.address) != nil || !second.closed.Load() {
+	time.Sleep(p.ReuseDelay)
+	if p.IdleConn(first.address) != nil || !second.closed.Load() {
 		t.Error("one on which something came late is used")
 	}
 	p.Put(first)
@@ -213,7 +213,7 @@
 // the end of these was in a list that nobody had any more: open for ever and counted for ever; and of each address that a connection
 // came back to, an empty list stayed. Once they have been unused for their time, nothing is left.
 func TestNothingStaysOfDroppedNodes(t *testing.T) {
-	p := &Pool{Idle: time.Millisecond, Most: 9}
+	p := &Pool{IdleTimeout: time.Millisecond, MaxIdlePerNode: 9}
 	var wg sync.WaitGroup
 	for i := range 3000 {
 		address := fmt.Sprint("node ", i)
@@ -221,16 +221,16 @@
 			mine, other := net.Pipe()
 			defer other.Close()
 			p.total.Add(1)
-			c := &Conn{Conn: mine, address: address, pool: p, R: h1.NewReader(mine, readBuffer)}
+			c := &Conn{Conn: mine, address: address, pool: p, Reader: h1.NewReader(mine, readBuffer)}
 			wg.Go(func() { p.Put(c) })
 		}
-		wg.Go(func() { p.Drop(address) })
+		wg.Go(func() { p.CloseIdle(address) })
 		if i%100 == 0 {
 			wg.Wait()
 		}
 	}
 	wg.Wait()
-	time.Sleep(2 * p.Idle)
+	time.Sleep(2 * p.IdleTimeout)
 	p.Sweep()
 	lists := 0
 	p.nodes.Range(func(any, any) bool { lists++; return true })
@@ -243,17 +243,17 @@
 func TestBrokenIsNoTimeout(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ECONNRESET} {
 		err := error(&net.OpError{Op: "read", Err: os.NewSyscallError("read", errno)})
-		if Timeout(err) || !Gone(err) {
-			t.Errorf("%v: timeout %v, gone %v", err, Timeout(err), Gone(err))
+		if IsTimeout(err) || !IsDisconnect(err) {
+			t.Errorf("%v: timeout %v, gone %v", err, IsTimeout(err), IsDisconnect(err))
 		}
-		if how := (Fate{Dialed: true, Wrote: 10, Err: err}).Ending(); how != balance.ConnectionReset {
+		if how := (DispatchOutcome{Connected: true, BytesWritten: 10, Err: err}).Classify(); how != balance.ConnectionReset {
 			t.Errorf("%v after the request was written: %v", err, how)
 		}
 	}
 	ctx, done := context.WithDeadline(context.Background(), time.Unix(1, 0))
 	defer done()
 	for _, err := range []error{os.ErrDeadlineExceeded, ctx.Err()} {
-		if !Timeout(err) {
+		if !IsTimeout(err) {
 			t.Errorf("%v is no time-out", err)
 		}
 	}
--- a/internal/back/socket.go
+++ b/internal/back/socket.go
@@ -40,14 +40,14 @@
 	}
 }
 
-// Unread says that something has come on a connection that nobody has read yet.
-func Unread(nc net.Conn) (unread bool) {
+// HasUnread says that something has come on a connection that nobody has read yet.
+func HasUnread(nc net.Conn) (unread bool) {
 	onSocket(nc, func(fd uintptr) { unread = !waits(fd) })
 	return unread
 }
 
-// Ended says that the other side has ended its sending, and that all it sent has been read.
-func Ended(nc net.Conn) (ended bool) {
+// AtEOF says that the other side has ended its sending, and that all it sent has been read.
+func AtEOF(nc net.Conn) (ended bool) {
 	onSocket(nc, func(fd uintptr) {
 		n, err := peek(fd)
 		ended = n == 0 && err == nil
@@ -55,9 +55,9 @@
 	return ended
 }
 
-// Timeout says that a deadline passed, a connection's or a context's. The kernel's ETIMEDOUT is no deadline: it says that the connection is
+// IsTimeout says that a deadline passed, a connection's or a context's. The kernel's ETIMEDOUT is no deadline: it says that the connection is
 // broken, though net.Error calls it a time-out too.
-func Timeout(err error) bool {
+func IsTimeout(err error) bool {
 	if errors.Is(err, syscall.ETIMEDOUT) {
 		return false
 	}
@@ -69,16 +69,16 @@
 var broken = []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED, syscall.ENOTCONN}
 
-// Gone says that the other side closed or broke the connection.
-func Gone(err error) bool { return isAny(err, broken) }
+// IsDisconnect says that the other side closed or broke the connection.
+func IsDisconnect(err error) bool { return isAny(err, broken) }
 
 // scarce are the errors by which the kernel says that this machine lacks something for a moment (socket(2), connect(2), accept(2)).
 var scarce = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
 	syscall.ENETUNREACH, syscall.ENETDOWN}
 
-// Scarce says that a socket could not be had for a reason of this machine's own, which may be over in a moment: it says nothing about the
+// IsResourceShortage says that a socket could not be had for a reason of this machine's own, which may be over in a moment: it says nothing about the
 // other side.
-func Scarce(err error) bool { return isAny(err, scarce) }
+func IsResourceShortage(err error) bool { return isAny(err, scarce) }
 
 func isAny(err error, of []error) bool {
 	for _, e := range of {
--- a/internal/brief/brief.go
+++ b/internal/brief/brief.go
@@ -17,8 +17,8 @@
 var words = map[string]string{"free": "idempotent", "guarded": "fingerprinted",
 	"single_shot": "side-effecting", "first_voice": "any", "by_count": "count", "automatic": "clock"}
 
-// Settings flattens objects to names with dots and turns times into milliseconds.
-func Settings(config gjson.Result) balance.Settings {
+// Decode flattens objects to names with dots and turns times into milliseconds.
+func Decode(config gjson.Result) balance.Settings {
 	s := balance.Settings{}
 	flatten(s, "", config)
 	return s
@@ -63,7 +63,7 @@
 	array.ForEach(func(_, v gjson.Result) bool {
 		switch {
 		case v.IsObject():
-			objects = append(objects, Settings(v))
+			objects = append(objects, Decode(v))
 		case v.Type == gjson.Number:
 			numbers = append(numbers, v.Num*scale)
 		case v.Type == gjson.String:
--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -9,8 +9,8 @@
 	mayAsk    = 300.0  // ms in which a client that has connected is taken to be about to ask
 )
 
-// Least is the fewest descriptors with which a marshal can serve: what is kept, and some for each side.
-const Least = kept + 16
+// MinDescriptors is the fewest descriptors with which a marshal can serve: what is kept, and some for each side.
+const MinDescriptors = kept + 16
 
 // Divide divides descriptors between connections of clients and to nodes.
 func Divide(descriptors int) (toClients, toNodes int) {
@@ -21,20 +21,20 @@
 
 // Conn is one client's connection.
 type Conn struct {
-	Since  float64 // ms since its last answer, or since it was opened if it never had one
+	IdleMs  float64 // ms since its last answer, or since it was opened if it never had one
 	Served bool    // it had an answer
 	Busy   bool    // an invocation is open on it, or something came that is not read yet
 }
 
-// Evict says which connection gives way to a new one, or -1. One that never asked for anything goes first, the oldest
+// SelectVictim says which connection gives way to a new one, or -1. One that never asked for anything goes first, the oldest
 // of them: it guards against clients that connect by hundreds and say nothing. It may hurt a client that opens a
 // connection long before it asks; one that has just come is left alone, or of many that come at once each would put
 // out the one before, with a request on its way. Then goes the one unused for longest.
-func Evict(all []Conn) int {
+func SelectVictim(all []Conn) int {
 	oldest := func(served bool, least float64) int {
 		at := -1
 		for i, s := range all {
-			if !s.Busy && s.Served == served && s.Since >= least && (at < 0 || s.Since > all[at].Since) {
+			if !s.Busy && s.Served == served && s.IdleMs >= least && (at < 0 || s.IdleMs > all[at].IdleMs) {
 				at = i
 			}
 		}
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -3,10 +3,10 @@
 import "fmt"
 
 // Who never asked goes before who has; who has just come, just served or is busy stays.
-func ExampleEvict() {
-	fmt.Println(Evict([]Conn{{Since: 10}, {Since: 200}, {Since: 5000, Busy: true}, {Since: 1000, Served: true}}))
-	fmt.Println(Evict([]Conn{{Since: 9000, Served: true}, {Since: 400}, {Since: 500}}))
-	fmt.Println(Evict([]Conn{{Since: 2500, Served: true}, {Since: 9000, Served: true}, {Since: 20}}))
+func ExampleSelectVictim() {
+	fmt.Println(SelectVictim([]Conn{{IdleMs: 10}, {IdleMs: 200}, {IdleMs: 5000, Busy: true}, {IdleMs: 1000, Served: true}}))
+	fmt.Println(SelectVictim([]Conn{{IdleMs: 9000, Served: true}, {IdleMs: 400}, {IdleMs: 500}}))
+	fmt.Println(SelectVictim([]Conn{{IdleMs: 2500, Served: true}, {IdleMs: 9000, Served: true}, {IdleMs: 20}}))
 	// Output:
 	// -1
 	// 2
--- a/internal/day/parts.go
+++ b/internal/day/parts.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		return nil, err
 	}
-	m.own, m.address = own, own.At(loopback.RequestPort)
+	m.own, m.address = own, own.Address(loopback.RequestPort)
 	set.Listen.Invocations = m.address
 	return m, nil
 }
--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -70,7 +70,7 @@
 		case err == nil:
 			s.accept(nc, ln.Name)
 			timeouts = 0
-		case back.Timeout(err):
+		case back.IsTimeout(err):
 			timeouts++
 		case errors.Is(err, net.ErrClosed):
 			return
@@ -157,13 +157,13 @@
 		if !c.evicted {
 			idle, served, since := c.lifecycle.idleState()
 			conns = append(conns, c)
-			candidates = append(candidates, connlimit.Conn{Since: now - since, Served: served, Busy: !idle})
+			candidates = append(candidates, connlimit.Conn{IdleMs: now - since, Served: served, Busy: !idle})
 		}
 	}
-	chosen := connlimit.Evict(candidates)
-	for chosen >= 0 && (back.Unread(conns[chosen].nc) || !conns[chosen].lifecycle.evict()) { // its request has already arrived
+	chosen := connlimit.SelectVictim(candidates)
+	for chosen >= 0 && (back.HasUnread(conns[chosen].nc) || !conns[chosen].lifecycle.evict()) { // its request has already arrived
 		candidates[chosen].Busy = true
-		chosen = connlimit.Evict(candidates)
+		chosen = connlimit.SelectVictim(candidates)
 	}
 	if chosen < 0 {
 		return false
--- a/internal/front/answer.go
+++ b/internal/front/answer.go
@@ -12,7 +12,7 @@
 )
 
 // readAnswer reads a node's response. A success is passed on to the client, any other outcome is left to the module.
-func (x *exchange) readAnswer(nodeConn *back.Conn, dispatchNo int, startMs float64, outcome *back.Fate) (
+func (x *exchange) readAnswer(nodeConn *back.Conn, dispatchNo int, startMs float64, outcome *back.DispatchOutcome) (
 	answered, keepAlive bool, report map[string]float64) {
 	s, c := x.conn.server, x.conn
 	h, err := x.readResponseHead(nodeConn)
@@ -21,14 +21,14 @@
 		nodeConn.Close()
 		return false, false, nil
 	}
-	report = s.Pool.Report(h.Header)
-	outcome.Away = s.headerNames.rejected != "" && h.Header.Get(s.headerNames.rejected) != ""
+	report = s.Pool.ParseReport(h.Header)
+	outcome.Rejected = s.headerNames.rejected != "" && h.Header.Get(s.headerNames.rejected) != ""
 	if s.tooLong(h.BodyLength) {
 		outcome.Err = h1.ErrTooLarge
 		nodeConn.Close()
 		return false, false, report
 	}
-	body := nodeConn.R.Body(h, s.limits)
+	body := nodeConn.Reader.Body(h, s.limits)
 	held, err := x.readUpTo(c.responseBuf[:0], body, int(s.CurrentSettings().Limits.HeldAnswerBytes), nil)
 	if cap(held) <= maxReusedBufferBytes {
 		c.responseBuf = held
@@ -47,7 +47,7 @@
 		return false, false, report
 	}
 	if !complete { // too long to hold: it is streamed to the client
-		if outcome.Ending() != balance.Succeeded || x.decided.Swap(true) {
+		if outcome.Classify() != balance.Succeeded || x.decided.Swap(true) {
 			nodeConn.Close()
 			return false, false, report
 		}
@@ -96,7 +96,7 @@
 // client got from the marshal, and 101, which nobody requested.
 func (x *exchange) readResponseHead(nodeConn *back.Conn) (*h1.Head, error) {
 	for {
-		h, err := nodeConn.R.Response(x.head.Method, x.conn.server.limits)
+		h, err := nodeConn.Reader.Response(x.head.Method, x.conn.server.limits)
 		if err != nil {
 			return nil, err
 		}
@@ -202,7 +202,7 @@
 	}
 	result := balance.Succeeded
 	if err != nil && err != io.EOF {
-		result = back.Fate{Dialed: true, Wrote: 1, Err: err}.Ending()
+		result = back.DispatchOutcome{Connected: true, BytesWritten: 1, Err: err}.Classify()
 		reason = closeWriteFailed // truncated: only closing the connection can tell the client
 	}
 	tookMs := s.Clock.Now() - startMs
--- a/internal/front/conn.go
+++ b/internal/front/conn.go
@@ -88,7 +88,7 @@
 			startMs = c.server.Clock.Now()
 			return startMs, c.lifecycle.beginRequest()
 		}
-		if !back.Timeout(err) {
+		if !back.IsTimeout(err) {
 			c.noteClientGone()
 			break
 		}
@@ -163,7 +163,7 @@
 func (c *conn) beginAnswer(required closeReason) (reason closeReason, ok bool) {
 	optional, unread := keepOpen, false
 	if s := c.server; s.draining.Load() || s.stopping.Load() {
-		optional, unread = closeStop, !s.aborted.Load() && back.Unread(c.nc)
+		optional, unread = closeStop, !s.aborted.Load() && back.HasUnread(c.nc)
 	}
 	reason, previous := c.lifecycle.beginAnswer(required, optional, unread)
 	if previous == stateAnswering {
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -21,7 +21,7 @@
 	// The module's clock may be behind: a dispatch ends at the latest when the connection answers without the module.
 	timeoutMs := min(cmd.timeoutMs, x.answerByMs-startMs)
 	deadline := time.Now().Add(ms(timeoutMs))
-	outcome := back.Fate{Strict: s.Pool.Strict}
+	outcome := back.DispatchOutcome{Strict: s.Pool.Strict}
 	var nodeConn *back.Conn
 	var report map[string]float64
 	if x.streamed || timeoutMs <= 0 { // the body can't be sent again, or there is no time left: this dispatch is not sent
@@ -59,12 +59,12 @@
 }
 
 // detach ends the dispatch in flight, which can't be canceled any more, and returns its outcome.
-func (x *exchange) detach(outcome *back.Fate) balance.Outcome {
+func (x *exchange) detach(outcome *back.DispatchOutcome) balance.Outcome {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	outcome.Canceled = outcome.Canceled || x.canceled && outcome.Err != nil
 	x.inFlight, x.nodeConn, x.cancelDial = false, nil, nil
-	return outcome.Ending()
+	return outcome.Classify()
 }
 
 // attach registers the connection that a cancellation interrupts; false means that the dispatch was canceled already.
@@ -82,11 +82,11 @@
 
 // sendRequest connects to a node and writes the request. A reused connection on which no byte could be written is replaced by
 // a new one, since nothing was executed. It returns nil if the dispatch has ended, with its outcome.
-func (x *exchange) sendRequest(address string, deadline, writeDeadline, decidedAt time.Time, outcome *back.Fate) *back.Conn {
+func (x *exchange) sendRequest(address string, deadline, writeDeadline, decidedAt time.Time, outcome *back.DispatchOutcome) *back.Conn {
 	for fresh := false; ; fresh = true {
 		var nodeConn *back.Conn
 		if !fresh {
-			nodeConn = x.conn.server.Pool.Kept(address)
+			nodeConn = x.conn.server.Pool.IdleConn(address)
 		}
 		if nodeConn == nil {
 			var err error
@@ -97,7 +97,7 @@
 				return nil
 			}
 		}
-		outcome.Dialed = true
+		outcome.Connected = true
 		if !x.attach(nodeConn, deadline) {
 			x.conn.server.Pool.Put(nodeConn)
 			outcome.Err = context.Canceled
@@ -110,19 +110,19 @@
 			x.conn.server.Log.Debug("dispatch not written", "request", x.requestID, "node", address, "why", err)
 			return nil
 		}
-		outcome.Wrote, outcome.Err = x.writeRequest(nodeConn, outcome)
+		outcome.BytesWritten, outcome.Err = x.writeRequest(nodeConn, outcome)
 		if outcome.Err == nil {
 			return nodeConn
 		}
 		if errors.Is(outcome.Err, errClientGone) {
 			outcome.Canceled = true
-		} else if outcome.Wrote > 0 && !outcome.Part && back.Gone(outcome.Err) {
+		} else if outcome.BytesWritten > 0 && !outcome.PartialWrite && back.IsDisconnect(outcome.Err) {
 			// The node may have answered and closed before it had read everything.
 			outcome.Err = nil
 			return nodeConn
 		}
 		nodeConn.Close()
-		if outcome.Wrote == 0 && nodeConn.Kept && !back.Timeout(outcome.Err) {
+		if outcome.BytesWritten == 0 && nodeConn.Reused && !back.IsTimeout(outcome.Err) {
 			continue
 		}
 		return nil
@@ -154,13 +154,13 @@
 func (x *exchange) checkBeforeWrite(address string, writeDeadline, decidedAt time.Time) error {
 	pool, faults := x.conn.server.Pool, &x.conn.server.Faults
 	switch {
-	case pool.Late(address) && !faults.IgnoreDraining:
+	case pool.Draining(address) && !faults.IgnoreDraining:
 		return errNodeDraining
 	case pool.Superseded(address, decidedAt):
 		return errCapLowered
 	case !time.Now().Before(writeDeadline):
 		return errTooLate
-	case back.Ended(x.conn.nc) && !faults.IgnoreClientGone: // the reader goroutine has not run since and does not know yet
+	case back.AtEOF(x.conn.nc) && !faults.IgnoreClientGone: // the reader goroutine has not run since and does not know yet
 		x.conn.noteClientGone()
 		return errClientGone
 	}
@@ -168,9 +168,9 @@
 }
 
 // writeRequest writes the request to a node, and streams the part of the body that is not retained.
-func (x *exchange) writeRequest(nodeConn *back.Conn, outcome *back.Fate) (int64, error) {
+func (x *exchange) writeRequest(nodeConn *back.Conn, outcome *back.DispatchOutcome) (int64, error) {
 	h := x.head
-	b := append(append(append(append(nodeConn.Buf[:0], h.Method...), ' '), h.Target...), " HTTP/1.1\r\n"...)
+	b := append(append(append(append(nodeConn.WriteBuffer[:0], h.Method...), ' '), h.Target...), " HTTP/1.1\r\n"...)
 	b = h1.AppendHeader(b, h.Header, "Content-Length", "Via", "X-Forwarded-For", x.conn.server.headerNames.timeLimit)
 	via := x.conn.server.viaField
 	for _, v := range h.Header["Via"] {
@@ -213,7 +213,7 @@
 		}
 	}
 	if cap(b) <= maxReusedBufferBytes {
-		nodeConn.Buf = b
+		nodeConn.WriteBuffer = b
 	}
 	if x.conn.server.Faults.DuplicateRequests {
 		if duplicate, err := x.conn.server.Pool.Get(context.Background(), nodeConn.RemoteAddr().String(), true); err == nil {
@@ -224,7 +224,7 @@
 	n, err := nodeConn.Write(b)
 	wrote := int64(n)
 	if err != nil || x.bodyRetained {
-		outcome.Part = x.conn.server.Pool.Strict && n < len(b)
+		outcome.PartialWrite = x.conn.server.Pool.Strict && n < len(b)
 		return wrote, err
 	}
 	return x.streamBody(nodeConn, wrote)
@@ -260,7 +260,7 @@
 			return wrote, nil
 		}
 		if err != nil {
-			if !errors.Is(err, h1.ErrMalformed) && !back.Timeout(err) {
+			if !errors.Is(err, h1.ErrMalformed) && !back.IsTimeout(err) {
 				x.conn.noteClientGone()
 			}
 			x.closeAfter = true
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -155,7 +155,7 @@
 	// The decision counts as made when the current call on the loop began: it can't know of a cap lowered since then.
 	inCallTime := ms(x.conn.server.Clock.Now() - x.loop().Now())
 	x.send(command{kind: commandDispatch, dispatchNo: dispatchNo, address: address, timeoutMs: timeoutMs,
-		decidedAt: x.conn.server.Pool.Time().Add(-inCallTime)})
+		decidedAt: x.conn.server.Pool.CurrentTime().Add(-inCallTime)})
 }
 
 // reportNotSent reports to the module that a dispatch has ended without having been sent.
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -68,7 +68,7 @@
 		return c.reject(505, err.Error(), closeRejected)
 	case errors.Is(err, h1.ErrMalformed):
 		return c.reject(400, err.Error(), closeRejected)
-	case back.Timeout(err):
+	case back.IsTimeout(err):
 		return c.reject(408, "the request took too long to arrive", closeRejected)
 	}
 	c.clientGone.Store(true) // the connection failed
@@ -114,7 +114,7 @@
 	}
 	defer s.openInvocations.Add(-1)
 	if err := x.retainBody(); err != nil {
-		if errors.Is(err, h1.ErrMalformed) || back.Timeout(err) {
+		if errors.Is(err, h1.ErrMalformed) || back.IsTimeout(err) {
 			return c.rejectUnreadable(err)
 		}
 		c.clientGone.Store(true)
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -50,17 +50,17 @@
 	return nil, fmt.Errorf("no loopback address is free: %w", err)
 }
 
-// At is the address with a port.
-func (a *Reservation) At(port uint16) string { return netip.AddrPortFrom(a.ip, port).String() }
+// Address is the address with a port.
+func (a *Reservation) Address(port uint16) string { return netip.AddrPortFrom(a.ip, port).String() }
 
-// Nowhere is an address to which datagrams go and nobody receives them.
-func (a *Reservation) Nowhere() string { return a.At(guardPort) }
+// BlackholeAddress is an address to which datagrams go and nobody receives them.
+func (a *Reservation) BlackholeAddress() string { return a.Address(guardPort) }
 
 // Release gives the address back.
 func (a *Reservation) Release() { a.guard.Close() }
 
-// Listens says whether it is the process with this id that listens at a TCP address, by the kernel's table of sockets.
-func Listens(pid int, address string) (bool, error) {
+// IsListening says whether it is the process with this id that listens at a TCP address, by the kernel's table of sockets.
+func IsListening(pid int, address string) (bool, error) {
 	inode, err := listener(address)
 	if err != nil || inode == "" {
 		return false, err
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -14,12 +14,12 @@
 			t.Fatal(err)
 		}
 		defer own.Release()
-		address := own.At(RequestPort)
+		address := own.Address(RequestPort)
 		if seen[address] {
 			t.Fatalf("%s was reserved twice", address)
 		}
 		seen[address] = true
-		if is, err := Listens(os.Getpid(), address); err != nil || is {
+		if is, err := IsListening(os.Getpid(), address); err != nil || is {
 			t.Errorf("nobody listens at %s: %v, %v", address, is, err)
 		}
 		ln, err := net.Listen("tcp", address)
@@ -27,7 +27,7 @@
 			t.Fatal(err)
 		}
 		for pid, want := range map[int]bool{os.Getpid(): true, os.Getppid(): false} {
-			if is, err := Listens(pid, address); err != nil || is != want {
+			if is, err := IsListening(pid, address); err != nil || is != want {
 				t.Errorf("process %d listens at %s: %v, %v", pid, address, is, err)
 			}
 		}
--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -107,11 +107,11 @@
 		}
 		return environment(variables[name])
 	}
-	c := &Config{now: time.Now, wall: time.Now, Module: brief.Settings(j.Get("settings")), Discovery: said("discovery"),
+	c := &Config{now: time.Now, wall: time.Now, Module: brief.Decode(j.Get("settings")), Discovery: said("discovery"),
 		API: j.Get("release_api.address").Str, Cores: j.Get("limits.cores").Num, MemoryMB: j.Get("limits.memory_mb").Num,
 		news: j.Get("release_api.news"), known: j.Get("known"), listen: j.Get("peer_listen").Str,
 		all: j.Get("peers_all").Str}
-	for name, least := range map[string]float64{"limits.sockets": connlimit.Least, "limits.memory_mb": 8, "limits.cores": 0.001} {
+	for name, least := range map[string]float64{"limits.sockets": connlimit.MinDescriptors, "limits.memory_mb": 8, "limits.cores": 0.001} {
 		if v := j.Get(name).Num; v < least {
 			return nil, fmt.Errorf("%s: %v is too little: at least %v", name, v, least)
 		}
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -318,11 +318,11 @@
 		}
 	}
 	p.stageUpdate(2, 0, balance.RollingBack, 0, 0, false)
-	if addr := r.nodeListeners[3].Addr().String(); !r.m.upstream.Late(addr) {
+	if addr := r.nodeListeners[3].Addr().String(); !r.m.upstream.Draining(addr) {
 		t.Error("a dispatch decided on before the cap fell is still written")
 	} else {
 		p.stageUpdate(2, 0, balance.OnTrial, 0.1, 0, false)
-		if r.m.upstream.Late(addr) {
+		if r.m.upstream.Draining(addr) {
 			t.Error("a node whose build may be exposed again is still blocked")
 		}
 		p.stageUpdate(2, 0, balance.RollingBack, 0, 0, false)
@@ -344,11 +344,11 @@
 	addr := r.nodeListeners[0].Addr().String()
 	r.setNode(1, addr, balance.Draining)
 	r.waitFor("the node is known to be draining", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[1].Health == balance.Draining })
-	if r.m.upstream.Late(addr) {
+	if r.m.upstream.Draining(addr) {
 		t.Error("the grace period ended at once")
 	}
 	time.Sleep(220 * time.Millisecond)
-	if !r.m.upstream.Late(addr) {
+	if !r.m.upstream.Draining(addr) {
 		t.Error("the grace period did not end")
 	}
 	// A dispatch decided on before the report is never written, so it never ran.
@@ -362,7 +362,7 @@
 		t.Errorf("%d requests reached a draining node", r.received())
 	}
 	r.setNode(1, addr, balance.Serving)
-	r.waitFor("the node serves again", func() bool { return !r.m.upstream.Late(addr) })
+	r.waitFor("the node serves again", func() bool { return !r.m.upstream.Draining(addr) })
 	c.send(get, "once")
 	c.expect("200 succeeded")
 }
@@ -483,7 +483,7 @@
 		for ok := false; !ok; { // a request with a limit of 0.6 s is rejected if the process is not scheduled for as long
 			c := r.client()
 			c.send(get, "look/large")
-			r.waitFor("the request is being answered or was rejected", func() bool { ok = r.received() == n; return ok || back.Unread(c.Conn) })
+			r.waitFor("the request is being answered or was rejected", func() bool { ok = r.received() == n; return ok || back.HasUnread(c.Conn) })
 			if ok = ok || r.received() == n; !ok {
 				c.Close()
 			}
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -153,7 +153,7 @@
 	}
 	for _, line := range p.list.lines {
 		if line.Ver == ver {
-			p.m.upstream.Lower(line.Address)
+			p.m.upstream.RecordCapReduction(line.Address)
 		}
 	}
 }
@@ -175,9 +175,9 @@
 			continue
 		}
 		if line.Ver == blockedVer {
-			p.m.upstream.Shut(line.Address, 0)
+			p.m.upstream.MarkDraining(line.Address, 0)
 		} else if line.Ver == before {
-			p.m.upstream.Reopen(line.Address)
+			p.m.upstream.MarkServing(line.Address)
 		}
 	}
 }
@@ -258,14 +258,14 @@
 func (p *nodePool) applyLines(lines []control.Line) ([]balance.Node, []string) {
 	for _, line := range lines {
 		if line.Health == balance.Serving && line.Ver != p.blockedVer {
-			p.m.upstream.Reopen(line.Address)
+			p.m.upstream.MarkServing(line.Address)
 		} else if line.Health == balance.Serving {
-			p.m.upstream.Shut(line.Address, 0)
+			p.m.upstream.MarkDraining(line.Address, 0)
 		} else if !p.list.servedByOther(line) {
-			p.m.upstream.Shut(line.Address, max(0, milliseconds(p.settings.Rules.GraceMs)-maxSchedulingDelay))
+			p.m.upstream.MarkDraining(line.Address, max(0, milliseconds(p.settings.Rules.GraceMs)-maxSchedulingDelay))
 		}
 		if line.Health == balance.Gone {
-			p.m.upstream.Drop(line.Address)
+			p.m.upstream.CloseIdle(line.Address)
 		}
 	}
 	return p.list.toNodes(lines)
--- a/internal/serve/open.go
+++ b/internal/serve/open.go
@@ -25,7 +25,7 @@
 // retryOnShortage calls open, and repeats it while it fails for a temporary shortage of resources.
 func retryOnShortage(open func() error) error {
 	for deadline := time.Now().Add(shortageTimeout); ; time.Sleep(shortageRetryInterval) {
-		if err := open(); err == nil || !back.Scarce(err) || time.Now().After(deadline) {
+		if err := open(); err == nil || !back.IsResourceShortage(err) || time.Now().After(deadline) {
 			return err
 		}
 	}
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -73,7 +73,7 @@
 	m.Loop = m.Loops[0]
 	m.now = loop.WallClock(hooks.Clock)
 	m.upstream = &back.Pool{Now: m.now, Limits: h1.Limits{LineBytes: int(set.Limits.LineBytes), HeaderBytes: int(set.Limits.HeaderBytes)},
-		Dial: milliseconds(set.Times.DialMs), Idle: milliseconds(set.Times.NodeIdleMs), Most: int(set.Limits.IdlePerNode)}
+		DialTimeout: milliseconds(set.Times.DialMs), IdleTimeout: milliseconds(set.Times.NodeIdleMs), MaxIdlePerNode: int(set.Limits.IdlePerNode)}
 	seed := set.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
@@ -113,7 +113,7 @@
 	}
 	m.upstream.Connect = hooks.Connect
 	if t := hooks.Transport; t != nil {
-		m.upstream.Strict, m.upstream.Names, m.upstream.All, m.upstream.Settle = t.Strict, t.ReportNames, t.MaxNodeConnections, t.ReuseDelay
+		m.upstream.Strict, m.upstream.ReportNames, m.upstream.MaxConns, m.upstream.ReuseDelay = t.Strict, t.ReportNames, t.MaxNodeConnections, t.ReuseDelay
 		if t.NewPeers != nil {
 			err := retryOnShortage(func() (err error) {
 				m.peers, err = t.NewPeers(m.peerMessage)
@@ -210,7 +210,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(max(m.upstream.Idle/2, minSweepInterval)):
+		case <-time.After(max(m.upstream.IdleTimeout/2, minSweepInterval)):
 			m.upstream.Sweep()
 		}
 	}
@@ -316,4 +316,4 @@
 func (m *Marshal) Sweep() { m.upstream.Sweep() }
 
 // NodeConnections returns the number of open connections to nodes.
-func (m *Marshal) NodeConnections() int { return m.upstream.Open() }
+func (m *Marshal) NodeConnections() int { return m.upstream.OpenConns() }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -97,7 +97,7 @@
 		host := &instance{wire: w, who: who}
 		w.instances[who] = host
 		host.guard(func() {
-			host.b = balance.New(host, brief.Settings(e.object("config")), e.seed("nonce64"))
+			host.b = balance.New(host, brief.Decode(e.object("config")), e.seed("nonce64"))
 		})
 		return
 	}
--- a/internal/soak/life.go
+++ b/internal/soak/life.go
@@ -99,7 +99,7 @@
 
 // itself checks that it is this process that answers.
 func (r *lifeRun) itself() error {
-	own, err := loopback.Listens(r.cmd.Process.Pid, r.m.address)
+	own, err := loopback.IsListening(r.cmd.Process.Pid, r.m.address)
 	if err == nil && !own {
 		err = errOther
 	}
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -144,8 +144,8 @@
 		if m.own, err = loopback.Reserve(); err != nil {
 			return nil, err
 		}
-		m.address, m.datagrams = m.own.At(loopback.RequestPort), m.own.At(loopback.DatagramPort)
-		r.all = m.own.Nowhere()
+		m.address, m.datagrams = m.own.Address(loopback.RequestPort), m.own.Address(loopback.DatagramPort)
+		r.all = m.own.BlackholeAddress()
 		r.quoted = append(r.quoted, strconv.Quote(m.datagrams))
 		all = append(all, m)
 	}
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -60,7 +60,7 @@
 		return err
 	}
 	w.owned = append(w.owned, own)
-	if err := n.Start(own.At(loopback.RequestPort)); err != nil {
+	if err := n.Start(own.Address(loopback.RequestPort)); err != nil {
 		return err
 	}
 	address, err := w.through(n.Address(), true)
