--- a/internal/back/back.go
+++ b/internal/back/back.go
@@ -1,5 +1,5 @@
-// Package back is a marshal's side towards the nodes: connections that are kept, one request written, its answer
-// read, and a word on what the ending of it proves.
+// Package back is the upstream side of a marshal: it pools connections to nodes, probes nodes, parses load reports and
+// classifies the outcome of a dispatch.
 package back
 
 import (
@@ -19,29 +19,31 @@
 	"arrowcleat/internal/h1"
 )
 
-// Pool keeps connections to nodes between requests.
+// Pool keeps idle connections to nodes for reuse.
 type Pool struct {
-	Now    func() time.Time // nil: the machine's clock
-	Limits h1.Limits
-	DialTimeout   time.Duration // the longest a connection may take to open
-	// Connect opens a connection; nil: the machine's own.
-	Connect func(ctx context.Context, network, address string) (net.Conn, error)
-	IdleTimeout    time.Duration // how long one is kept unused
-	MaxIdlePerNode    int           // unused ones kept for a node
-	ReuseDelay  time.Duration // how long one rests after its answer: what comes unasked behind it must not be the next one's
-	MaxConns     int           // connections to all nodes together, beyond which an unused one gives way; 0: no bound
-
-	Strict bool              // an answer is 200, all else is a failure
-	ReportNames  map[string]string // of what nodes report, as the module knows them; nil: ORCA's own
-
-	total atomic.Int64
-	nodes sync.Map // address -> *idle
-	shut  sync.Map // address -> time.Time from which on nothing new goes there
-	fell  sync.Map // address -> time.Time at which the cap of its build fell last
-	done  atomic.Bool
+	Now         func() time.Time // nil: the machine's clock
+	Limits      h1.Limits
+	DialTimeout time.Duration // also the time limit of a probe, from when its connection is open
+	// Connect opens a connection; nil: a net.Dialer.
+	Connect        func(ctx context.Context, network, address string) (net.Conn, error)
+	IdleTimeout    time.Duration // how long an idle connection is kept
+	MaxIdlePerNode int
+	// ReuseDelay is how long a connection stays unused after a response: bytes that the node sends unasked behind it
+	// must not be taken for the next response.
+	ReuseDelay time.Duration
+	MaxConns   int // to all nodes together; beyond it the connection idle for longest is closed; 0: no limit
+
+	Strict      bool              // only status 200 is a success; any other is a failure
+	ReportNames map[string]string // names in load reports -> names that the module uses; nil: those of ORCA
+
+	openConns    atomic.Int64 // open or being opened
+	idleLists    sync.Map     // address -> *idleList
+	drainingFrom sync.Map     // address -> time.Time from which no new request is written
+	capReducedAt sync.Map     // address -> time.Time at which the cap of its build was last reduced
+	closed       atomic.Bool
 }
 
-// CurrentTime is the time by which the pool keeps and forgets.
+// CurrentTime returns the time of the pool's clock.
 func (p *Pool) CurrentTime() time.Time {
 	if p.Now != nil {
 		return p.Now()
@@ -49,127 +51,132 @@
 	return time.Now()
 }
 
-// MarkDraining notes the first word that a node drains or is gone, after which it gets nothing new once a grace is over; Reopen,
-// that it serves. The word may be here before a core that stands still has it, or come while a dispatch waits to be
-// written: Late says that it must not be any more.
+// MarkDraining records the first report that a node is draining or gone: after the grace period, no new request is
+// written to it. Later reports don't move that time until MarkServing clears it. The report may be here before a
+// stalled core has it, or come while a dispatch waits to be written, so the pool is asked by Draining before each
+// write.
 func (p *Pool) MarkDraining(address string, grace time.Duration) {
-	p.shut.LoadOrStore(address, p.CurrentTime().Add(grace))
+	p.drainingFrom.LoadOrStore(address, p.CurrentTime().Add(grace))
 }
 
-func (p *Pool) MarkServing(address string) { p.shut.Delete(address) }
+// MarkServing records that a node is serving, and clears what MarkDraining recorded.
+func (p *Pool) MarkServing(address string) { p.drainingFrom.Delete(address) }
 
+// Draining reports whether a node is marked as draining and its grace period is over.
 func (p *Pool) Draining(address string) bool {
-	from, ok := p.shut.Load(address)
+	from, ok := p.drainingFrom.Load(address)
 	return ok && !p.CurrentTime().Before(from.(time.Time))
 }
 
-// RecordCapReduction notes that the cap of a build fell whose node has this address. What was decided on before must not be written any
-// more: it may have waited for its connection until long after the lower cap binds. Superseded says so of a decision.
-func (p *Pool) RecordCapReduction(address string) { p.fell.Store(address, p.CurrentTime()) }
+// RecordCapReduction records that the cap of the build that runs at this address was reduced.
+func (p *Pool) RecordCapReduction(address string) { p.capReducedAt.Store(address, p.CurrentTime()) }
 
+// Superseded reports whether a dispatch that was decided at that time must not be written any more, since the cap of the
+// node's build was reduced after it. It may have waited for its connection until long after the lower cap applies.
 func (p *Pool) Superseded(address string, decided time.Time) bool {
-	at, ok := p.fell.Load(address)
-	return ok && decided.Before(at.(time.Time))
+	reducedAt, ok := p.capReducedAt.Load(address)
+	return ok && decided.Before(reducedAt.(time.Time))
 }
 
-type idle struct {
+// idleList holds the idle connections to one node.
+type idleList struct {
 	mu      sync.Mutex
-	conns   []*Conn // the last one used is at the end
-	removed bool    // it is no longer among the pool's: whoever holds it looks again
+	conns   []*Conn // the most recently used is last
+	removed bool    // no longer in Pool.idleLists: whoever holds it has to look the address up again
 }
 
 // Conn is one connection to a node.
 type Conn struct {
 	net.Conn
-	Reader       *h1.Reader
-	Reused    bool // it has carried a request before
-	address string
-	pool    *Pool
-	closed  atomic.Bool
-	since   time.Time
-	raw     syscall.RawConn
-	alive   bool
-	peek    func(fd uintptr) bool
-	WriteBuffer     []byte // room to write requests
+	Reader      *h1.Reader
+	Reused      bool // it has carried a request before
+	address     string
+	pool        *Pool
+	closed      atomic.Bool
+	idleSince   time.Time
+	raw         syscall.RawConn
+	quiet       bool                  // open, and nothing unread has been received
+	checkQuiet  func(fd uintptr) bool // checks the socket and sets quiet
+	WriteBuffer []byte                // reused for the requests
 }
 
 const (
-	readBuffer = 4096
-	keepShut   = 5 * time.Minute // by then every core knows
+	readBufferBytes = 4096
+	nodeRecordTTL   = 5 * time.Minute // for drainingFrom and capReducedAt: by then every core has the update
 )
 
-// IdleConn gives a connection that was put back and is still open, or nil.
+// IdleConn returns an idle connection to a node that is still usable, or nil.
 func (p *Pool) IdleConn(address string) *Conn {
-	v, ok := p.nodes.Load(address)
+	v, ok := p.idleLists.Load(address)
 	if !ok {
 		return nil
 	}
-	n := v.(*idle)
+	list := v.(*idleList)
 	for {
-		n.mu.Lock()
+		list.mu.Lock()
 		var c *Conn
-		last := len(n.conns) - 1
-		for last >= 0 && p.CurrentTime().Sub(n.conns[last].since) < p.ReuseDelay {
+		last := len(list.conns) - 1
+		for last >= 0 && p.CurrentTime().Sub(list.conns[last].idleSince) < p.ReuseDelay {
 			last--
 		}
 		if last >= 0 {
-			c = n.conns[last]
-			n.conns = slices.Delete(n.conns, last, last+1)
+			c = list.conns[last]
+			list.conns = slices.Delete(list.conns, last, last+1)
 		}
-		n.mu.Unlock()
-		if c == nil || p.CurrentTime().Sub(c.since) < p.IdleTimeout && c.open() {
+		list.mu.Unlock()
+		if c == nil || p.CurrentTime().Sub(c.idleSince) < p.IdleTimeout && c.usable() {
 			return c
 		}
 		c.Close()
 	}
 }
 
-// Get gives a connection: a kept one, or a new one. fresh leaves kept ones out.
+// Get returns a connection to a node, idle or new. With fresh it is always a new one.
 func (p *Pool) Get(ctx context.Context, address string, fresh bool) (*Conn, error) {
 	if !fresh {
 		if c := p.IdleConn(address); c != nil {
 			return c, nil
 		}
 	}
-	if p.MaxConns > 0 && p.total.Load() >= int64(p.MaxConns) {
+	if p.MaxConns > 0 && p.openConns.Load() >= int64(p.MaxConns) {
 		p.dropOldest()
 	}
-	p.total.Add(1) // it holds a descriptor from here on
+	p.openConns.Add(1) // dialing holds a descriptor already
 	nc, err := p.dial(ctx, address)
 	if err != nil {
-		p.total.Add(-1)
+		p.openConns.Add(-1)
 		return nil, err
 	}
-	c := &Conn{Conn: nc, address: address, pool: p, Reader: h1.NewReader(nc, readBuffer)}
+	c := &Conn{Conn: nc, address: address, pool: p, Reader: h1.NewReader(nc, readBufferBytes)}
 	if t, ok := nc.(syscall.Conn); ok {
 		c.raw, _ = t.SyscallConn()
 	}
-	c.peek = func(fd uintptr) bool {
-		c.alive = waits(fd)
+	c.checkQuiet = func(fd uintptr) bool {
+		c.quiet = wouldBlock(fd)
 		return true
 	}
 	return c, nil
 }
 
-// How long connecting waits where this machine lacks what it takes: it begins with the first and doubles up to the most.
+// Delay before dialing again after a shortage on this machine: it begins at the minimum and doubles up to the maximum.
 const (
-	scarceWait     = time.Millisecond
-	scarceWaitMost = 20 * time.Millisecond
+	minShortageDelay = time.Millisecond
+	maxShortageDelay = 20 * time.Millisecond
 )
 
-// dial opens a connection within the pool's time and the context's. What this machine lacks for a moment is waited for: nothing has been
-// sent, and the node has no part in it.
+// dial opens a connection within DialTimeout and the context's deadline. It retries while this machine is short of a
+// resource: nothing has been sent, and the shortage says nothing about the node.
 func (p *Pool) dial(ctx context.Context, address string) (net.Conn, error) {
 	if p.DialTimeout > 0 {
-		var done context.CancelFunc
-		ctx, done = context.WithTimeout(ctx, p.DialTimeout)
-		defer done()
+		var cancel context.CancelFunc
+		ctx, cancel = context.WithTimeout(ctx, p.DialTimeout)
+		defer cancel()
 	}
 	connect := p.Connect
 	if connect == nil {
 		connect = (&net.Dialer{KeepAlive: -1}).DialContext
 	}
-	for wait := scarceWait; ; wait = min(2*wait, scarceWaitMost) {
+	for delay := minShortageDelay; ; delay = min(2*delay, maxShortageDelay) {
 		nc, err := connect(ctx, "tcp", address)
 		if err == nil || !IsResourceShortage(err) {
 			return nc, err
@@ -177,32 +184,32 @@
 		select {
 		case <-ctx.Done():
 			return nil, err
-		case <-time.After(wait):
+		case <-time.After(delay):
 		}
 	}
 }
 
-// Close closes the connection.
+// Close closes the connection and stops counting it as open.
 func (c *Conn) Close() error {
 	if !c.closed.Swap(true) {
-		c.pool.total.Add(-1)
+		c.pool.openConns.Add(-1)
 	}
 	return c.Conn.Close()
 }
 
-// OpenConns is the number of connections that are open or being opened.
-func (p *Pool) OpenConns() int { return int(p.total.Load()) }
+// OpenConns returns the number of connections that are open or being opened.
+func (p *Pool) OpenConns() int { return int(p.openConns.Load()) }
 
-// dropOldest closes the connection that has been unused for longest.
+// dropOldest closes the connection that has been idle for longest.
 func (p *Pool) dropOldest() {
-	var oldest *idle
-	var since time.Time
-	p.nodes.Range(func(_, v any) bool {
-		n := v.(*idle)
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		if len(n.conns) > 0 && (oldest == nil || n.conns[0].since.Before(since)) {
-			oldest, since = n, n.conns[0].since
+	var oldest *idleList
+	var idleSince time.Time
+	p.idleLists.Range(func(_, v any) bool {
+		list := v.(*idleList)
+		list.mu.Lock()
+		defer list.mu.Unlock()
+		if len(list.conns) > 0 && (oldest == nil || list.conns[0].idleSince.Before(idleSince)) {
+			oldest, idleSince = list, list.conns[0].idleSince
 		}
 		return true
 	})
@@ -217,163 +224,163 @@
 	}
 }
 
-// open says that the node has neither closed the connection nor sent something unasked on it.
-func (c *Conn) open() bool {
+// usable reports whether the node has neither closed the connection nor sent anything unasked on it.
+func (c *Conn) usable() bool {
 	if c.Reader.Buffered() > 0 {
 		return false
 	}
 	if c.raw == nil {
 		return true
 	}
-	c.alive = false
-	if err := c.raw.Read(c.peek); err != nil {
+	c.quiet = false
+	if err := c.raw.Read(c.checkQuiet); err != nil {
 		return false
 	}
-	return c.alive
+	return c.quiet
 }
 
-// Put takes back a connection on which nothing is out.
+// Put returns a connection with no request in flight to the pool.
 func (p *Pool) Put(c *Conn) {
-	c.Reused, c.since = true, p.CurrentTime()
+	c.Reused, c.idleSince = true, p.CurrentTime()
 	c.SetDeadline(time.Time{})
-	n := p.idleOf(c.address)
-	keep := len(n.conns) < p.MaxIdlePerNode
+	list := p.lockedIdleList(c.address)
+	keep := len(list.conns) < p.MaxIdlePerNode
 	if keep {
-		n.conns = append(n.conns, c)
+		list.conns = append(list.conns, c)
 	}
-	n.mu.Unlock()
+	list.mu.Unlock()
 	if !keep {
 		c.Close()
-	} else if p.done.Load() {
+	} else if p.closed.Load() {
 		p.CloseIdle(c.address)
 	}
 }
 
-// idleOf gives the connections kept for an address, locked.
-func (p *Pool) idleOf(address string) *idle {
+// lockedIdleList returns the list of idle connections to an address, locked. It creates one if there is none.
+func (p *Pool) lockedIdleList(address string) *idleList {
 	for {
-		v, ok := p.nodes.Load(address)
+		v, ok := p.idleLists.Load(address)
 		if !ok {
-			v, _ = p.nodes.LoadOrStore(address, &idle{})
+			v, _ = p.idleLists.LoadOrStore(address, &idleList{})
 		}
-		n := v.(*idle)
-		n.mu.Lock()
-		if !n.removed {
-			return n
+		list := v.(*idleList)
+		list.mu.Lock()
+		if !list.removed {
+			return list
 		}
-		n.mu.Unlock()
+		list.mu.Unlock()
 	}
 }
 
-// CloseIdle closes what is kept for an address.
+// CloseIdle closes the idle connections to an address.
 func (p *Pool) CloseIdle(address string) {
-	v, ok := p.nodes.Load(address)
+	v, ok := p.idleLists.Load(address)
 	if !ok {
 		return
 	}
-	n := v.(*idle)
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	for _, c := range n.conns {
+	list := v.(*idleList)
+	list.mu.Lock()
+	defer list.mu.Unlock()
+	for _, c := range list.conns {
 		c.Close()
 	}
-	n.conns = nil
-	p.remove(address, n)
+	list.conns = nil
+	p.remove(address, list)
 }
 
-// remove forgets an address for which nothing is kept; its lock is held.
-func (p *Pool) remove(address string, n *idle) {
-	n.removed = true
-	p.nodes.CompareAndDelete(address, n)
+// remove deletes the list of an address without idle connections. list.mu is held.
+func (p *Pool) remove(address string, list *idleList) {
+	list.removed = true
+	p.idleLists.CompareAndDelete(address, list)
 }
 
-// Sweep closes what has been unused for too long.
+// Sweep closes the connections that have been idle for too long, and deletes expired records about nodes.
 func (p *Pool) Sweep() {
-	for _, noted := range []*sync.Map{&p.shut, &p.fell} {
-		noted.Range(func(address, from any) bool {
-			if p.CurrentTime().Sub(from.(time.Time)) > keepShut {
-				noted.Delete(address)
+	for _, records := range []*sync.Map{&p.drainingFrom, &p.capReducedAt} {
+		records.Range(func(address, at any) bool {
+			if p.CurrentTime().Sub(at.(time.Time)) > nodeRecordTTL {
+				records.Delete(address)
 			}
 			return true
 		})
 	}
-	p.nodes.Range(func(address, v any) bool {
-		n := v.(*idle)
-		n.mu.Lock()
-		defer n.mu.Unlock()
-		old := 0
-		for old < len(n.conns) && p.CurrentTime().Sub(n.conns[old].since) >= p.IdleTimeout {
-			n.conns[old].Close()
-			old++
+	p.idleLists.Range(func(address, v any) bool {
+		list := v.(*idleList)
+		list.mu.Lock()
+		defer list.mu.Unlock()
+		expired := 0
+		for expired < len(list.conns) && p.CurrentTime().Sub(list.conns[expired].idleSince) >= p.IdleTimeout {
+			list.conns[expired].Close()
+			expired++
 		}
-		n.conns = slices.Delete(n.conns, 0, old)
-		if len(n.conns) == 0 && !n.removed {
-			p.remove(address.(string), n)
+		list.conns = slices.Delete(list.conns, 0, expired)
+		if len(list.conns) == 0 && !list.removed {
+			p.remove(address.(string), list)
 		}
 		return true
 	})
 }
 
-// Close closes all that is kept, and all that comes back.
+// Close closes all idle connections, and from then on each one that is put back.
 func (p *Pool) Close() {
-	p.done.Store(true)
-	p.nodes.Range(func(address, _ any) bool { p.CloseIdle(address.(string)); return true })
+	p.closed.Store(true)
+	p.idleLists.Range(func(address, _ any) bool { p.CloseIdle(address.(string)); return true })
 }
 
-// DispatchOutcome is what became of one dispatch on the wire, as far as it got.
+// DispatchOutcome describes how far one dispatch got on the wire.
 type DispatchOutcome struct {
-	Connected   bool  // there was a connection
-	BytesWritten    int64 // bytes of the request that left
-	PartialWrite     bool  // some did not, and the node begins only what it has whole
-	Err      error // what ended it, nil for a whole answer
-	Status   int   // of the answer, 0 for none
-	Rejected     bool  // the node says that it turned the work away before it began
-	Strict   bool  // only 200 is an answer
-	Canceled bool  // the module gave it up
-	Expired  bool  // its time limit had passed
+	Connected    bool  // a connection was open
+	BytesWritten int64 // of the request
+	PartialWrite bool  // only part of the request was written, and the node starts only on complete requests
+	Err          error // what ended the dispatch, nil for a complete response
+	Status       int   // of the response, 0 for none
+	Rejected     bool  // the response states that the node rejected the work before it started
+	Strict       bool  // only status 200 is a success
+	Canceled     bool  // the module canceled the dispatch
+	Expired      bool  // its time limit had passed
 }
 
-// Classify is what a fate proves; the table is in docs/protocol.md. Only proof counts as never having run: no
-// connection, no byte written (or, where nodes begin only what they have whole, not all), or the node's own word. All else
-// may have run.
-func (f DispatchOutcome) Classify() balance.Outcome {
+// Classify returns the outcome that is proved; the table is in docs/protocol.md. An invocation counts as never run only
+// on proof: no connection, no byte written (or not all of them, where nodes start only on complete requests), or the
+// node's own statement. In all other cases it may have run.
+func (o DispatchOutcome) Classify() balance.Outcome {
 	switch {
-	case f.Status != 0 && f.Err == nil && f.Rejected && (f.Status == 429 || f.Status == 503 || f.Status == 504):
+	case o.Status != 0 && o.Err == nil && o.Rejected && (o.Status == 429 || o.Status == 503 || o.Status == 504):
 		return balance.Rejected
-	case f.Status != 0 && f.Err == nil && (f.Status == 200 || f.Status < 500 && !f.Strict):
+	case o.Status != 0 && o.Err == nil && (o.Status == 200 || o.Status < 500 && !o.Strict):
 		return balance.Succeeded
-	case f.Status != 0 && f.Err == nil:
+	case o.Status != 0 && o.Err == nil:
 		return balance.Failed
-	case f.PartialWrite && !f.Canceled && !f.Expired:
+	case o.PartialWrite && !o.Canceled && !o.Expired:
 		return balance.ConnectFailed
-	case f.PartialWrite:
+	case o.PartialWrite:
 		return balance.Ignored
-	case f.BytesWritten == 0 && (f.Canceled || f.Expired && f.Connected):
+	case o.BytesWritten == 0 && (o.Canceled || o.Expired && o.Connected):
 		return balance.Ignored
-	case f.BytesWritten == 0:
+	case o.BytesWritten == 0:
 		return balance.ConnectFailed
-	case f.Canceled:
+	case o.Canceled:
 		return balance.Canceled
-	case f.Expired || IsTimeout(f.Err):
+	case o.Expired || IsTimeout(o.Err):
 		return balance.TimedOut
-	case errors.Is(f.Err, h1.ErrMalformed) || errors.Is(f.Err, h1.ErrTooLarge) || errors.Is(f.Err, h1.ErrTransferCoding) ||
-		errors.Is(f.Err, h1.ErrVersion):
-		return balance.Failed // it spoke, but not HTTP
+	case errors.Is(o.Err, h1.ErrMalformed) || errors.Is(o.Err, h1.ErrTooLarge) || errors.Is(o.Err, h1.ErrTransferCoding) ||
+		errors.Is(o.Err, h1.ErrVersion):
+		return balance.Failed // there was a response, but no valid HTTP
 	default:
 		return balance.ConnectionReset
 	}
 }
 
-// The names of ORCA's text header, endpoint-load-metrics (the xDS ORCA proposal's TEXT form), as the module
-// knows them; the others are skipped.
-var orca = map[string]string{"cpu_utilization": "busy", "rps_fractional": "rate", "eps": "errors",
+// orcaNames maps the names in ORCA's text header, endpoint-load-metrics (the TEXT form of the xDS ORCA proposal), to
+// those that the module uses. Other names are skipped.
+var orcaNames = map[string]string{"cpu_utilization": "busy", "rps_fractional": "rate", "eps": "errors",
 	"named_metrics.service_ms": "service-ms", "named_metrics.held": "held", "named_metrics.waiting": "waiting"}
 
-// ParseReport reads a node's load report from an answer's header.
+// ParseReport parses a node's load report from the header of a response. It returns nil if there is none.
 func (p *Pool) ParseReport(header textproto.MIMEHeader) map[string]float64 {
 	names := p.ReportNames
 	if names == nil {
-		names = orca
+		names = orcaNames
 	}
 	values := header["Endpoint-Load-Metrics"]
 	if len(values) == 0 {
@@ -386,35 +393,35 @@
 	report := map[string]float64{}
 	for part := range strings.SplitSeq(text, ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
-		if ours, known := names[name]; known {
+		if moduleName, known := names[name]; known {
 			if v, err := strconv.ParseFloat(value, 64); err == nil && v >= 0 && v < 1e12 {
-				report[ours] = v
+				report[moduleName] = v
 			}
 		}
 	}
 	return report
 }
 
-// Probe asks a node over its own connection whether it answers, and how loaded it is.
+// Probe sends a request to a node over a new connection, and returns its outcome and the node's load report.
 func (p *Pool) Probe(ctx context.Context, address, path string) (balance.Outcome, map[string]float64) {
-	f := DispatchOutcome{Strict: p.Strict}
+	o := DispatchOutcome{Strict: p.Strict}
 	c, err := p.Get(ctx, address, true)
 	if err != nil {
-		f.Err = err
-		return f.Classify(), nil
+		o.Err = err
+		return o.Classify(), nil
 	}
 	defer c.Close()
-	f.Connected = true
+	o.Connected = true
 	c.SetDeadline(time.Now().Add(p.DialTimeout))
 	n, err := c.Write([]byte("GET " + path + " HTTP/1.1\r\nHost: " + address + "\r\nConnection: close\r\n\r\n"))
-	f.BytesWritten, f.Err = int64(n), err
+	o.BytesWritten, o.Err = int64(n), err
 	if err != nil {
-		return f.Classify(), nil
+		return o.Classify(), nil
 	}
 	h, err := c.Reader.Response("GET", p.Limits)
-	if f.Err = err; err != nil {
-		return f.Classify(), nil
+	if o.Err = err; err != nil {
+		return o.Classify(), nil
 	}
-	f.Status = h.Status
-	return f.Classify(), p.ParseReport(h.Header)
+	o.Status = h.Status
+	return o.Classify(), p.ParseReport(h.Header)
 }
--- a/internal/back/socket.go
+++ b/internal/back/socket.go
@@ -9,7 +9,7 @@
 	"syscall"
 )
 
-// peek looks for a byte on a socket, without waiting and without taking it.
+// peek looks for a received byte on a socket, without blocking and without consuming it.
 func peek(fd uintptr) (n int, err error) {
 	var b [1]byte
 	for {
@@ -20,16 +20,17 @@
 	}
 }
 
-// waits says that nothing has come on a socket, not even its end.
-func waits(fd uintptr) bool {
+// wouldBlock reports whether a read would block: nothing has been received on the socket, not even the end of the
+// stream.
+func wouldBlock(fd uintptr) bool {
 	_, err := peek(fd)
 	return err == syscall.EAGAIN || err == syscall.EWOULDBLOCK
 }
 
-// onSocket does something with a connection's descriptor, if it has one.
+// onSocket calls f with a connection's descriptor, if it has one.
 func onSocket(nc net.Conn, f func(fd uintptr)) {
-	// Control fails on a closed connection, which has nothing more to tell.
-	if t, ok := nc.(*net.TCPConn); ok { // by its type, it needs no allocation
+	// Control fails only on a closed connection, for which f has nothing to find out.
+	if t, ok := nc.(*net.TCPConn); ok { // the concrete type avoids an allocation
 		if raw, err := t.SyscallConn(); err == nil {
 			raw.Control(f)
 		}
@@ -40,48 +41,49 @@
 	}
 }
 
-// HasUnread says that something has come on a connection that nobody has read yet.
+// HasUnread reports whether there is something to read on a connection: bytes, the end of the stream or an error.
 func HasUnread(nc net.Conn) (unread bool) {
-	onSocket(nc, func(fd uintptr) { unread = !waits(fd) })
+	onSocket(nc, func(fd uintptr) { unread = !wouldBlock(fd) })
 	return unread
 }
 
-// AtEOF says that the other side has ended its sending, and that all it sent has been read.
-func AtEOF(nc net.Conn) (ended bool) {
+// AtEOF reports whether the peer has closed its sending side and all that it sent has been read.
+func AtEOF(nc net.Conn) (atEOF bool) {
 	onSocket(nc, func(fd uintptr) {
 		n, err := peek(fd)
-		ended = n == 0 && err == nil
+		atEOF = n == 0 && err == nil
 	})
-	return ended
+	return atEOF
 }
 
-// IsTimeout says that a deadline passed, a connection's or a context's. The kernel's ETIMEDOUT is no deadline: it says that the connection is
-// broken, though net.Error calls it a time-out too.
+// IsTimeout reports whether an error means that a deadline passed, of a connection or a context. The kernel's ETIMEDOUT
+// is no deadline: the connection is broken, though net.Error calls that a timeout too.
 func IsTimeout(err error) bool {
 	if errors.Is(err, syscall.ETIMEDOUT) {
 		return false
 	}
-	var n net.Error
-	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) || errors.As(err, &n) && n.Timeout()
+	var netErr net.Error
+	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
 }
 
-// broken are the errors by which the kernel says that a connection is of no more use (tcp(7), ip(7)).
-var broken = []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
+// disconnectErrors are the errors that mean that a connection can't be used any more (tcp(7), ip(7)).
+var disconnectErrors = []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED, syscall.ENOTCONN}
 
-// IsDisconnect says that the other side closed or broke the connection.
-func IsDisconnect(err error) bool { return isAny(err, broken) }
+// IsDisconnect reports whether an error means that the connection is closed or broken.
+func IsDisconnect(err error) bool { return isAny(err, disconnectErrors) }
 
-// scarce are the errors by which the kernel says that this machine lacks something for a moment (socket(2), connect(2), accept(2)).
-var scarce = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
+// shortageErrors are the errors of the kernel for a temporary shortage on this machine (socket(2), connect(2),
+// accept(2)).
+var shortageErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
 	syscall.ENETUNREACH, syscall.ENETDOWN}
 
-// IsResourceShortage says that a socket could not be had for a reason of this machine's own, which may be over in a moment: it says nothing about the
-// other side.
-func IsResourceShortage(err error) bool { return isAny(err, scarce) }
+// IsResourceShortage reports whether a socket could not be opened for a reason on this machine that may pass soon, such
+// as a shortage of descriptors or ports. It says nothing about the other side.
+func IsResourceShortage(err error) bool { return isAny(err, shortageErrors) }
 
-func isAny(err error, of []error) bool {
-	for _, e := range of {
+func isAny(err error, targets []error) bool {
+	for _, e := range targets {
 		if errors.Is(err, e) {
 			return true
 		}
