--- a/internal/connlimit/connlimit.go
+++ b/internal/connlimit/connlimit.go
@@ -1,47 +1,49 @@
-// Package connlimit decides how a marshal's descriptors are divided, and which client's connection gives way to a new one
-// when its part is full. It is free of I/O; times are ms.
+// Package connlimit divides the descriptors of a marshal between clients and nodes, and selects the client connection
+// to close when the share of the clients is used up. It does no I/O.
 package connlimit
 
 const (
-	kept      = 64     // descriptors for all that is neither a client's nor a node's connection
-	clients   = 0.5    // of the rest, for clients' connections: they hold a third at most, strangers the others
-	idleLeast = 2000.0 // ms that a connection which has served is left alone after its last answer
-	mayAsk    = 300.0  // ms in which a client that has connected is taken to be about to ask
+	reserved       = 64     // descriptors for anything but connections of clients and to nodes
+	clientShare    = 0.5    // of the rest, for client connections; known clients hold a third at most, unknown ones the others
+	minIdleMs      = 2000.0 // a connection that has served is not closed before this time since its last answer
+	firstRequestMs = 300.0  // a new connection is expected to send its first request within this time
 )
 
-// MinDescriptors is the fewest descriptors with which a marshal can serve: what is kept, and some for each side.
-const MinDescriptors = kept + 16
+// MinDescriptors is the smallest number of descriptors with which a marshal can serve: the reserved ones, and some for
+// each side.
+const MinDescriptors = reserved + 16
 
-// Divide divides descriptors between connections of clients and to nodes.
+// Divide divides descriptors between connections of clients and connections to nodes.
 func Divide(descriptors int) (toClients, toNodes int) {
-	rest := max(descriptors-kept, 4)
-	toClients = int(float64(rest) * clients)
+	rest := max(descriptors-reserved, 4)
+	toClients = int(float64(rest) * clientShare)
 	return toClients, rest - toClients
 }
 
-// Conn is one client's connection.
+// Conn is the state of one client connection.
 type Conn struct {
-	IdleMs  float64 // ms since its last answer, or since it was opened if it never had one
-	Served bool    // it had an answer
-	Busy   bool    // an invocation is open on it, or something came that is not read yet
+	IdleMs float64 // since its last answer, or since it was opened if there was none
+	Served bool    // it has had an answer
+	Busy   bool    // an invocation is open on it, or it has received bytes that are not read yet
 }
 
-// SelectVictim says which connection gives way to a new one, or -1. One that never asked for anything goes first, the oldest
-// of them: it guards against clients that connect by hundreds and say nothing. It may hurt a client that opens a
-// connection long before it asks; one that has just come is left alone, or of many that come at once each would put
-// out the one before, with a request on its way. Then goes the one unused for longest.
+// SelectVictim returns the index of the connection to close in favor of a new one, or -1. Connections that never had an
+// answer go first, the oldest of them: this protects against clients that open hundreds of connections and send
+// nothing. It may hurt a client that opens a connection long before its first request. A connection that was just
+// opened is spared: if many arrived at once, each would otherwise close the one before it, whose request is already on
+// its way. Then goes the connection that has been idle for longest.
 func SelectVictim(all []Conn) int {
-	oldest := func(served bool, least float64) int {
+	oldest := func(served bool, minMs float64) int {
 		at := -1
-		for i, s := range all {
-			if !s.Busy && s.Served == served && s.IdleMs >= least && (at < 0 || s.IdleMs > all[at].IdleMs) {
+		for i, c := range all {
+			if !c.Busy && c.Served == served && c.IdleMs >= minMs && (at < 0 || c.IdleMs > all[at].IdleMs) {
 				at = i
 			}
 		}
 		return at
 	}
-	if i := oldest(false, mayAsk); i >= 0 {
+	if i := oldest(false, firstRequestMs); i >= 0 {
 		return i
 	}
-	return oldest(true, idleLeast)
+	return oldest(true, minIdleMs)
 }
--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// Who never asked goes before who has; who has just come, just served or is busy stays.
+// A connection that never had an answer goes before one that had. A new, recently used or busy connection stays.
 func ExampleSelectVictim() {
 	fmt.Println(SelectVictim([]Conn{{IdleMs: 10}, {IdleMs: 200}, {IdleMs: 5000, Busy: true}, {IdleMs: 1000, Served: true}}))
 	fmt.Println(SelectVictim([]Conn{{IdleMs: 9000, Served: true}, {IdleMs: 400}, {IdleMs: 500}}))
