--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -9,42 +9,43 @@
 	"time"
 )
 
-// gated is a destination that takes nothing until its gate opens.
-type gated struct {
-	gate chan struct{}
-	mu   sync.Mutex
-	got  bytes.Buffer
+// blockedWriter is a destination that blocks until unblock is closed.
+type blockedWriter struct {
+	unblock chan struct{}
+	mu      sync.Mutex
+	written bytes.Buffer
 }
 
-func (g *gated) Write(b []byte) (int, error) {
-	<-g.gate
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.got.Write(b)
+func (w *blockedWriter) Write(b []byte) (int, error) {
+	<-w.unblock
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.Write(b)
 }
 
-func (g *gated) text() string {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.got.String()
+func (w *blockedWriter) text() string {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.String()
 }
 
-// Nobody who logs waits for a destination that is stuck; once it takes lines again it has them in order, and how many were dropped.
-func TestStuckDestination(t *testing.T) {
-	const lines, within = 3 * room, 100 * time.Millisecond
-	out := &gated{gate: make(chan struct{})}
+// Logging never waits for a blocked destination. Once the destination accepts lines again, it gets them in order and
+// the number of dropped lines.
+func TestBlockedDestination(t *testing.T) {
+	const lines, timeout = 3 * maxQueuedLines, 100 * time.Millisecond
+	out := &blockedWriter{unblock: make(chan struct{})}
 	w := New(out)
-	begun := time.Now()
+	start := time.Now()
 	for i := range lines {
 		fmt.Fprintf(w, "line %d\n", i)
 	}
-	w.Flush(within)
-	if took := time.Since(begun); took > 10*within {
-		t.Errorf("logging and a flush took %v", took)
+	w.Flush(timeout)
+	if took := time.Since(start); took > 10*timeout {
+		t.Errorf("logging and a flush of at most %v took %v", timeout, took)
 	}
-	close(out.gate)
+	close(out.unblock)
 	w.Flush(10 * time.Second)
-	fmt.Fprintf(w, "line %d\n", lines) // what was dropped before it is told
+	fmt.Fprintf(w, "line %d\n", lines) // it is written after the number of lines that were dropped before it
 	w.Flush(10 * time.Second)
 	text, written, dropped, last := out.text(), 0, 0, -1
 	for line := range strings.Lines(text) {
@@ -55,14 +56,14 @@
 			}
 			last = number
 			written++
-		} else if _, told, found := strings.Cut(line, "count="); !found {
-			t.Errorf("written: %q", line)
-		} else if _, err := fmt.Sscan(told, &count); err != nil {
+		} else if _, value, found := strings.Cut(line, "count="); !found {
+			t.Errorf("unexpected line %q", line)
+		} else if _, err := fmt.Sscan(value, &count); err != nil {
 			t.Errorf("%q: %v", line, err)
 		}
 		dropped += count
 	}
-	if written+dropped != lines+1 || written < room || dropped == 0 || last != lines {
-		t.Errorf("of %d lines %d were written, the last was %d, and %d were told as dropped", lines+1, written, last, dropped)
+	if written+dropped != lines+1 || written < maxQueuedLines || dropped == 0 || last != lines {
+		t.Errorf("of %d lines %d were written, the last was %d, and %d were reported as dropped", lines+1, written, last, dropped)
 	}
 }
