--- a/internal/schedlag/schedlag.go
+++ b/internal/schedlag/schedlag.go
@@ -1,14 +1,17 @@
-// Package schedlag measures scheduling lag: for how long a process is held up, by a machine that is busy or by itself.
+// Package schedlag measures scheduling delay: for how long a process is not scheduled, because the machine or the
+// process itself is busy.
 package schedlag
 
 import "time"
 
-const every = 5 * time.Millisecond
+// interval is the time between two wake-ups of the measuring goroutine.
+const interval = 5 * time.Millisecond
 
-// Watch measures until longest is called, which gives the longest time in between that a goroutine which was due did not run.
+// Watch starts a measurement. Calling longest ends it, and returns the longest time for which a goroutine that was due
+// to run did not run.
 func Watch() (longest func() time.Duration) {
-	done, most := make(chan struct{}), make(chan time.Duration)
-	due := time.Now().Add(every)
+	done, result := make(chan struct{}), make(chan time.Duration)
+	due := time.Now().Add(interval)
 	go func() {
 		var longest time.Duration
 		for {
@@ -20,14 +23,14 @@
 			}
 			longest = max(longest, time.Since(due))
 			if ended {
-				most <- longest
+				result <- longest
 				return
 			}
-			due = time.Now().Add(every)
+			due = time.Now().Add(interval)
 		}
 	}()
 	return func() time.Duration {
 		close(done)
-		return <-most
+		return <-result
 	}
 }
--- a/internal/schedlag/schedlag_test.go
+++ b/internal/schedlag/schedlag_test.go
@@ -7,18 +7,18 @@
 	"time"
 )
 
-// A process that is stopped for a while finds that out, also where the watch ends before its next look.
+// The delay of a stopped process is measured, also if the measurement ends before the goroutine runs again.
 func TestWatch(t *testing.T) {
-	const held = 100 * time.Millisecond
+	const stoppedFor = 100 * time.Millisecond
 	for _, before := range []time.Duration{0, 30 * time.Millisecond} {
 		longest := Watch()
 		time.Sleep(before)
-		stop := fmt.Sprintf("kill -STOP $PPID; sleep %g; kill -CONT $PPID", held.Seconds())
-		if err := exec.Command("/bin/sh", "-c", stop).Run(); err != nil {
+		script := fmt.Sprintf("kill -STOP $PPID; sleep %g; kill -CONT $PPID", stoppedFor.Seconds())
+		if err := exec.Command("/bin/sh", "-c", script).Run(); err != nil {
 			t.Fatal(err)
 		}
-		if got := longest(); got < held/2 {
-			t.Errorf("stopped for %v, it says it was held up for %v", held, got)
+		if got := longest(); got < stoppedFor/2 {
+			t.Errorf("stopped for %v, the measured delay is %v", stoppedFor, got)
 		}
 	}
 }
