--- a/internal/tcpstate/tcpstate.go
+++ b/internal/tcpstate/tcpstate.go
@@ -1,4 +1,4 @@
-// Package tcpstate tells what the kernel knows about the far end of a TCP connection. Linux only.
+// Package tcpstate reads the state of a TCP connection from the kernel, which shows what the peer did. Linux only.
 package tcpstate
 
 import (
@@ -9,21 +9,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// State is a TCP state as TCP_INFO gives it (include/net/tcp_states.h).
+// State is a TCP state as in TCP_INFO (include/net/tcp_states.h).
 type State uint8
 
-// The states that matter once the far end has closed.
+// The states that matter once the peer has closed the connection.
 const (
 	Established State = 1
 	Close       State = 7 // reset, or closed on both sides
-	CloseWait   State = 8 // the far end has sent its FIN
+	CloseWait   State = 8 // the peer has sent its FIN
 )
 
-// Of gives the state of a connection. The error says that nc has no descriptor, or that the kernel refused.
+// Of returns the state of a connection. It fails if nc is not a TCP connection or is closed, or if the kernel refuses.
 func Of(nc net.Conn) (State, error) {
 	t, ok := nc.(*net.TCPConn)
 	if !ok {
-		return 0, fmt.Errorf("%T is no TCP connection", nc)
+		return 0, fmt.Errorf("%T is not a TCP connection", nc)
 	}
 	raw, err := t.SyscallConn()
 	if err != nil {
@@ -42,12 +42,14 @@
 	return State(info.State), nil
 }
 
-const pollEvery = 2 * time.Millisecond
+// pollInterval is the time between two reads of the state.
+const pollInterval = 2 * time.Millisecond
 
-// ResetWithin says whether the connection is reset before the time is over. A socket that is closed with bytes unread, or that bytes
-// reach after its close, resets the connection; one whose process had read all of them only ends it.
-func ResetWithin(nc net.Conn, within time.Duration) (bool, error) {
-	for end := time.Now().Add(within); ; time.Sleep(pollEvery) {
+// ResetWithin reports whether the peer resets the connection within the timeout. A socket resets the connection if it
+// is closed with unread bytes, or if bytes arrive after its close. If its process had read all of them, the close only
+// ends the connection.
+func ResetWithin(nc net.Conn, timeout time.Duration) (bool, error) {
+	for deadline := time.Now().Add(timeout); ; time.Sleep(pollInterval) {
 		state, err := Of(nc)
 		if err != nil {
 			return false, err
@@ -55,7 +57,7 @@
 		if state == Close {
 			return true, nil
 		}
-		if time.Now().After(end) {
+		if time.Now().After(deadline) {
 			return false, nil
 		}
 	}
--- a/internal/tcpstate/tcpstate_test.go
+++ b/internal/tcpstate/tcpstate_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// pair is a connection's two ends.
+// pair returns both ends of a TCP connection.
 func pair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -25,11 +25,11 @@
 }
 
 func TestResetWithin(t *testing.T) {
-	const within = 100 * time.Millisecond
+	const timeout = 100 * time.Millisecond
 	for name, c := range map[string]struct {
-		server func(net.Conn)
-		after  bool // the client sends once the server has closed
-		reset  bool
+		serve      func(net.Conn)
+		closeFirst bool // the client sends after the server has closed
+		reset      bool
 	}{
 		"read before the close":   {func(s net.Conn) { s.Read(make([]byte, 8)); s.Close() }, false, false},
 		"unread at the close":     {func(s net.Conn) { time.Sleep(20 * time.Millisecond); s.Close() }, false, true},
@@ -38,16 +38,16 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, server := pair(t)
-			if c.after {
-				c.server(server)
+			if c.closeFirst {
+				c.serve(server)
 				client.Write([]byte("x"))
 			} else {
 				client.Write([]byte("x"))
-				c.server(server)
+				c.serve(server)
 			}
-			reset, err := ResetWithin(client, within)
+			reset, err := ResetWithin(client, timeout)
 			if err != nil || reset != c.reset {
-				t.Errorf("reset %v, %v", reset, err)
+				t.Errorf("reset %v, want %v; error %v", reset, c.reset, err)
 			}
 		})
 	}
