--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback reserves loopback addresses for processes that are started, ended and started again at the same one, and tells who listens
-// at an address. Linux only.
+// Package loopback reserves loopback addresses for processes that are restarted at the same address, and finds out
+// whether a process listens at an address. Linux only.
 package loopback
 
 import (
@@ -15,53 +15,54 @@
 	"sync/atomic"
 )
 
-// Ports of a reserved address. They lie below the range from which the kernel gives ports to those that ask for any: nobody else can be
-// given one of them while its process does not listen.
+// Ports of a reserved address. They lie below the range of ephemeral ports, so that the kernel gives none of them to
+// another program while the process that uses it does not listen.
 const (
 	RequestPort  = 7070
 	DatagramPort = 7071
-	guardPort    = 7072 // held for as long as the address is reserved, against other programs that reserve
+	guardPort    = 7072 // listens while the address is reserved, so that no other program can reserve it
 )
 
-// Reservation is a loopback address that this program alone uses.
+// Reservation is a loopback address that is reserved for this program.
 type Reservation struct {
 	ip    netip.Addr
 	guard net.Listener
 }
 
-var reserved atomic.Uint32
+var attempts atomic.Uint32 // to reserve an address, by this process
 
-// Reserve takes a loopback address that nobody has reserved.
+// Reserve reserves a loopback address that is not reserved yet, by this or another program.
 func Reserve() (*Reservation, error) {
-	const tries = 1000
+	const maxAttempts = 1000
 	var err error
-	for range tries {
-		// 127.64.0.0 to 127.127.255.255, from a place that differs from one process to the next.
+	for range maxAttempts {
+		// 127.64.0.0 to 127.127.255.255, starting at an address that depends on the process id.
 		const base, size, stride = 127<<24 | 64<<16, 1 << 22, 1031
-		number := (uint32(os.Getpid())*stride + reserved.Add(1)) % size
+		offset := (uint32(os.Getpid())*stride + attempts.Add(1)) % size
 		var bytes [4]byte
-		binary.BigEndian.PutUint32(bytes[:], base+number)
+		binary.BigEndian.PutUint32(bytes[:], base+offset)
 		ip := netip.AddrFrom4(bytes)
 		var guard net.Listener
 		if guard, err = net.Listen("tcp", netip.AddrPortFrom(ip, guardPort).String()); err == nil {
 			return &Reservation{ip, guard}, nil
 		}
 	}
-	return nil, fmt.Errorf("no loopback address is free: %w", err)
+	return nil, fmt.Errorf("can't reserve a loopback address: %w", err)
 }
 
-// Address is the address with a port.
-func (a *Reservation) Address(port uint16) string { return netip.AddrPortFrom(a.ip, port).String() }
+// Address returns the reserved address with a port.
+func (r *Reservation) Address(port uint16) string { return netip.AddrPortFrom(r.ip, port).String() }
 
-// BlackholeAddress is an address to which datagrams go and nobody receives them.
-func (a *Reservation) BlackholeAddress() string { return a.Address(guardPort) }
+// BlackholeAddress returns an address at which nobody receives datagrams.
+func (r *Reservation) BlackholeAddress() string { return r.Address(guardPort) }
 
-// Release gives the address back.
-func (a *Reservation) Release() { a.guard.Close() }
+// Release ends the reservation.
+func (r *Reservation) Release() { r.guard.Close() }
 
-// IsListening says whether it is the process with this id that listens at a TCP address, by the kernel's table of sockets.
+// IsListening reports whether the process with this id listens at a TCP address, according to the kernel's table of
+// sockets.
 func IsListening(pid int, address string) (bool, error) {
-	inode, err := listener(address)
+	inode, err := listenerInode(address)
 	if err != nil || inode == "" {
 		return false, err
 	}
@@ -77,9 +78,10 @@
 	return false, nil
 }
 
-// listener is the inode of the socket that listens at an IPv4 address, empty where none does. The table is that of proc(5).
-func listener(address string) (inode string, err error) {
-	at, err := netip.ParseAddrPort(address)
+// listenerInode returns the inode of the socket that listens at an IPv4 address, or an empty string if none does. The
+// format of the table is described in proc(5).
+func listenerInode(address string) (inode string, err error) {
+	addrPort, err := netip.ParseAddrPort(address)
 	if err != nil {
 		return "", err
 	}
@@ -89,9 +91,9 @@
 	}
 	defer f.Close()
 	const localColumn, stateColumn, inodeColumn, stateListen = 1, 3, 9, "0A"
-	ip := at.Addr().As4()
-	reversed := []byte{ip[3], ip[2], ip[1], ip[0]} // in the byte order of the machine
-	want := fmt.Sprintf("%s:%04X", strings.ToUpper(hex.EncodeToString(reversed)), at.Port())
+	ip := addrPort.Addr().As4()
+	reversed := []byte{ip[3], ip[2], ip[1], ip[0]} // /proc/net/tcp has the byte order of the machine
+	want := fmt.Sprintf("%s:%04X", strings.ToUpper(hex.EncodeToString(reversed)), addrPort.Port())
 	for lines := bufio.NewScanner(f); ; {
 		if !lines.Scan() {
 			return "", lines.Err()
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -9,26 +9,26 @@
 func TestReservedAddress(t *testing.T) {
 	seen := map[string]bool{}
 	for range 20 {
-		own, err := Reserve()
+		r, err := Reserve()
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer own.Release()
-		address := own.Address(RequestPort)
+		defer r.Release()
+		address := r.Address(RequestPort)
 		if seen[address] {
 			t.Fatalf("%s was reserved twice", address)
 		}
 		seen[address] = true
-		if is, err := IsListening(os.Getpid(), address); err != nil || is {
-			t.Errorf("nobody listens at %s: %v, %v", address, is, err)
+		if listens, err := IsListening(os.Getpid(), address); err != nil || listens {
+			t.Errorf("before listening at %s: IsListening %v, want false; error %v", address, listens, err)
 		}
 		ln, err := net.Listen("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		for pid, want := range map[int]bool{os.Getpid(): true, os.Getppid(): false} {
-			if is, err := IsListening(pid, address); err != nil || is != want {
-				t.Errorf("process %d listens at %s: %v, %v", pid, address, is, err)
+			if listens, err := IsListening(pid, address); err != nil || listens != want {
+				t.Errorf("process %d at %s: IsListening %v, want %v; error %v", pid, address, listens, want, err)
 			}
 		}
 		ln.Close()
