--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -109,11 +109,11 @@
 		}
 		return getenv(environmentVariables[name])
 	}
-	c := &Config{now: time.Now, wallClock: time.Now, ModuleSettings: brief.Settings(j.Get("settings")), DiscoveryAddress: value("discovery"),
+	c := &Config{now: time.Now, wallClock: time.Now, ModuleSettings: brief.Decode(j.Get("settings")), DiscoveryAddress: value("discovery"),
 		ReleaseAPIAddress: j.Get("release_api.address").Str, Cores: j.Get("limits.cores").Num, MemoryMB: j.Get("limits.memory_mb").Num,
 		initialRelease: j.Get("release_api.news"), knownList: j.Get("known"), peerListen: j.Get("peer_listen").Str,
 		allPeersAddress: j.Get("peers_all").Str}
-	for name, least := range map[string]float64{"limits.sockets": connlimit.Least, "limits.memory_mb": 8, "limits.cores": 0.001} {
+	for name, least := range map[string]float64{"limits.sockets": connlimit.MinDescriptors, "limits.memory_mb": 8, "limits.cores": 0.001} {
 		if v := j.Get(name).Num; v < least {
 			return nil, fmt.Errorf("%s: %v is too little: at least %v", name, v, least)
 		}
