--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -17,12 +17,12 @@
 	"arrowcleat/internal/settings"
 )
 
-// Reader gives the text of a file; os.ReadFile where files are files.
-type Reader func(path string) ([]byte, error)
+// ReadFunc gives the text of a file; os.ReadFile where files are files.
+type ReadFunc func(path string) ([]byte, error)
 
 // Load reads a file with all that it includes, and compiles it. All that is wrong comes in the order of the files;
 // settings are given where none of it is more than a warning.
-func Load(path string, read Reader) (*settings.Settings, []*Diagnostic) {
+func Load(path string, read ReadFunc) (*settings.Settings, []*Diagnostic) {
 	c := newCompiler(read)
 	c.include(path, nil, nil)
 	if len(c.found) == 0 && len(c.all) == 0 {
@@ -54,13 +54,13 @@
 	})
 }
 
-func newCompiler(read Reader) *compiler {
+func newCompiler(read ReadFunc) *compiler {
 	return &compiler{read: read, out: &settings.Settings{}, order: map[string]int{}, at: map[string]place{}, sources: map[string]*source{},
 		lets: map[string]*definition{}, defines: map[string]*definition{}}
 }
 
 type compiler struct {
-	read    Reader
+	read    ReadFunc
 	out     *settings.Settings
 	all     []placed // the statements of all files, in order
 	order   map[string]int
@@ -127,7 +127,7 @@
 	text, err := c.read(path)
 	if err != nil {
 		if by == nil {
-			c.found = append(c.found, &Diagnostic{File: path, Line: 1, Column: 1, Code: "AC103", What: "can't be read: " + reason(err),
+			c.found = append(c.found, &Diagnostic{File: path, Line: 1, Column: 1, Code: "AC103", Message: "can't be read: " + reason(err),
 				Fix: "look at the name and its rights"})
 		} else {
 			c.say(*by, "AC103", path+" can't be read: "+reason(err), "look at the name, which starts from the folder of this file, and its rights")
@@ -139,7 +139,7 @@
 	s.from = from
 	c.sources[real] = s
 	if bad != nil {
-		bad.From = from
+		bad.IncludedFrom = from
 		c.found = append(c.found, bad)
 		return
 	}
--- a/internal/lang/diff.go
+++ b/internal/lang/diff.go
@@ -13,13 +13,13 @@
 
 // Change is one thing in which two versions of settings differ, by meaning.
 type Change struct {
-	Path   string `json:"path"`             // of the inner form, of the old version where it is there, else of the new
-	Name   string `json:"name"`             // in the words of the language: operation slot-book: time-limit
-	From   string `json:"from,omitempty"`   // empty: it was not there
-	To     string `json:"to,omitempty"`     // empty: it is no more
-	Rule   bool   `json:"rule,omitempty"`   // it touches what the rules are kept by
-	Moved  bool   `json:"moved,omitempty"`  // only its place among others changed
-	Rename bool   `json:"rename,omitempty"` // only its name changed
+	Path         string `json:"path"`             // of the inner form, of the old version where it is there, else of the new
+	Name         string `json:"name"`             // in the words of the language: operation slot-book: time-limit
+	From         string `json:"from,omitempty"`   // empty: it was not there
+	To           string `json:"to,omitempty"`     // empty: it is no more
+	AffectsRules bool   `json:"rule,omitempty"`   // it touches what the rules are kept by
+	Moved        bool   `json:"moved,omitempty"`  // only its place among others changed
+	Renamed      bool   `json:"rename,omitempty"` // only its name changed
 }
 
 func (c Change) String() string {
@@ -27,7 +27,7 @@
 	switch {
 	case c.Moved:
 		text += " moved"
-	case c.Rename:
+	case c.Renamed:
 		text += " renamed " + c.From + " -> " + c.To
 	case c.From == "":
 		text += " added: " + c.To
@@ -36,7 +36,7 @@
 	default:
 		text += " " + c.From + " -> " + c.To
 	}
-	if c.Rule {
+	if c.AffectsRules {
 		text += "  (touches a rule)"
 	}
 	return text
@@ -88,7 +88,7 @@
 		default:
 			from, to := written(s, a), written(s, b)
 			if from != to {
-				d.all = append(d.all, Change{Path: at, Name: said, From: from, To: to, Rule: rule})
+				d.all = append(d.all, Change{Path: at, Name: said, From: from, To: to, AffectsRules: rule})
 			}
 		}
 	}
@@ -123,7 +123,7 @@
 				to = inline(s, b.Get(i).Message())
 			}
 			if from != to {
-				d.all = append(d.all, Change{Path: fmt.Sprintf("%s[%d]", path, i), Name: fmt.Sprintf("%s %d", said, i+1), From: from, To: to, Rule: rule})
+				d.all = append(d.all, Change{Path: fmt.Sprintf("%s[%d]", path, i), Name: fmt.Sprintf("%s %d", said, i+1), From: from, To: to, AffectsRules: rule})
 			}
 		}
 		return
@@ -146,7 +146,7 @@
 		if j >= 0 {
 			d.messages(m, b.Get(j).Message(), l, at+".", said+" "+quote(label(m))+":")
 			if j < last { // the first match counts: order has a meaning
-				d.all = append(d.all, Change{Path: at, Name: said + " " + quote(label(m)), From: fmt.Sprint(i + 1), To: fmt.Sprint(j + 1), Moved: true, Rule: true})
+				d.all = append(d.all, Change{Path: at, Name: said + " " + quote(label(m)), From: fmt.Sprint(i + 1), To: fmt.Sprint(j + 1), Moved: true, AffectsRules: true})
 			}
 			last = max(last, j)
 			continue
@@ -165,14 +165,14 @@
 			}
 		}
 		if j >= 0 {
-			d.all = append(d.all, Change{Path: at, Name: said, From: quote(label(m)), To: quote(label(b.Get(j).Message())), Rename: true})
+			d.all = append(d.all, Change{Path: at, Name: said, From: quote(label(m)), To: quote(label(b.Get(j).Message())), Renamed: true})
 		} else {
-			d.all = append(d.all, Change{Path: at, Name: said + " " + quote(label(m)), From: inline(s, m), Rule: true})
+			d.all = append(d.all, Change{Path: at, Name: said + " " + quote(label(m)), From: inline(s, m), AffectsRules: true})
 		}
 	}
 	for j := range b.Len() {
 		if m := b.Get(j).Message(); find(a, label(m)) < 0 && !renamed[j] {
-			d.all = append(d.all, Change{Path: fmt.Sprintf("%s[%d]", path, j), Name: said + " " + quote(label(m)), To: inline(s, m), Rule: true})
+			d.all = append(d.all, Change{Path: fmt.Sprintf("%s[%d]", path, j), Name: said + " " + quote(label(m)), To: inline(s, m), AffectsRules: true})
 		}
 	}
 }
--- a/internal/lang/fleet_test.go
+++ b/internal/lang/fleet_test.go
@@ -32,7 +32,7 @@
 	return files
 }
 
-func reader(files map[string]string) Reader {
+func reader(files map[string]string) ReadFunc {
 	return func(path string) ([]byte, error) {
 		if text, ok := files[path]; ok {
 			return []byte(text), nil
@@ -78,7 +78,7 @@
 // The editor's file kept beside the examples is the one that the schema makes.
 func TestVimIsWritten(t *testing.T) {
 	text, err := os.ReadFile("../../examples/cleat.vim")
-	if err != nil || string(text) != Vim() {
+	if err != nil || string(text) != VimSyntax() {
 		t.Errorf("examples/cleat.vim is not what arrowcleat syntax vim writes: %v", err)
 	}
 }
--- a/internal/lang/parse.go
+++ b/internal/lang/parse.go
@@ -159,21 +159,21 @@
 
 // Diagnostic is one thing wrong, or odd, with a place.
 type Diagnostic struct {
-	File    string   `json:"file"`
-	Line    int      `json:"line"`
-	Column  int      `json:"column"`
-	Code    string   `json:"code"`
-	What    string   `json:"what"`
-	Fix     string   `json:"fix,omitempty"`
-	Warning bool     `json:"warning,omitempty"`
-	Text    string   `json:"text,omitempty"` // the line
-	From    []string `json:"included_from,omitempty"`
+	File         string   `json:"file"`
+	Line         int      `json:"line"`
+	Column       int      `json:"column"`
+	Code         string   `json:"code"`
+	Message      string   `json:"what"`
+	Fix          string   `json:"fix,omitempty"`
+	Warning      bool     `json:"warning,omitempty"`
+	SourceLine   string   `json:"text,omitempty"` // the line
+	IncludedFrom []string `json:"included_from,omitempty"`
 }
 
 const mostText = 160 // of a line that is shown
 
 func (s *source) at(line, col int, code, what, fix string) *Diagnostic {
-	d := &Diagnostic{File: s.name, Line: line, Column: col, Code: code, What: what, Fix: fix, From: s.from}
+	d := &Diagnostic{File: s.name, Line: line, Column: col, Code: code, Message: what, Fix: fix, IncludedFrom: s.from}
 	rest := s.text
 	for n := 1; n < line; n++ {
 		i := bytes.IndexByte(rest, '\n')
@@ -186,7 +186,7 @@
 		rest = rest[:i]
 	}
 	if text := strings.ToValidUTF8(strings.TrimRight(string(rest), "\r"), "?"); len(text) <= mostText {
-		d.Text = text
+		d.SourceLine = text
 	}
 	return d
 }
@@ -196,21 +196,21 @@
 	if d.Warning {
 		kind = "warning "
 	}
-	b := fmt.Sprintf("%s:%d:%d: %s%s %s", d.File, d.Line, d.Column, kind, d.Code, d.What)
-	if d.Text != "" {
+	b := fmt.Sprintf("%s:%d:%d: %s%s %s", d.File, d.Line, d.Column, kind, d.Code, d.Message)
+	if d.SourceLine != "" {
 		mark := strings.Map(func(r rune) rune {
 			if r == '\t' {
 				return r
 			}
 			return ' '
-		}, string([]rune(d.Text)[:min(max(d.Column-1, 0), len([]rune(d.Text)))]))
+		}, string([]rune(d.SourceLine)[:min(max(d.Column-1, 0), len([]rune(d.SourceLine)))]))
 		number := fmt.Sprintf("%5d | ", d.Line)
-		b += "\n" + number + d.Text + "\n" + strings.Repeat(" ", len(number)-2) + "| " + mark + "^"
+		b += "\n" + number + d.SourceLine + "\n" + strings.Repeat(" ", len(number)-2) + "| " + mark + "^"
 	}
 	if d.Fix != "" {
 		b += "\n        " + d.Fix
 	}
-	for _, f := range d.From {
+	for _, f := range d.IncludedFrom {
 		b += "\n        included from " + f
 	}
 	return b
--- a/internal/lang/vim.go
+++ b/internal/lang/vim.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Vim gives a syntax file for Vim, made of the same schema as the compiler.
-func Vim() string {
+// VimSyntax gives a syntax file for Vim, made of the same schema as the compiler.
+func VimSyntax() string {
 	names := map[string]bool{}
 	enums := map[string]bool{"on": true, "off": true}
 	for _, l := range levels {
