--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -25,23 +25,23 @@
 func Load(path string, read ReadFunc) (*settings.Settings, []*Diagnostic) {
 	c := newCompiler(read)
 	c.include(path, nil, nil)
-	if len(c.found) == 0 && len(c.all) == 0 {
-		c.say(c.place(""), "AC009", "the file says nothing: it is empty, or holds only comments", "docs/language.md begins with the shortest file that runs")
+	if len(c.diagnostics) == 0 && len(c.statements) == 0 {
+		c.report(c.locate(""), "AC009", "the file says nothing: it is empty, or holds only comments", "docs/language.md begins with the shortest file that runs")
 	}
-	if len(c.found) == 0 {
-		c.names()
-		c.block(c.all, top, c.out.ProtoReflect(), "", scope{})
+	if len(c.diagnostics) == 0 {
+		c.collectDefinitions()
+		c.setFields(c.statements, rootSchema, c.out.ProtoReflect(), "", scope{})
 	}
-	if len(c.found) == 0 {
-		c.meaning()
+	if len(c.diagnostics) == 0 {
+		c.checkSettings()
 	}
-	slices.SortStableFunc(c.found, func(a, b *Diagnostic) int {
-		return cmp.Or(cmp.Compare(c.order[a.File], c.order[b.File]), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
+	slices.SortStableFunc(c.diagnostics, func(a, b *Diagnostic) int {
+		return cmp.Or(cmp.Compare(c.fileOrder[a.File], c.fileOrder[b.File]), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	if slices.ContainsFunc(c.found, func(d *Diagnostic) bool { return !d.Warning }) {
-		return nil, c.found
+	if slices.ContainsFunc(c.diagnostics, func(d *Diagnostic) bool { return !d.Warning }) {
+		return nil, c.diagnostics
 	}
-	return c.out, c.found
+	return c.out, c.diagnostics
 }
 
 // Compile compiles a text that includes nothing from elsewhere but by read.
@@ -55,106 +55,106 @@
 }
 
 func newCompiler(read ReadFunc) *compiler {
-	return &compiler{read: read, out: &settings.Settings{}, order: map[string]int{}, at: map[string]place{}, sources: map[string]*source{},
+	return &compiler{read: read, out: &settings.Settings{}, fileOrder: map[string]int{}, locations: map[string]location{}, sources: map[string]*source{},
 		lets: map[string]*definition{}, defines: map[string]*definition{}}
 }
 
 type compiler struct {
-	read    ReadFunc
-	out     *settings.Settings
-	all     []placed // the statements of all files, in order
-	order   map[string]int
-	sources map[string]*source
-	lets    map[string]*definition
-	defines map[string]*definition
-	at      map[string]place // where each setting of the inner form was written, by its path
-	found   []*Diagnostic
-}
-
-// placed is a statement with the file that it stands in.
-type placed struct {
+	read        ReadFunc
+	out         *settings.Settings
+	statements  []fileStatement // the statements of all files, in order
+	fileOrder   map[string]int
+	sources     map[string]*source
+	lets        map[string]*definition
+	defines     map[string]*definition
+	locations   map[string]location // where each setting of the inner form was written, by its path
+	diagnostics []*Diagnostic
+}
+
+// fileStatement is a statement with the file that it stands in.
+type fileStatement struct {
 	*statement
-	in *source
+	source *source
 }
 
-type place struct {
-	in  *source
-	pos lexer.Position
+type location struct {
+	source *source
+	pos    lexer.Position
 }
 
 type definition struct {
-	placed
-	params []string
-	busy   bool // being looked up: a cycle comes back here
-	used   bool
+	fileStatement
+	params    []string
+	resolving bool // being looked up: a cycle comes back here
+	used      bool
 }
 
 // scope is what the parameters of a used block stand for.
 type scope struct {
-	params map[string]word
+	params map[string]resolvedValue
 	depth  int
 }
 
-// word is a value, with its place, after named values have been put in.
-type word struct {
+// resolvedValue is a value, with its place, after named values have been put in.
+type resolvedValue struct {
 	text   string
 	quoted bool
-	at     place
+	at     location
 }
 
-func (c *compiler) say(at place, code, what, fix string) {
-	c.found = append(c.found, at.in.at(at.pos.Line, at.pos.Column, code, what, fix))
+func (c *compiler) report(at location, code, what, fix string) {
+	c.diagnostics = append(c.diagnostics, at.source.diagnostic(at.pos.Line, at.pos.Column, code, what, fix))
 }
 
 // include reads a file and what it includes.
-func (c *compiler) include(path string, by *place, chain []string) {
+func (c *compiler) include(path string, by *location, chain []string) {
 	from := []string{}
 	if by != nil {
-		from = append([]string{fmt.Sprintf("%s:%d", by.in.name, by.pos.Line)}, by.in.from...)
+		from = append([]string{fmt.Sprintf("%s:%d", by.source.name, by.pos.Line)}, by.source.includedFrom...)
 	}
 	real, err := filepath.EvalSymlinks(path)
 	if err != nil {
 		real = path
 	}
 	if slices.Contains(chain, real) {
-		c.say(*by, "AC101", "this include comes back to "+path+", which leads here", "remove one of the includes of the loop")
+		c.report(*by, "AC101", "this include comes back to "+path+", which leads here", "remove one of the includes of the loop")
 		return
 	}
 	if before := c.sources[real]; before != nil {
-		c.say(*by, "AC102", path+" is included twice", "remove this include; the first is at "+strings.Join(before.from[:min(1, len(before.from))], ""))
+		c.report(*by, "AC102", path+" is included twice", "remove this include; the first is at "+strings.Join(before.includedFrom[:min(1, len(before.includedFrom))], ""))
 		return
 	}
 	text, err := c.read(path)
 	if err != nil {
 		if by == nil {
-			c.found = append(c.found, &Diagnostic{File: path, Line: 1, Column: 1, Code: "AC103", Message: "can't be read: " + reason(err),
+			c.diagnostics = append(c.diagnostics, &Diagnostic{File: path, Line: 1, Column: 1, Code: "AC103", Message: "can't be read: " + errorReason(err),
 				Fix: "look at the name and its rights"})
 		} else {
-			c.say(*by, "AC103", path+" can't be read: "+reason(err), "look at the name, which starts from the folder of this file, and its rights")
+			c.report(*by, "AC103", path+" can't be read: "+errorReason(err), "look at the name, which starts from the folder of this file, and its rights")
 		}
 		return
 	}
-	c.order[path] = len(c.order)
+	c.fileOrder[path] = len(c.fileOrder)
 	s, bad := parse(path, text)
-	s.from = from
+	s.includedFrom = from
 	c.sources[real] = s
 	if bad != nil {
 		bad.IncludedFrom = from
-		c.found = append(c.found, bad)
+		c.diagnostics = append(c.diagnostics, bad)
 		return
 	}
 	for _, it := range s.tree.Items {
 		if it.Stmt == nil {
 			continue
 		}
-		st := placed{it.Stmt, s}
+		st := fileStatement{it.Stmt, s}
 		if st.Name != "include" {
-			c.all = append(c.all, st)
+			c.statements = append(c.statements, st)
 			continue
 		}
-		here := place{s, st.Pos}
+		here := location{s, st.Pos}
 		if len(st.Values) != 1 || st.Values[0].Var != "" || st.Block != nil {
-			c.say(here, "AC104", "include takes one file or pattern", `write include "pools/*.cleat"`)
+			c.report(here, "AC104", "include takes one file or pattern", `write include "pools/*.cleat"`)
 			continue
 		}
 		name := st.Values[0].Word
@@ -167,7 +167,7 @@
 		files := []string{name}
 		if strings.ContainsAny(name, "*?[") {
 			if files, err = filepath.Glob(name); err != nil || len(files) == 0 {
-				c.say(here, "AC103", "no file matches "+name, "look at the pattern, which starts from the folder of this file")
+				c.report(here, "AC103", "no file matches "+name, "look at the pattern, which starts from the folder of this file")
 				continue
 			}
 			slices.Sort(files)
@@ -178,7 +178,7 @@
 	}
 }
 
-func reason(err error) string {
+func errorReason(err error) string {
 	var p *os.PathError
 	if errors.As(err, &p) {
 		return p.Err.Error()
@@ -186,10 +186,10 @@
 	return err.Error()
 }
 
-// names collects named values and blocks of all files: where they stand does not matter.
-func (c *compiler) names() {
-	var rest []placed
-	for _, st := range c.all {
+// collectDefinitions collects named values and blocks of all files: where they stand does not matter.
+func (c *compiler) collectDefinitions() {
+	var rest []fileStatement
+	for _, st := range c.statements {
 		into, what := c.lets, "let"
 		switch st.Name {
 		case "let":
@@ -199,22 +199,22 @@
 			rest = append(rest, st)
 			continue
 		}
-		here := place{st.in, st.Pos}
-		if len(st.Values) == 0 || st.Values[0].Word == "" || !letter(st.Values[0].Word[0]) || what == "let" && (len(st.Values) < 2 || st.Block != nil) ||
+		here := location{st.source, st.Pos}
+		if len(st.Values) == 0 || st.Values[0].Word == "" || !isLetter(st.Values[0].Word[0]) || what == "let" && (len(st.Values) < 2 || st.Block != nil) ||
 			what == "define" && st.Block == nil {
-			c.say(here, "AC105", what+" is not complete", map[string]string{"let": "write let NAME VALUE", "define": "write define NAME PARAMETER... { ... }"}[what])
+			c.report(here, "AC105", what+" is not complete", map[string]string{"let": "write let NAME VALUE", "define": "write define NAME PARAMETER... { ... }"}[what])
 			continue
 		}
 		name := st.Values[0].Word
 		if before := into[name]; before != nil {
-			c.say(place{st.in, st.Values[0].Pos}, "AC106", name+" is defined already", fmt.Sprintf("the other definition is at %s:%d", before.in.name, before.Pos.Line))
+			c.report(location{st.source, st.Values[0].Pos}, "AC106", name+" is defined already", fmt.Sprintf("the other definition is at %s:%d", before.source.name, before.Pos.Line))
 			continue
 		}
-		d := &definition{placed: st}
+		d := &definition{fileStatement: st}
 		if what == "define" {
 			for _, v := range st.Values[1:] {
-				if v.Word == "" || !letter(v.Word[0]) || slices.Contains(d.params, v.Word) {
-					c.say(place{st.in, v.Pos}, "AC105", "a parameter is a name, each another", "write define NAME PARAMETER... { ... }")
+				if v.Word == "" || !isLetter(v.Word[0]) || slices.Contains(d.params, v.Word) {
+					c.report(location{st.source, v.Pos}, "AC105", "a parameter is a name, each another", "write define NAME PARAMETER... { ... }")
 					continue
 				}
 				d.params = append(d.params, v.Word)
@@ -222,43 +222,43 @@
 		}
 		into[name] = d
 	}
-	c.all = rest
+	c.statements = rest
 }
 
-// words puts named values in.
-func (c *compiler) words(in *source, values []*value, sc scope) (all []word, ok bool) {
+// resolveValues puts named values in.
+func (c *compiler) resolveValues(in *source, values []*value, sc scope) (all []resolvedValue, ok bool) {
 	ok = true
 	for _, v := range values {
-		at := place{in, v.Pos}
+		at := location{in, v.Pos}
 		switch {
 		case v.Var == "" && v.Word != "":
-			all = append(all, word{v.Word, false, at})
+			all = append(all, resolvedValue{v.Word, false, at})
 		case v.Var == "":
-			all = append(all, word{unquote(v.Text), true, at})
+			all = append(all, resolvedValue{unquote(v.Text), true, at})
 		default:
 			name := v.Var[1:]
 			if w, param := sc.params[name]; param {
-				all = append(all, word{w.text, w.quoted, at})
+				all = append(all, resolvedValue{w.text, w.quoted, at})
 				continue
 			}
 			d := c.lets[name]
 			if d == nil {
-				known := keys(c.lets)
+				known := definedNames(c.lets)
 				for p := range sc.params {
 					known = append(known, p)
 				}
-				c.say(at, "AC107", "no value is named "+name, c.near(name, known, "define it: let "+name+" VALUE"))
+				c.report(at, "AC107", "no value is named "+name, c.suggest(name, known, "define it: let "+name+" VALUE"))
 				ok = false
 				continue
 			}
-			if d.busy {
-				c.say(at, "AC108", "the value "+name+" is defined by itself", fmt.Sprintf("give the let at %s:%d a value of its own", d.in.name, d.Pos.Line))
+			if d.resolving {
+				c.report(at, "AC108", "the value "+name+" is defined by itself", fmt.Sprintf("give the let at %s:%d a value of its own", d.source.name, d.Pos.Line))
 				ok = false
 				continue
 			}
-			d.busy = true
-			more, fine := c.words(d.in, d.Values[1:], scope{})
-			d.busy, d.used = false, true
+			d.resolving = true
+			more, fine := c.resolveValues(d.source, d.Values[1:], scope{})
+			d.resolving, d.used = false, true
 			for i := range more {
 				more[i].at = at
 			}
@@ -268,7 +268,7 @@
 	return all, ok
 }
 
-func keys(m map[string]*definition) (all []string) {
+func definedNames(m map[string]*definition) (all []string) {
 	for k := range m {
 		all = append(all, k)
 	}
@@ -276,8 +276,8 @@
 	return all
 }
 
-// near words the likely fix for a name that is not known.
-func (c *compiler) near(name string, known []string, otherwise string) string {
+// suggest words the likely fix for a name that is not known.
+func (c *compiler) suggest(name string, known []string, otherwise string) string {
 	slices.Sort(known)
 	if best := settings.Nearest(name, known); best != "" {
 		return "did you mean " + best + "?"
@@ -285,55 +285,55 @@
 	return otherwise
 }
 
-// block sets the fields of a message from statements.
-func (c *compiler) block(stmts []placed, l *level, m protoreflect.Message, path string, sc scope) {
+// setFields sets the fields of a message from statements.
+func (c *compiler) setFields(stmts []fileStatement, l *blockSchema, m protoreflect.Message, path string, sc scope) {
 	for _, st := range stmts {
-		here := place{st.in, st.Pos}
+		here := location{st.source, st.Pos}
 		if st.Name == "use" {
-			c.use(st, l, m, path, sc)
+			c.expandUse(st, l, m, path, sc)
 			continue
 		}
-		s := l.by[st.Name]
+		s := l.byName[st.Name]
 		if s == nil && st.Name == "include" {
-			c.say(here, "AC104", "include stands outside of blocks", "move it there; define and use bring lines into a block")
+			c.report(here, "AC104", "include stands outside of blocks", "move it there; define and use bring lines into a block")
 			continue
 		}
 		if s == nil {
 			other := "here stand " + strings.Join(l.names, ", ")
-			if l == top {
+			if l == rootSchema {
 				other = "at the top stand let, define, include, " + strings.Join(l.names, ", ")
 			}
-			c.say(here, "AC201", "no setting is called "+st.Name+" here", c.near(st.Name, append(slices.Clone(l.names), "let", "define", "include", "use"), other))
+			c.report(here, "AC201", "no setting is called "+st.Name+" here", c.suggest(st.Name, append(slices.Clone(l.names), "let", "define", "include", "use"), other))
 			continue
 		}
-		values, ok := c.words(st.in, st.Values, sc)
+		values, ok := c.resolveValues(st.source, st.Values, sc)
 		if !ok {
 			continue
 		}
 		at := path + string(s.field.Name())
-		if s.kind == aBlock {
-			c.message(st, s, values, m, at, sc)
+		if s.kind == kindBlock {
+			c.setBlock(st, s, values, m, at, sc)
 			continue
 		}
 		if st.Block != nil {
-			c.say(place{st.in, st.Block.Pos}, "AC202", st.Name+" takes no block", "write "+st.Name+" "+example(s))
+			c.report(location{st.source, st.Block.Pos}, "AC202", st.Name+" takes no block", "write "+st.Name+" "+example(s))
 			continue
 		}
 		if s.field.IsList() {
 			if len(values) == 0 {
-				c.say(here, "AC203", st.Name+" has no value", "write "+st.Name+" NAME...")
+				c.report(here, "AC203", st.Name+" has no value", "write "+st.Name+" NAME...")
 			}
 			for _, v := range values {
 				list := m.Mutable(s.field).List()
-				if x, ok := c.value(s, v); ok {
-					c.at[fmt.Sprintf("%s[%d]", at, list.Len())] = v.at
+				if x, ok := c.parseValue(s, v); ok {
+					c.locations[fmt.Sprintf("%s[%d]", at, list.Len())] = v.at
 					list.Append(x)
 				}
 			}
 			continue
 		}
-		if before, twice := c.at[at+"[0]"]; twice {
-			c.say(here, "AC204", st.Name+" is set already", fmt.Sprintf("the other one is at %s:%d", before.in.name, before.pos.Line))
+		if before, twice := c.locations[at+"[0]"]; twice {
+			c.report(here, "AC204", st.Name+" is set already", fmt.Sprintf("the other one is at %s:%d", before.source.name, before.pos.Line))
 			continue
 		}
 		if len(values) != 1 {
@@ -341,26 +341,26 @@
 			if len(values) == 2 && slices.ContainsFunc(units[s.kind], func(u unit) bool { return u.name == values[1].text }) {
 				like = values[0].text + values[1].text // a space before the unit
 			}
-			c.say(here, "AC203", fmt.Sprintf("%s takes one value, not %d", st.Name, len(values)), "write "+st.Name+" "+like)
+			c.report(here, "AC203", fmt.Sprintf("%s takes one value, not %d", st.Name, len(values)), "write "+st.Name+" "+like)
 			continue
 		}
-		c.at[at+"[0]"] = values[0].at
-		if x, ok := c.value(s, values[0]); ok {
+		c.locations[at+"[0]"] = values[0].at
+		if x, ok := c.parseValue(s, values[0]); ok {
 			m.Set(s.field, x)
 		}
 	}
 }
 
 func example(s *setting) string {
-	if s.kind == aWord {
-		return strings.Join(words(s.field.Enum()), " or ")
+	if s.kind == kindEnum {
+		return strings.Join(enumNames(s.field.Enum()), " or ")
 	}
-	return says[s.kind][1]
+	return kindDescriptions[s.kind][1]
 }
 
-// message sets a block: with a label, in one line, or plain.
-func (c *compiler) message(st placed, s *setting, values []word, m protoreflect.Message, at string, sc scope) {
-	here := place{st.in, st.Pos}
+// setBlock sets a block: with a label, in one line, or plain.
+func (c *compiler) setBlock(st fileStatement, s *setting, values []resolvedValue, m protoreflect.Message, at string, sc scope) {
+	here := location{st.source, st.Pos}
 	var sub protoreflect.Message
 	index := 0
 	if s.field.IsList() {
@@ -372,56 +372,56 @@
 	}
 	at = fmt.Sprintf("%s[%d]", at, index)
 	if !s.field.IsList() {
-		if before, twice := c.at[at]; twice {
-			c.say(here, "AC204", st.Name+" is set already", fmt.Sprintf("the other one is at %s:%d", before.in.name, before.pos.Line))
+		if before, twice := c.locations[at]; twice {
+			c.report(here, "AC204", st.Name+" is set already", fmt.Sprintf("the other one is at %s:%d", before.source.name, before.pos.Line))
 			return
 		}
 	}
-	c.at[at] = here
-	l := levels[s.field.Message().FullName()]
-	if s.line != nil {
-		c.oneLine(st, s, values, sub, at)
+	c.locations[at] = here
+	l := schemas[s.field.Message().FullName()]
+	if s.lineElements != nil {
+		c.setOneLineBlock(st, s, values, sub, at)
 		return
 	}
-	if s.label != nil {
+	if s.labelField != nil {
 		if len(values) != 1 {
-			c.say(here, "AC203", fmt.Sprintf("%s takes one name, not %d", st.Name, len(values)), "write "+st.Name+" NAME { ... }")
+			c.report(here, "AC203", fmt.Sprintf("%s takes one name, not %d", st.Name, len(values)), "write "+st.Name+" NAME { ... }")
 			return
 		}
-		if x, ok := c.value(&setting{kind: kindOf(l.message, s.label), field: s.label, name: st.Name}, values[0]); ok {
-			sub.Set(s.label, x)
-			c.at[at+"."+string(s.label.Name())+"[0]"] = values[0].at
+		if x, ok := c.parseValue(&setting{kind: kindOf(l.message, s.labelField), field: s.labelField, name: st.Name}, values[0]); ok {
+			sub.Set(s.labelField, x)
+			c.locations[at+"."+string(s.labelField.Name())+"[0]"] = values[0].at
 		}
 	} else if len(values) > 0 {
-		c.say(values[0].at, "AC203", st.Name+" takes no value of its own", "put it in the block: "+st.Name+" { ... }")
+		c.report(values[0].at, "AC203", st.Name+" takes no value of its own", "put it in the block: "+st.Name+" { ... }")
 		return
 	}
 	if st.Block == nil {
-		c.say(here, "AC202", st.Name+" has no block", "write "+st.Name+" { ... }")
+		c.report(here, "AC202", st.Name+" has no block", "write "+st.Name+" { ... }")
 		return
 	}
-	c.block(c.inside(st.in, st.Block), l, sub, at+".", sc)
+	c.setFields(c.statementsIn(st.source, st.Block), l, sub, at+".", sc)
 }
 
-func (c *compiler) inside(in *source, b *block) (all []placed) {
+func (c *compiler) statementsIn(in *source, b *block) (all []fileStatement) {
 	for _, it := range b.Items {
 		if it.Stmt != nil {
-			all = append(all, placed{it.Stmt, in})
+			all = append(all, fileStatement{it.Stmt, in})
 		}
 	}
 	return all
 }
 
-// oneLine sets a block that is written as the values of one line.
-func (c *compiler) oneLine(st placed, s *setting, values []word, sub protoreflect.Message, at string) {
-	here := place{st.in, st.Pos}
+// setOneLineBlock sets a block that is written as the values of one line.
+func (c *compiler) setOneLineBlock(st fileStatement, s *setting, values []resolvedValue, sub protoreflect.Message, at string) {
+	here := location{st.source, st.Pos}
 	usage := st.Name
 	fixed := 0
-	for _, p := range s.line {
+	for _, p := range s.lineElements {
 		switch {
-		case p.word != "":
-			usage += " " + p.word
-		case p.may:
+		case p.keyword != "":
+			usage += " " + p.keyword
+		case p.optional:
 			usage += " [" + strings.ToUpper(string(p.field.Name())) + "]"
 			fixed--
 		default:
@@ -429,87 +429,87 @@
 		}
 		fixed++
 	}
-	if st.Block != nil || len(values) < fixed || len(values) > len(s.line) {
-		c.say(here, "AC203", st.Name+" is written in one line, with other values than these", "write "+usage)
+	if st.Block != nil || len(values) < fixed || len(values) > len(s.lineElements) {
+		c.report(here, "AC203", st.Name+" is written in one line, with other values than these", "write "+usage)
 		return
 	}
-	skip := len(s.line) - len(values)
-	for _, p := range s.line {
-		if p.may && skip > 0 {
+	skip := len(s.lineElements) - len(values)
+	for _, p := range s.lineElements {
+		if p.optional && skip > 0 {
 			skip--
 			continue
 		}
 		v := values[0]
 		values = values[1:]
-		if p.word != "" {
-			if v.text != p.word {
-				c.say(v.at, "AC203", "here stands "+p.word, "write "+usage)
+		if p.keyword != "" {
+			if v.text != p.keyword {
+				c.report(v.at, "AC203", "here stands "+p.keyword, "write "+usage)
 				return
 			}
 			continue
 		}
-		l := levels[s.field.Message().FullName()]
-		c.at[at+"."+string(p.field.Name())+"[0]"] = v.at
-		if x, ok := c.value(&setting{name: string(p.field.Name()), kind: kindOf(l.message, p.field), field: p.field}, v); ok {
+		l := schemas[s.field.Message().FullName()]
+		c.locations[at+"."+string(p.field.Name())+"[0]"] = v.at
+		if x, ok := c.parseValue(&setting{name: string(p.field.Name()), kind: kindOf(l.message, p.field), field: p.field}, v); ok {
 			sub.Set(p.field, x)
 		}
 	}
 }
 
-const mostUses = 20 // blocks used by blocks
+const maxUseDepth = 20 // blocks used by blocks
 
-// use puts the statements of a defined block in the place of the use.
-func (c *compiler) use(st placed, l *level, m protoreflect.Message, path string, sc scope) {
-	here := place{st.in, st.Pos}
-	values, ok := c.words(st.in, st.Values, sc)
+// expandUse puts the statements of a defined block in the place of the expandUse.
+func (c *compiler) expandUse(st fileStatement, l *blockSchema, m protoreflect.Message, path string, sc scope) {
+	here := location{st.source, st.Pos}
+	values, ok := c.resolveValues(st.source, st.Values, sc)
 	if !ok {
 		return
 	}
 	if len(values) == 0 || st.Block != nil {
-		c.say(here, "AC105", "use is not complete", "write use NAME VALUE...")
+		c.report(here, "AC105", "use is not complete", "write use NAME VALUE...")
 		return
 	}
 	d := c.defines[values[0].text]
 	if d == nil {
-		c.say(values[0].at, "AC107", "no block is defined as "+values[0].text, c.near(values[0].text, keys(c.defines), "define it: define "+values[0].text+" { ... }"))
+		c.report(values[0].at, "AC107", "no block is defined as "+values[0].text, c.suggest(values[0].text, definedNames(c.defines), "define it: define "+values[0].text+" { ... }"))
 		return
 	}
 	if len(values)-1 != len(d.params) {
-		c.say(here, "AC109", fmt.Sprintf("%s takes %d values, not %d", values[0].text, len(d.params), len(values)-1),
+		c.report(here, "AC109", fmt.Sprintf("%s takes %d values, not %d", values[0].text, len(d.params), len(values)-1),
 			strings.TrimSpace("write use "+values[0].text+" "+strings.ToUpper(strings.Join(d.params, " "))))
 		return
 	}
-	if sc.depth >= mostUses || d.busy {
-		c.say(here, "AC108", "the block "+values[0].text+" uses itself", "remove this use")
+	if sc.depth >= maxUseDepth || d.resolving {
+		c.report(here, "AC108", "the block "+values[0].text+" uses itself", "remove this use")
 		return
 	}
-	d.busy, d.used = true, true
-	inner := scope{params: map[string]word{}, depth: sc.depth + 1}
+	d.resolving, d.used = true, true
+	inner := scope{params: map[string]resolvedValue{}, depth: sc.depth + 1}
 	for i, p := range d.params {
 		inner.params[p] = values[i+1]
 	}
-	c.block(c.inside(d.in, d.Block), l, m, path, inner)
-	d.busy = false
+	c.setFields(c.statementsIn(d.source, d.Block), l, m, path, inner)
+	d.resolving = false
 }
 
-// value reads a value as its setting wants it. A unit is part of a figure.
-func (c *compiler) value(s *setting, v word) (x protoreflect.Value, ok bool) {
+// parseValue reads a parseValue as its setting wants it. A unit is part of a figure.
+func (c *compiler) parseValue(s *setting, v resolvedValue) (x protoreflect.Value, ok bool) {
 	bad := func(code, what, fix string) (protoreflect.Value, bool) {
-		c.say(v.at, code, what, fix)
+		c.report(v.at, code, what, fix)
 		return x, false
 	}
 	switch s.kind {
-	case aText:
+	case kindText:
 		return protoreflect.ValueOfString(v.text), true
-	case aFlag:
+	case kindFlag:
 		if v.text != "on" && v.text != "off" {
 			return bad("AC205", s.name+" is on or off, not "+v.text, "write "+s.name+" on")
 		}
 		return protoreflect.ValueOfBool(v.text == "on"), true
-	case aWord:
-		all := words(s.field.Enum())
+	case kindEnum:
+		all := enumNames(s.field.Enum())
 		if !slices.Contains(all, v.text) {
-			return bad("AC205", s.name+" is none of its words: "+v.text, c.near(v.text, all, "write "+strings.Join(all, " or ")))
+			return bad("AC205", s.name+" is none of its words: "+v.text, c.suggest(v.text, all, "write "+strings.Join(all, " or ")))
 		}
 		e := s.field.Enum().Values().ByName(protoreflect.Name(strings.ToUpper(strings.ReplaceAll(v.text, "-", "_"))))
 		return protoreflect.ValueOfEnum(e.Number()), true
@@ -518,25 +518,25 @@
 	n, err := strconv.ParseFloat(figure, 64)
 	suffix := v.text[len(figure):]
 	if err != nil || v.quoted || math.IsInf(n, 0) || strings.ContainsAny(figure, "_xX") {
-		return bad("AC206", s.name+" is "+says[s.kind][0]+", not "+v.text, "write "+s.name+" "+says[s.kind][1])
+		return bad("AC206", s.name+" is "+kindDescriptions[s.kind][0]+", not "+v.text, "write "+s.name+" "+kindDescriptions[s.kind][1])
 	}
 	if list := units[s.kind]; list != nil {
 		i := slices.IndexFunc(list, func(u unit) bool { return u.name == suffix })
 		if i < 0 {
-			return bad(unitCode(suffix), unitWhat(s, v.text, suffix), unitFix(s.kind, figure, suffix))
+			return bad(unitCode(suffix), unitMessage(s, v.text, suffix), unitFix(s.kind, figure, suffix))
 		}
-		if n = scale(figure, list[i]); s.kind == aShare && (n < 0 || n > 1) {
+		if n = toBaseUnit(figure, list[i]); s.kind == kindShare && (n < 0 || n > 1) {
 			return bad("AC209", s.name+" is a share: from 0% to 100%, not "+v.text, "write "+s.name+" 100% for all")
 		}
 	} else if suffix != "" {
-		return bad("AC208", s.name+" is "+says[s.kind][0]+" without a unit, not "+v.text, "write "+s.name+" "+figure)
+		return bad("AC208", s.name+" is "+kindDescriptions[s.kind][0]+" without a unit, not "+v.text, "write "+s.name+" "+figure)
 	}
 	switch s.field.Kind() {
 	case protoreflect.DoubleKind:
 		return protoreflect.ValueOfFloat64(n), true
 	case protoreflect.Uint64Kind:
 		whole, err := strconv.ParseUint(figure, 10, 64)
-		if s.kind == aSize {
+		if s.kind == kindSize {
 			whole, err = uint64(n), nil
 		}
 		if err != nil || n < 0 {
@@ -550,15 +550,15 @@
 	return protoreflect.ValueOfUint32(uint32(n)), true
 }
 
-// scale brings a figure to the inner form's unit.
-func scale(figure string, u unit) float64 {
-	n, err := strconv.ParseFloat(figure+u.ten, 64)
+// toBaseUnit brings a figure to the inner form's unit.
+func toBaseUnit(figure string, u unit) float64 {
+	n, err := strconv.ParseFloat(figure+u.exponent, 64)
 	if err != nil { // it has a power of ten of its own
 		n, _ = strconv.ParseFloat(figure, 64)
-		ten, _ := strconv.ParseFloat("1"+u.ten, 64)
+		ten, _ := strconv.ParseFloat("1"+u.exponent, 64)
 		n *= ten
 	}
-	return n * u.times / u.by
+	return n * u.factor / u.divisor
 }
 
 func unitCode(suffix string) string {
@@ -568,14 +568,14 @@
 	return "AC208"
 }
 
-func unitWhat(s *setting, text, suffix string) string {
+func unitMessage(s *setting, text, suffix string) string {
 	if suffix == "" {
-		return s.name + " is " + says[s.kind][0] + " and has no unit: " + text
+		return s.name + " is " + kindDescriptions[s.kind][0] + " and has no unit: " + text
 	}
-	if suffix == "m" && s.kind == aTime {
+	if suffix == "m" && s.kind == kindTime {
 		return s.name + ": m may be minutes or milliseconds"
 	}
-	return s.name + " is " + says[s.kind][0] + "; " + suffix + " is no unit of that"
+	return s.name + " is " + kindDescriptions[s.kind][0] + "; " + suffix + " is no unit of that"
 }
 
 func unitFix(k kind, figure, suffix string) string {
@@ -585,29 +585,29 @@
 		}
 	}
 	switch {
-	case k == aTime && suffix == "m":
+	case k == kindTime && suffix == "m":
 		return "write " + figure + "min or " + figure + "ms"
-	case k == aTime:
+	case k == kindTime:
 		return "write " + figure + "s for seconds or " + figure + "ms for milliseconds"
-	case k == aShare:
+	case k == kindShare:
 		if n, err := strconv.ParseFloat(figure, 64); err == nil && n < 1 && suffix == "" {
 			return "write " + strconv.FormatFloat(n*100, 'g', 6, 64) + "%"
 		}
 		return "write " + figure + "%"
-	case k == aRate:
+	case k == kindRate:
 		return "write " + figure + "/s"
 	}
 	return "write " + figure + "KiB, " + figure + "MiB or " + figure + "B"
 }
 
-// meaning checks what each value alone can't show, and finds the places of what is wrong.
-func (c *compiler) meaning() {
+// checkSettings checks what each value alone can't show, and finds the places of what is wrong.
+func (c *compiler) checkSettings() {
 	for _, p := range settings.Check(c.out) {
-		at := c.place(p.Path)
+		at := c.locate(p.Path)
 		what, fix, _ := strings.Cut(p.What, "; ")
-		name := spoken(p.Path)
+		name := displayName(p.Path)
 		switch last := name[strings.LastIndex(name, " ")+1:]; { // the fix in the words of the language
-		case what == "missing" && at.in != nil && c.written(p.Path): // written as 0
+		case what == "missing" && at.source != nil && c.isWritten(p.Path): // written as 0
 			what = "0 is too little"
 		case strings.HasPrefix(what, "the block is missing"):
 			what, fix = "the block is missing", "write "+last+" { ... }"
@@ -625,53 +625,53 @@
 			what, fix = "the block is missing, here and at the top", "write "+last+" { ... }"
 		case p.Code == "AC306" && !strings.HasPrefix(p.Path, "operation"):
 		case p.Code == "AC306" && strings.HasSuffix(p.Path, ".name"):
-			what, fix = "another operation has this name", c.otherName(p.Path)
+			what, fix = "another operation has this name", c.locateSameName(p.Path)
 		}
-		c.say(at, p.Code, name+": "+what, fix)
+		c.report(at, p.Code, name+": "+what, fix)
 	}
-	c.unused()
-	c.shadows()
-	c.rules()
+	c.warnUnused()
+	c.warnShadowedMatches()
+	c.warnRules()
 }
 
-// unused finds what is defined and used nowhere; a value that leads nowhere is wrong all the same.
-func (c *compiler) unused() {
+// warnUnused finds what is defined and used nowhere; a value that leads nowhere is wrong all the same.
+func (c *compiler) warnUnused() {
 	for _, m := range []map[string]*definition{c.lets, c.defines} {
-		for _, name := range keys(m) {
+		for _, name := range definedNames(m) {
 			d := m[name]
 			if d.used {
 				continue
 			}
 			if fine := true; d.Block == nil {
-				if _, fine = c.words(d.in, d.Values[1:], scope{}); !fine {
+				if _, fine = c.resolveValues(d.source, d.Values[1:], scope{}); !fine {
 					continue
 				}
 			}
-			c.warn(place{d.in, d.Pos}, "AC110", name+" is defined and used nowhere", "remove it")
+			c.warn(location{d.source, d.Pos}, "AC110", name+" is defined and used nowhere", "remove it")
 		}
 	}
 }
 
-// otherName finds the operation before one that has its name.
-func (c *compiler) otherName(path string) string {
+// locateSameName finds the operation before one that has its name.
+func (c *compiler) locateSameName(path string) string {
 	var i int
 	fmt.Sscanf(path, "operation[%d]", &i)
 	for j := range i {
 		if c.out.Operation[j].Name == c.out.Operation[i].Name {
-			at := c.place(fmt.Sprintf("operation[%d].name", j))
-			return fmt.Sprintf("the other one is at %s:%d", at.in.name, at.pos.Line)
+			at := c.locate(fmt.Sprintf("operation[%d].name", j))
+			return fmt.Sprintf("the other one is at %s:%d", at.source.name, at.pos.Line)
 		}
 	}
 	return ""
 }
 
-func (c *compiler) warn(at place, code, what, fix string) {
-	c.say(at, code, what, fix)
-	c.found[len(c.found)-1].Warning = true
+func (c *compiler) warn(at location, code, what, fix string) {
+	c.report(at, code, what, fix)
+	c.diagnostics[len(c.diagnostics)-1].Warning = true
 }
 
-// shadows finds matches that come too late: all they match an earlier one has.
-func (c *compiler) shadows() {
+// warnShadowedMatches finds matches that come too late: all they match an earlier one has.
+func (c *compiler) warnShadowedMatches() {
 	type seen struct {
 		*settings.Match
 		op string
@@ -682,11 +682,11 @@
 		for j, m := range o.Match {
 			for _, b := range before {
 				prefix, star := strings.CutSuffix(b.Path, "*")
-				if !together(b.on, o.Listener) {
+				if !coversListeners(b.on, o.Listener) {
 					continue
 				}
 				if (b.Method == "" || b.Method == m.Method) && (b.Path == m.Path || star && strings.HasPrefix(m.Path, prefix)) {
-					c.warn(c.place(fmt.Sprintf("operation[%d].match[%d].path", i, j)), "AC401",
+					c.warn(c.locate(fmt.Sprintf("operation[%d].match[%d].path", i, j)), "AC401",
 						o.Name+" can't be reached by "+strings.TrimSpace(m.Method+" "+m.Path)+": "+b.op+" matches it first", "put it before "+b.op)
 					break
 				}
@@ -696,22 +696,22 @@
 	}
 }
 
-// together says that what is kept to the first listeners takes all that comes to the others.
-func together(first, others []string) bool {
+// coversListeners says that what is kept to the first listeners takes all that comes to the others.
+func coversListeners(first, others []string) bool {
 	if len(first) == 0 {
 		return true
 	}
 	return len(others) > 0 && !slices.ContainsFunc(others, func(l string) bool { return !slices.Contains(first, l) })
 }
 
-// rules finds settings under which a rule could not be kept, or an operation not be repeated as it says.
-func (c *compiler) rules() {
+// warnRules finds settings under which a rule could not be kept, or an operation not be repeated as it says.
+func (c *compiler) warnRules() {
 	r := c.out.Rollout
 	for i, o := range c.out.Operation {
-		at := func(name string) place { return c.place(fmt.Sprintf("operation[%d].%s", i, name)) }
+		at := func(name string) location { return c.locate(fmt.Sprintf("operation[%d].%s", i, name)) }
 		if o.Repeat == settings.Repeat_FINGERPRINTED && o.MemoryMs > 0 && o.MemoryMs < o.LimitMs {
 			c.warn(at("memory_ms"), "AC402", fmt.Sprintf("%s: nodes remember a repeat for %s, less than its time limit of %s", o.Name,
-				spell(aTime, o.MemoryMs), spell(aTime, o.LimitMs)), "what fails after that can't be sent again")
+				formatQuantity(kindTime, o.MemoryMs), formatQuantity(kindTime, o.LimitMs)), "what fails after that can't be sent again")
 		}
 	}
 	for i, of := range c.out.Pools() {
@@ -720,24 +720,24 @@
 			at = fmt.Sprintf("pool[%d].rollout", i)
 		}
 		for _, o := range of.Operation {
-			if o.Repeat != settings.Repeat_IDEMPOTENT && of.Rollout.Shielded == 0 && !c.written(at+"[0].shielded") {
-				c.warn(c.place(at), "AC405", o.Name+" has an effect and may go to a build in its first stage",
+			if o.Repeat != settings.Repeat_IDEMPOTENT && of.Rollout.Shielded == 0 && !c.isWritten(at+"[0].shielded") {
+				c.warn(c.locate(at), "AC405", o.Name+" has an effect and may go to a build in its first stage",
 					"write shielded 1 to keep it out, or shielded 0 to say that it is meant")
 				break
 			}
 		}
 	}
 	if len(r.Stage) > 0 && r.Allowance < 1 && r.Stage[0].Cap*r.CountedOverMs < 1 {
-		c.warn(c.place("rollout.allowance"), "AC403", "with no allowance and so small a first cap a build may never get an invocation", "write allowance 1")
+		c.warn(c.locate("rollout.allowance"), "AC403", "with no allowance and so small a first cap a build may never get an invocation", "write allowance 1")
 	}
 	if c.out.Times.DialMs >= c.out.Rules.GraceMs && c.out.Rules.GraceMs > 0 {
-		c.warn(c.place("times.dial_ms"), "AC403", fmt.Sprintf("a connection may open %s after a dispatch, later than the grace of %s for nodes that drain",
-			spell(aTime, c.out.Times.DialMs), spell(aTime, c.out.Rules.GraceMs)), "write a dial time under the grace")
+		c.warn(c.locate("times.dial_ms"), "AC403", fmt.Sprintf("a connection may open %s after a dispatch, later than the grace of %s for nodes that drain",
+			formatQuantity(kindTime, c.out.Times.DialMs), formatQuantity(kindTime, c.out.Rules.GraceMs)), "write a dial time under the grace")
 	}
 }
 
-// place finds where a setting of the inner form was written, or what it should stand in.
-func (c *compiler) place(path string) place {
+// locate finds where a setting of the inner form was written, or what it should stand in.
+func (c *compiler) locate(path string) location {
 	parts := strings.Split(path, ".")
 	for i := range parts {
 		if !strings.HasSuffix(parts[i], "]") {
@@ -745,39 +745,39 @@
 		}
 	}
 	for n := len(parts); n > 0; n-- {
-		if at, ok := c.at[strings.Join(parts[:n], ".")]; ok {
+		if at, ok := c.locations[strings.Join(parts[:n], ".")]; ok {
 			return at
 		}
 	}
 	for _, s := range c.sources {
-		if c.order[s.name] == 0 {
-			return place{s, lexer.Position{Line: 1, Column: 1}}
+		if c.fileOrder[s.name] == 0 {
+			return location{s, lexer.Position{Line: 1, Column: 1}}
 		}
 	}
-	return place{&source{}, lexer.Position{Line: 1, Column: 1}}
+	return location{&source{}, lexer.Position{Line: 1, Column: 1}}
 }
 
-// written says that a setting itself was written, not only what it stands in.
-func (c *compiler) written(path string) bool {
-	_, ok := c.at[path+"[0]"]
+// isWritten says that a setting itself was isWritten, not only what it stands in.
+func (c *compiler) isWritten(path string) bool {
+	_, ok := c.locations[path+"[0]"]
 	return ok
 }
 
-// spoken gives a path of the inner form in the words of the language: operation 2, slo-time.
-func spoken(path string) string {
-	l, out := top, []string{}
+// displayName gives a path of the inner form in the words of the language: operation 2, slo-time.
+func displayName(path string) string {
+	l, out := rootSchema, []string{}
 	for part := range strings.SplitSeq(path, ".") {
 		name, rest, _ := strings.Cut(part, "[")
 		index, _ := strconv.Atoi(strings.TrimSuffix(rest, "]"))
 		word := name
-		for _, s := range l.by {
+		for _, s := range l.byName {
 			if string(s.field.Name()) == name {
 				word = s.name
 				if s.field.IsList() && rest != "" {
 					word += " " + strconv.Itoa(index+1)
 				}
-				if s.kind == aBlock {
-					l = levels[s.field.Message().FullName()]
+				if s.kind == kindBlock {
+					l = schemas[s.field.Message().FullName()]
 				}
 				break
 			}
--- a/internal/lang/diff.go
+++ b/internal/lang/diff.go
@@ -42,8 +42,8 @@
 	return text
 }
 
-// touches are the settings that the rules of the brief are kept by.
-func touches(m protoreflect.MessageDescriptor, f protoreflect.FieldDescriptor) bool {
+// affectsRules are the settings that the rules of the brief are kept by.
+func affectsRules(m protoreflect.MessageDescriptor, f protoreflect.FieldDescriptor) bool {
 	switch m.Name() {
 	case "Rules", "Rollout", "Stage":
 		return true
@@ -65,70 +65,70 @@
 // Diff tells in which settings two versions differ, in the order of the schema.
 func Diff(a, b *settings.Settings) []Change {
 	d := &differ{}
-	d.messages(a.ProtoReflect(), b.ProtoReflect(), top, "", "")
-	return d.all
+	d.compareMessages(a.ProtoReflect(), b.ProtoReflect(), rootSchema, "", "")
+	return d.changes
 }
 
-type differ struct{ all []Change }
+type differ struct{ changes []Change }
 
-func (d *differ) messages(a, b protoreflect.Message, l *level, path, name string) {
+func (d *differ) compareMessages(a, b protoreflect.Message, l *blockSchema, path, name string) {
 	for _, n := range l.names {
-		s := l.by[n]
+		s := l.byName[n]
 		at := path + string(s.field.Name())
-		rule := touches(l.message, s.field)
+		rule := affectsRules(l.message, s.field)
 		said := strings.TrimSpace(name + " " + n)
 		switch {
-		case s.kind == aBlock && s.field.IsList():
-			d.blocks(a.Get(s.field).List(), b.Get(s.field).List(), s, at, said, rule)
-		case s.kind == aBlock:
+		case s.kind == kindBlock && s.field.IsList():
+			d.compareBlocks(a.Get(s.field).List(), b.Get(s.field).List(), s, at, said, rule)
+		case s.kind == kindBlock:
 			if a.Has(s.field) != b.Has(s.field) && proto.Size(a.Get(s.field).Message().Interface())+proto.Size(b.Get(s.field).Message().Interface()) == 0 {
 				continue // an empty block says nothing
 			}
-			d.messages(a.Get(s.field).Message(), b.Get(s.field).Message(), levels[s.field.Message().FullName()], at+".", said+":")
+			d.compareMessages(a.Get(s.field).Message(), b.Get(s.field).Message(), schemas[s.field.Message().FullName()], at+".", said+":")
 		default:
-			from, to := written(s, a), written(s, b)
+			from, to := formatField(s, a), formatField(s, b)
 			if from != to {
-				d.all = append(d.all, Change{Path: at, Name: said, From: from, To: to, AffectsRules: rule})
+				d.changes = append(d.changes, Change{Path: at, Name: said, From: from, To: to, AffectsRules: rule})
 			}
 		}
 	}
 }
 
-// written gives a plain field as it is written, empty where it is not set.
-func written(s *setting, m protoreflect.Message) string {
+// formatField gives a plain field as it is formatField, empty where it is not set.
+func formatField(s *setting, m protoreflect.Message) string {
 	if !m.Has(s.field) {
 		return ""
 	}
 	if !s.field.IsList() {
-		return figure(s, m.Get(s.field))
+		return formatValue(s, m.Get(s.field))
 	}
 	var all []string
 	list := m.Get(s.field).List()
 	for i := range list.Len() {
-		all = append(all, figure(s, list.Get(i)))
+		all = append(all, formatValue(s, list.Get(i)))
 	}
 	return strings.Join(all, " ")
 }
 
-// blocks compares lists of blocks: those with a label by it, the others as a whole in their order.
-func (d *differ) blocks(a, b protoreflect.List, s *setting, path, said string, rule bool) {
-	l := levels[s.field.Message().FullName()]
-	if s.label == nil {
+// compareBlocks compares lists of compareBlocks: those with a label by it, the others as a whole in their order.
+func (d *differ) compareBlocks(a, b protoreflect.List, s *setting, path, said string, rule bool) {
+	l := schemas[s.field.Message().FullName()]
+	if s.labelField == nil {
 		for i := range max(a.Len(), b.Len()) {
 			var from, to string
 			if i < a.Len() {
-				from = inline(s, a.Get(i).Message())
+				from = formatInline(s, a.Get(i).Message())
 			}
 			if i < b.Len() {
-				to = inline(s, b.Get(i).Message())
+				to = formatInline(s, b.Get(i).Message())
 			}
 			if from != to {
-				d.all = append(d.all, Change{Path: fmt.Sprintf("%s[%d]", path, i), Name: fmt.Sprintf("%s %d", said, i+1), From: from, To: to, AffectsRules: rule})
+				d.changes = append(d.changes, Change{Path: fmt.Sprintf("%s[%d]", path, i), Name: fmt.Sprintf("%s %d", said, i+1), From: from, To: to, AffectsRules: rule})
 			}
 		}
 		return
 	}
-	label := func(m protoreflect.Message) string { return m.Get(s.label).String() }
+	label := func(m protoreflect.Message) string { return m.Get(s.labelField).String() }
 	find := func(list protoreflect.List, name string) int {
 		for i := range list.Len() {
 			if label(list.Get(i).Message()) == name {
@@ -144,9 +144,9 @@
 		at := fmt.Sprintf("%s[%d]", path, i)
 		j := find(b, label(m))
 		if j >= 0 {
-			d.messages(m, b.Get(j).Message(), l, at+".", said+" "+quote(label(m))+":")
+			d.compareMessages(m, b.Get(j).Message(), l, at+".", said+" "+quote(label(m))+":")
 			if j < last { // the first match counts: order has a meaning
-				d.all = append(d.all, Change{Path: at, Name: said + " " + quote(label(m)), From: fmt.Sprint(i + 1), To: fmt.Sprint(j + 1), Moved: true, AffectsRules: true})
+				d.changes = append(d.changes, Change{Path: at, Name: said + " " + quote(label(m)), From: fmt.Sprint(i + 1), To: fmt.Sprint(j + 1), Moved: true, AffectsRules: true})
 			}
 			last = max(last, j)
 			continue
@@ -157,7 +157,7 @@
 				continue
 			}
 			same := proto.Clone(o.Interface()).ProtoReflect()
-			same.Set(s.label, m.Get(s.label))
+			same.Set(s.labelField, m.Get(s.labelField))
 			if proto.Equal(same.Interface(), m.Interface()) {
 				renamed[k] = true
 				j = k
@@ -165,20 +165,20 @@
 			}
 		}
 		if j >= 0 {
-			d.all = append(d.all, Change{Path: at, Name: said, From: quote(label(m)), To: quote(label(b.Get(j).Message())), Renamed: true})
+			d.changes = append(d.changes, Change{Path: at, Name: said, From: quote(label(m)), To: quote(label(b.Get(j).Message())), Renamed: true})
 		} else {
-			d.all = append(d.all, Change{Path: at, Name: said + " " + quote(label(m)), From: inline(s, m), AffectsRules: true})
+			d.changes = append(d.changes, Change{Path: at, Name: said + " " + quote(label(m)), From: formatInline(s, m), AffectsRules: true})
 		}
 	}
 	for j := range b.Len() {
 		if m := b.Get(j).Message(); find(a, label(m)) < 0 && !renamed[j] {
-			d.all = append(d.all, Change{Path: fmt.Sprintf("%s[%d]", path, j), Name: said + " " + quote(label(m)), To: inline(s, m), AffectsRules: true})
+			d.changes = append(d.changes, Change{Path: fmt.Sprintf("%s[%d]", path, j), Name: said + " " + quote(label(m)), To: formatInline(s, m), AffectsRules: true})
 		}
 	}
 }
 
-// inline writes a block in one line.
-func inline(s *setting, m protoreflect.Message) string {
+// formatInline writes a block in one line.
+func formatInline(s *setting, m protoreflect.Message) string {
 	var b bytes.Buffer
 	writeBlock(&b, s, m, 0)
 	return strings.Join(strings.Fields(b.String()), " ")
--- a/internal/lang/explain.go
+++ b/internal/lang/explain.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// codes say more of each code. A code keeps its meaning for good.
-var codes = map[string]string{
+// explanations say more of each code. A code keeps its meaning for good.
+var explanations = map[string]string{
 	"AC001": "A file is larger than 4 MiB. Split it, and include the parts.",
 	"AC002": "A byte that is no text: not UTF-8, or a control character other than tab and line end. A byte-order mark at the begin is let pass.",
 	"AC003": "A string that begins with \" ends with \" on the same line.",
@@ -53,10 +53,10 @@
 
 // Explain says more of a code.
 func Explain(code string) (string, error) {
-	text, ok := codes[strings.ToUpper(code)]
+	text, ok := explanations[strings.ToUpper(code)]
 	if !ok {
 		var all []string
-		for c := range codes {
+		for c := range explanations {
 			all = append(all, c)
 		}
 		slices.Sort(all)
--- a/internal/lang/fleet_test.go
+++ b/internal/lang/fleet_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// fleet writes settings of so many operations, five matches each, over a file for each operation and one more.
-func fleet(operations int) map[string]string {
+// fleetFiles writes settings of so many operations, five matches each, over a file for each operation and one more.
+func fleetFiles(operations int) map[string]string {
 	files := map[string]string{}
 	base := func(name string) string {
 		text, err := os.ReadFile("testdata/base/" + name + ".cleat")
@@ -32,7 +32,7 @@
 	return files
 }
 
-func reader(files map[string]string) ReadFunc {
+func readFrom(files map[string]string) ReadFunc {
 	return func(path string) ([]byte, error) {
 		if text, ok := files[path]; ok {
 			return []byte(text), nil
@@ -44,11 +44,11 @@
 // A fleet's files of growing size: 40 operations with 200 matches over 41 files, and several times that.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{40, 80, 160, 320} {
-		files := fleet(n)
+		files := fleetFiles(n)
 		b.Run(fmt.Sprintf("check/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if set, found := Load("main.cleat", reader(files)); set == nil || len(set.Operation) != n {
+				if set, found := Load("main.cleat", readFrom(files)); set == nil || len(set.Operation) != n {
 					b.Fatal(found)
 				}
 			}
@@ -62,7 +62,7 @@
 				}
 			}
 		})
-		set, _ := Load("main.cleat", reader(files))
+		set, _ := Load("main.cleat", readFrom(files))
 		other := set.Copy()
 		other.Operation[n/2].LimitMs = 1
 		b.Run(fmt.Sprintf("diff/%d", n), func(b *testing.B) {
@@ -92,14 +92,14 @@
 	if !strings.Contains(string(text), Grammar()) {
 		t.Errorf("docs/language.md does not hold the grammar:\n%s", Grammar())
 	}
-	for _, l := range levels {
+	for _, l := range schemas {
 		for _, name := range l.names {
 			if !strings.Contains(string(text), "`"+name) {
 				t.Errorf("docs/language.md does not name %s", name)
 			}
 		}
 	}
-	for code := range codes {
+	for code := range explanations {
 		if !strings.Contains(string(text), code) {
 			t.Errorf("docs/language.md does not name %s", code)
 		}
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -15,8 +15,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// inside reads a folder's files as they are named from inside it.
-func inside(t *testing.T, dir string) []string {
+// enterDir reads a folder's files as they are named from enterDir it.
+func enterDir(t *testing.T, dir string) []string {
 	t.Helper()
 	t.Chdir(dir)
 	files, err := filepath.Glob("*.cleat")
@@ -28,7 +28,7 @@
 
 // Each broken file has one message, kept beside it; with UPDATE=1 it is written anew, to be read by people.
 func TestBroken(t *testing.T) {
-	files := inside(t, "testdata/bad")
+	files := enterDir(t, "testdata/bad")
 	if len(files) < 80 {
 		t.Errorf("%d files", len(files))
 	}
@@ -40,7 +40,7 @@
 			if !d.Warning {
 				wrong++
 				fmt.Fprintln(&got, d)
-				if codes[d.Code] == "" {
+				if explanations[d.Code] == "" {
 					t.Errorf("%s: %s is explained nowhere", f, d.Code)
 				}
 			}
@@ -60,7 +60,7 @@
 
 // Each good file compiles to what is kept beside it, formatted or not; formatted twice it is as formatted once.
 func TestGood(t *testing.T) {
-	files := inside(t, "testdata/good")
+	files := enterDir(t, "testdata/good")
 	if len(files) < 30 {
 		t.Errorf("%d files", len(files))
 	}
@@ -108,7 +108,7 @@
 	}
 }
 
-func plain(t testing.TB) *settings.Settings {
+func loadBase(t testing.TB) *settings.Settings {
 	set, found := Load("testdata/good/includes.cleat", os.ReadFile)
 	if set == nil {
 		t.Fatal(found)
@@ -116,8 +116,8 @@
 	return set
 }
 
-// scramble sets one field of a message, anywhere in it, to something else, and gives its name.
-func scramble(t *rapid.T, m protoreflect.Message) string {
+// changeRandomField sets one field of a message, anywhere in it, to something else, and gives its name.
+func changeRandomField(t *rapid.T, m protoreflect.Message) string {
 	var fields []protoreflect.FieldDescriptor
 	m.Range(func(f protoreflect.FieldDescriptor, _ protoreflect.Value) bool {
 		fields = append(fields, f)
@@ -132,14 +132,14 @@
 		list := m.Mutable(f).List()
 		i := rapid.IntRange(0, list.Len()-1).Draw(t, "item")
 		if f.Kind() == protoreflect.MessageKind {
-			return scramble(t, list.Get(i).Message())
+			return changeRandomField(t, list.Get(i).Message())
 		}
 		list.Set(i, protoreflect.ValueOfString(list.Get(i).String()+"x"))
 		return string(f.Name())
 	}
 	switch f.Kind() {
 	case protoreflect.MessageKind:
-		return scramble(t, m.Mutable(f).Message())
+		return changeRandomField(t, m.Mutable(f).Message())
 	case protoreflect.BoolKind:
 		m.Set(f, protoreflect.ValueOfBool(!v.Bool()))
 	case protoreflect.EnumKind:
@@ -164,7 +164,7 @@
 func TestSharesReadBack(t *testing.T) {
 	for text, v := range map[string]float64{"64.00000154972094%": 0.6400000154972094, "0.5%": 0.005, "25%": 0.25, "100%": 1, "0%": 0,
 		"150%": 1.5, "0.00001%": 1e-7} {
-		if got := spell(aShare, v); got != text || scale(strings.TrimSuffix(got, "%"), units[aShare][0]) != v {
+		if got := formatQuantity(kindShare, v); got != text || toBaseUnit(strings.TrimSuffix(got, "%"), units[kindShare][0]) != v {
 			t.Errorf("%v is written as %s", v, got)
 		}
 	}
@@ -172,13 +172,13 @@
 
 // Diff finds every single field that changes, and nothing where nothing does; what is decompiled reads as the same.
 func TestDiffAndDecompile(t *testing.T) {
-	set := plain(t)
+	set := loadBase(t)
 	if d := Diff(set, set.Copy()); len(d) > 0 {
 		t.Errorf("of itself it differs in %v", d)
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		other := set.Copy()
-		name := scramble(t, other.ProtoReflect())
+		name := changeRandomField(t, other.ProtoReflect())
 		if name == "" {
 			t.Skip("nothing to change")
 		}
@@ -196,20 +196,20 @@
 		}
 		for _, it := range s.tree.Items {
 			if it.Stmt != nil {
-				c.all = append(c.all, placed{it.Stmt, s})
+				c.statements = append(c.statements, fileStatement{it.Stmt, s})
 			}
 		}
-		c.block(c.all, top, c.out.ProtoReflect(), "", scope{})
+		c.setFields(c.statements, rootSchema, c.out.ProtoReflect(), "", scope{})
 		settings.Check(c.out) // fills in empty blocks
-		if len(c.found) > 0 || !proto.Equal(c.out, other) {
-			t.Fatalf("decompiled it reads as something else: %v %v\n%v\n%v", c.found, Diff(other, c.out), other, c.out)
+		if len(c.diagnostics) > 0 || !proto.Equal(c.out, other) {
+			t.Fatalf("decompiled it reads as something else: %v %v\n%v\n%v", c.diagnostics, Diff(other, c.out), other, c.out)
 		}
 	})
 }
 
 // What diff says of the matters that people care for.
 func TestDiffSays(t *testing.T) {
-	set := plain(t)
+	set := loadBase(t)
 	for _, c := range []struct {
 		change func(*settings.Settings)
 		want   string
@@ -264,7 +264,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		set, found := Compile("f.cleat", text)
 		for _, d := range found {
-			if d.Line < 1 || d.Column < 1 || codes[d.Code] == "" || d.Error() == "" {
+			if d.Line < 1 || d.Column < 1 || explanations[d.Code] == "" || d.Error() == "" {
 				t.Fatalf("%+v", d)
 			}
 		}
--- a/internal/lang/parse.go
+++ b/internal/lang/parse.go
@@ -58,41 +58,41 @@
 var parser = participle.MustBuild[file](participle.Lexer(tokens), participle.Elide("Space"))
 
 const (
-	mostBytes = 4 << 20 // of a file
-	mostDepth = 40      // of blocks in blocks
+	maxFileBytes  = 4 << 20 // of a file
+	maxBlockDepth = 40      // of blocks in blocks
 )
 
 // source is one file that was read, and the way it was included.
 type source struct {
-	name string
-	text []byte
-	from []string // file:line of each include that led here, the nearest first
-	tree *file
+	name         string
+	text         []byte
+	includedFrom []string // file:line of each include that led here, the nearest first
+	tree         *file
 }
 
 // parse reads one file's text; what is wrong is told once.
 func parse(name string, text []byte) (*source, *Diagnostic) {
 	s := &source{name: name, text: bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))}
-	if d := s.shape(); d != nil {
+	if d := s.checkLexical(); d != nil {
 		return s, d
 	}
 	tree, err := parser.ParseBytes(name, s.text)
 	var bad participle.Error
 	if errors.As(err, &bad) {
 		pos := bad.Position()
-		return s, s.at(pos.Line, pos.Column, "AC007", "a line begins with a name; what stands here is none",
+		return s, s.diagnostic(pos.Line, pos.Column, "AC007", "a line begins with a name; what stands here is none",
 			"write the name of a setting first, such as slo-time 250ms")
 	} else if err != nil {
-		return s, s.at(1, 1, "AC007", err.Error(), "")
+		return s, s.diagnostic(1, 1, "AC007", err.Error(), "")
 	}
 	s.tree = tree
 	return s, nil
 }
 
-// shape finds what no grammar need be asked about: bytes, strings and braces.
-func (s *source) shape() *Diagnostic {
-	if len(s.text) > mostBytes {
-		return s.at(1, 1, "AC001", fmt.Sprintf("the file has %d bytes, more than %d", len(s.text), mostBytes), "split it with include")
+// checkLexical finds what no grammar need be asked about: bytes, strings and braces.
+func (s *source) checkLexical() *Diagnostic {
+	if len(s.text) > maxFileBytes {
+		return s.diagnostic(1, 1, "AC001", fmt.Sprintf("the file has %d bytes, more than %d", len(s.text), maxFileBytes), "split it with include")
 	}
 	type open struct{ line, start, at int }
 	var stack []open
@@ -108,40 +108,40 @@
 				i++
 			}
 			if !utf8.Valid(s.text[start : i+1]) {
-				return s.at(line, 1, "AC002", "this line is not UTF-8", "save the file as UTF-8")
+				return s.diagnostic(line, 1, "AC002", "this line is not UTF-8", "save the file as UTF-8")
 			}
 		case c == '"':
 			col := col()
 			for i++; i < len(s.text) && s.text[i] != '"'; i++ {
 				if s.text[i] == '\n' || i == len(s.text)-1 {
-					return s.at(line, col, "AC003", "this string is never closed", `put a " at its end`)
+					return s.diagnostic(line, col, "AC003", "this string is never closed", `put a " at its end`)
 				}
 				if s.text[i] == '\\' {
 					if i+1 >= len(s.text) || s.text[i+1] != '"' && s.text[i+1] != '\\' {
-						return s.at(line, utf8.RuneCount(s.text[start:i])+1, "AC004", `\ stands before nothing that it could mean`, `write \\ for one`)
+						return s.diagnostic(line, utf8.RuneCount(s.text[start:i])+1, "AC004", `\ stands before nothing that it could mean`, `write \\ for one`)
 					}
 					i++
 				}
 			}
 			if i >= len(s.text) {
-				return s.at(line, col, "AC003", "this string is never closed", `put a " at its end`)
+				return s.diagnostic(line, col, "AC003", "this string is never closed", `put a " at its end`)
 			}
 		case c == '{':
-			if stack = append(stack, open{line, start, i}); len(stack) > mostDepth {
-				return s.at(line, col(), "AC005", fmt.Sprintf("blocks stand in blocks more than %d deep", mostDepth), "no setting is that deep")
+			if stack = append(stack, open{line, start, i}); len(stack) > maxBlockDepth {
+				return s.diagnostic(line, col(), "AC005", fmt.Sprintf("blocks stand in blocks more than %d deep", maxBlockDepth), "no setting is that deep")
 			}
 		case c == '}':
 			if len(stack) == 0 {
-				return s.at(line, col(), "AC006", "this } closes nothing", "remove it, or look for a { that is missing above")
+				return s.diagnostic(line, col(), "AC006", "this } closes nothing", "remove it, or look for a { that is missing above")
 			}
 			stack = stack[:len(stack)-1]
-		case c == '$' && (i+1 >= len(s.text) || !letter(s.text[i+1])):
-			return s.at(line, col(), "AC008", "$ stands before no name", `write $name for a named value, or put the text in "quotes"`)
+		case c == '$' && (i+1 >= len(s.text) || !isLetter(s.text[i+1])):
+			return s.diagnostic(line, col(), "AC008", "$ stands before no name", `write $name for a named value, or put the text in "quotes"`)
 		case c < ' ' && c != '\t' && c != '\r' || c == 0x7f:
-			return s.at(line, col(), "AC002", fmt.Sprintf("a control character (0x%02x) stands here", c), "remove it")
+			return s.diagnostic(line, col(), "AC002", fmt.Sprintf("a control character (0x%02x) stands here", c), "remove it")
 		case c >= utf8.RuneSelf:
 			if r, n := utf8.DecodeRune(s.text[i:]); r == utf8.RuneError && n == 1 {
-				return s.at(line, col(), "AC002", "this is not UTF-8", "save the file as UTF-8")
+				return s.diagnostic(line, col(), "AC002", "this is not UTF-8", "save the file as UTF-8")
 			} else {
 				i += n - 1
 			}
@@ -150,12 +150,12 @@
 	}
 	if len(stack) > 0 {
 		last := stack[len(stack)-1]
-		return s.at(last.line, utf8.RuneCount(s.text[last.start:last.at])+1, "AC006", "this { is never closed", "put a } at the end of its block")
+		return s.diagnostic(last.line, utf8.RuneCount(s.text[last.start:last.at])+1, "AC006", "this { is never closed", "put a } at the end of its block")
 	}
 	return nil
 }
 
-func letter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' }
+func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' }
 
 // Diagnostic is one thing wrong, or odd, with a place.
 type Diagnostic struct {
@@ -170,10 +170,10 @@
 	IncludedFrom []string `json:"included_from,omitempty"`
 }
 
-const mostText = 160 // of a line that is shown
+const maxSourceLineBytes = 160 // of a line that is shown
 
-func (s *source) at(line, col int, code, what, fix string) *Diagnostic {
-	d := &Diagnostic{File: s.name, Line: line, Column: col, Code: code, Message: what, Fix: fix, IncludedFrom: s.from}
+func (s *source) diagnostic(line, col int, code, what, fix string) *Diagnostic {
+	d := &Diagnostic{File: s.name, Line: line, Column: col, Code: code, Message: what, Fix: fix, IncludedFrom: s.includedFrom}
 	rest := s.text
 	for n := 1; n < line; n++ {
 		i := bytes.IndexByte(rest, '\n')
@@ -185,7 +185,7 @@
 	if i := bytes.IndexByte(rest, '\n'); i >= 0 {
 		rest = rest[:i]
 	}
-	if text := strings.ToValidUTF8(strings.TrimRight(string(rest), "\r"), "?"); len(text) <= mostText {
+	if text := strings.ToValidUTF8(strings.TrimRight(string(rest), "\r"), "?"); len(text) <= maxSourceLineBytes {
 		d.SourceLine = text
 	}
 	return d
--- a/internal/lang/schema.go
+++ b/internal/lang/schema.go
@@ -12,89 +12,89 @@
 type kind int
 
 const (
-	aText kind = iota
-	aFlag
-	aCount
-	aNumber
-	aTime
-	aSize
-	aShare
-	aRate
-	aWord // one of an enum
-	aBlock
+	kindText kind = iota
+	kindFlag
+	kindCount
+	kindNumber
+	kindTime
+	kindSize
+	kindShare
+	kindRate
+	kindEnum // one of an enum
+	kindBlock
 )
 
 // setting is one name of the language and the field that it sets.
 type setting struct {
-	name  string
-	kind  kind
-	field protoreflect.FieldDescriptor
-	label protoreflect.FieldDescriptor // of a block that has a name: the field which that sets
-	line  []part                       // of a block that is written in one line
+	name         string
+	kind         kind
+	field        protoreflect.FieldDescriptor
+	labelField   protoreflect.FieldDescriptor // of a block that has a name: the field which that sets
+	lineElements []lineElement                // of a block that is written in one line
 }
 
-// part is a place of a block in one line: a field, or a word that stands before one.
-type part struct {
-	word  string
-	field protoreflect.FieldDescriptor
-	may   bool // it may be left out
+// lineElement is a place of a block in one line: a field, or a word that stands before one.
+type lineElement struct {
+	keyword  string
+	field    protoreflect.FieldDescriptor
+	optional bool // it may be left out
 }
 
-// level is what may stand in a block.
-type level struct {
+// blockSchema is what may stand in a block.
+type blockSchema struct {
 	message protoreflect.MessageDescriptor
 	names   []string // in the order of the fields
-	by      map[string]*setting
+	byName  map[string]*setting
 }
 
 // The names that are not made of the field's own.
-var called = map[string]string{
+var nameOverrides = map[string]string{
 	"Settings.instance": "marshal", "Settings.zone": "zones", "Settings.model": "models", "Settings.rollout": "release", "Pool.rollout": "release", "Operation.listener": "listeners",
 	"Operation.slo_ms": "slo-time", "Operation.limit_ms": "time-limit", "Rollout.counted_over_ms": "window",
 	"Rollout.votes_per_s": "votes", "Tenant.per_s": "quota", "Roster.reconnect_ms": "reconnect", "Times.header_ms": "header",
 	"Headers.time_ms": "time", "Headers.cost_ms": "cost", "Rollout.tally_ms": "tally-every",
 }
 
-var shares = map[string]bool{"Rules.cold_from": true, "Stage.part": true, "Stage.cap": true, "Prices.cross_zone": true}
+var shareFields = map[string]bool{"Rules.cold_from": true, "Stage.part": true, "Stage.cap": true, "Prices.cross_zone": true}
 
-// levels are the blocks of the language, made of the schema once.
-var levels = map[protoreflect.FullName]*level{}
+// schemas are the blocks of the language, made of the schema once.
+var schemas = map[protoreflect.FullName]*blockSchema{}
 
-var top = makeLevel((&settings.Settings{}).ProtoReflect().Descriptor())
+var rootSchema = buildSchema((&settings.Settings{}).ProtoReflect().Descriptor())
 
-func makeLevel(m protoreflect.MessageDescriptor) *level {
-	if l := levels[m.FullName()]; l != nil {
+func buildSchema(m protoreflect.MessageDescriptor) *blockSchema {
+	if l := schemas[m.FullName()]; l != nil {
 		return l
 	}
-	l := &level{message: m, by: map[string]*setting{}}
-	levels[m.FullName()] = l
+	l := &blockSchema{message: m, byName: map[string]*setting{}}
+	schemas[m.FullName()] = l
 	for i := range m.Fields().Len() {
 		f := m.Fields().Get(i)
 		s := &setting{field: f, kind: kindOf(m, f)}
-		if s.name = called[string(m.Name())+"."+string(f.Name())]; s.name == "" {
+		if s.name = nameOverrides[string(m.Name())+"."+string(f.Name())]; s.name == "" {
 			s.name = string(f.Name())
-			if s.kind == aTime || s.kind == aSize {
+			if s.kind == kindTime || s.kind == kindSize {
 				s.name = s.name[:strings.LastIndexByte(s.name, '_')]
 			}
 			s.name = strings.ReplaceAll(s.name, "_", "-")
 		}
-		if s.kind == aBlock {
+		if s.kind == kindBlock {
 			of := f.Message()
-			makeLevel(of)
+			buildSchema(of)
 			field := func(name string) protoreflect.FieldDescriptor { return of.Fields().ByName(protoreflect.Name(name)) }
 			switch of.Name() {
 			case "Operation", "Tenant", "Pool", "Listener":
-				s.label = field("name")
+				s.labelField = field("name")
 			case "Peer":
-				s.label = field("number")
+				s.labelField = field("number")
 			case "Match":
-				s.line = []part{{field: field("method"), may: true}, {field: field("path")}}
+				s.lineElements = []lineElement{{field: field("method"), optional: true}, {field: field("path")}}
 			case "Stage":
-				s.line = []part{{field: field("part")}, {word: "cap"}, {field: field("cap")}}
+				s.lineElements = []lineElement{{field: field("part")}, {keyword: "cap"}, {field: field("cap")}}
 			}
 		}
 		l.names = append(l.names, s.name)
-		l.by[s.name] = s
+		l.byName[s.name] = s
 	}
 	return l
 }
@@ -103,31 +103,31 @@
 	name := string(f.Name())
 	switch f.Kind() {
 	case protoreflect.MessageKind:
-		return aBlock
+		return kindBlock
 	case protoreflect.BoolKind:
-		return aFlag
+		return kindFlag
 	case protoreflect.EnumKind:
-		return aWord
+		return kindEnum
 	case protoreflect.StringKind:
-		return aText
+		return kindText
 	}
 	switch {
 	case strings.HasSuffix(name, "_ms"):
-		return aTime
+		return kindTime
 	case strings.HasSuffix(name, "_bytes"):
-		return aSize
+		return kindSize
 	case strings.HasSuffix(name, "per_s"):
-		return aRate
-	case shares[string(m.Name())+"."+name]:
-		return aShare
+		return kindRate
+	case shareFields[string(m.Name())+"."+name]:
+		return kindShare
 	case f.Kind() == protoreflect.DoubleKind:
-		return aNumber
+		return kindNumber
 	}
-	return aCount
+	return kindCount
 }
 
-// words are what an enum's values are called.
-func words(e protoreflect.EnumDescriptor) (all []string) {
+// enumNames are what an enum's values are called.
+func enumNames(e protoreflect.EnumDescriptor) (all []string) {
 	for i := range e.Values().Len() {
 		if n := string(e.Values().Get(i).Name()); !strings.HasSuffix(n, "_UNSET") {
 			all = append(all, strings.ReplaceAll(strings.ToLower(n), "_", "-"))
@@ -139,21 +139,21 @@
 // unit is one that a figure may have, and how many of the inner form's it is: a power of ten, which is exact, times a
 // whole number, or divided by one.
 type unit struct {
-	name  string
-	ten   string
-	times float64
-	by    float64
+	name     string
+	exponent string
+	factor   float64
+	divisor  float64
 }
 
 var units = map[kind][]unit{
-	aTime:  {{"ms", "", 1, 1}, {"s", "e3", 1, 1}, {"min", "", 60000, 1}, {"h", "", 3600000, 1}, {"us", "e-3", 1, 1}},
-	aSize:  {{"B", "", 1, 1}, {"KiB", "", 1 << 10, 1}, {"MiB", "", 1 << 20, 1}, {"GiB", "", 1 << 30, 1}, {"kB", "e3", 1, 1}, {"MB", "e6", 1, 1}, {"GB", "e9", 1, 1}},
-	aShare: {{"%", "e-2", 1, 1}},
-	aRate:  {{"/s", "", 1, 1}, {"/min", "", 1, 60}},
+	kindTime:  {{"ms", "", 1, 1}, {"s", "e3", 1, 1}, {"min", "", 60000, 1}, {"h", "", 3600000, 1}, {"us", "e-3", 1, 1}},
+	kindSize:  {{"B", "", 1, 1}, {"KiB", "", 1 << 10, 1}, {"MiB", "", 1 << 20, 1}, {"GiB", "", 1 << 30, 1}, {"kB", "e3", 1, 1}, {"MB", "e6", 1, 1}, {"GB", "e9", 1, 1}},
+	kindShare: {{"%", "e-2", 1, 1}},
+	kindRate:  {{"/s", "", 1, 1}, {"/min", "", 1, 60}},
 }
 
 // kinds in words, with an example of each.
-var says = map[kind][2]string{
-	aText: {"a text", `"text"`}, aFlag: {"on or off", "on"}, aCount: {"a whole number", "3"}, aNumber: {"a number", "1.5"},
-	aTime: {"a time", "250ms"}, aSize: {"a size", "64KiB"}, aShare: {"a share", "3.6%"}, aRate: {"a rate", "20/s"},
+var kindDescriptions = map[kind][2]string{
+	kindText: {"a text", `"text"`}, kindFlag: {"on or off", "on"}, kindCount: {"a whole number", "3"}, kindNumber: {"a number", "1.5"},
+	kindTime: {"a time", "250ms"}, kindSize: {"a size", "64KiB"}, kindShare: {"a share", "3.6%"}, kindRate: {"a rate", "20/s"},
 }
--- a/internal/lang/vim.go
+++ b/internal/lang/vim.go
@@ -10,11 +10,11 @@
 func VimSyntax() string {
 	names := map[string]bool{}
 	enums := map[string]bool{"on": true, "off": true}
-	for _, l := range levels {
+	for _, l := range schemas {
 		for _, n := range l.names {
 			names[n] = true
-			if s := l.by[n]; s.kind == aWord {
-				for _, w := range words(s.field.Enum()) {
+			if s := l.byName[n]; s.kind == kindEnum {
+				for _, w := range enumNames(s.field.Enum()) {
 					enums[w] = true
 				}
 			}
@@ -29,7 +29,7 @@
 		return strings.Join(all, " ")
 	}
 	var figures []string
-	for _, k := range []kind{aTime, aSize, aShare, aRate} {
+	for _, k := range []kind{kindTime, kindSize, kindShare, kindRate} {
 		for _, u := range units[k] {
 			figures = append(figures, strings.ReplaceAll(u.name, "/", `\/`))
 		}
--- a/internal/lang/write.go
+++ b/internal/lang/write.go
@@ -43,19 +43,19 @@
 				b.Truncate(len(bytes.TrimRight(b.Bytes(), "\n")))
 				b.WriteString("  " + comment + "\n")
 			} else {
-				blank(b, breaks, first)
+				keepBlankLine(b, breaks, first)
 				b.WriteString(indent + comment + "\n")
 			}
 		default:
-			blank(b, breaks, first)
+			keepBlankLine(b, breaks, first)
 			formatStatement(b, it.Stmt, depth)
 		}
 		breaks, first = 0, false
 	}
 }
 
-// blank keeps one blank line where there was one or more, but not at the begin of a block.
-func blank(b *bytes.Buffer, breaks int, first bool) {
+// keepBlankLine keeps one keepBlankLine line where there was one or more, but not at the begin of a block.
+func keepBlankLine(b *bytes.Buffer, breaks int, first bool) {
 	if breaks > 1 && !first {
 		b.WriteString("\n")
 	}
@@ -82,26 +82,26 @@
 	b.WriteString("\n")
 }
 
-// spell writes a figure of the inner form with its unit, in the largest that leaves it whole and reads back exactly.
-func spell(k kind, v float64) string {
+// formatQuantity writes a figure of the inner form with its unit, in the largest that leaves it whole and reads back exactly.
+func formatQuantity(k kind, v float64) string {
 	plain := func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 	switch k {
-	case aTime:
-		for _, u := range []unit{units[aTime][3], units[aTime][2], units[aTime][1]} {
-			n := v / scale("1", u)
-			if text := plain(n); n >= 1 && (n == math.Trunc(n) || u.name == "s" && len(text) <= 4) && scale(text, u) == v {
+	case kindTime:
+		for _, u := range []unit{units[kindTime][3], units[kindTime][2], units[kindTime][1]} {
+			n := v / toBaseUnit("1", u)
+			if text := plain(n); n >= 1 && (n == math.Trunc(n) || u.name == "s" && len(text) <= 4) && toBaseUnit(text, u) == v {
 				return text + u.name
 			}
 		}
 		return plain(v) + "ms"
-	case aSize:
-		for _, u := range []unit{units[aSize][3], units[aSize][2], units[aSize][1]} {
-			if n := v / u.times; n >= 1 && n == math.Trunc(n) {
+	case kindSize:
+		for _, u := range []unit{units[kindSize][3], units[kindSize][2], units[kindSize][1]} {
+			if n := v / u.factor; n >= 1 && n == math.Trunc(n) {
 				return plain(n) + u.name
 			}
 		}
 		return plain(v) + "B"
-	case aShare:
+	case kindShare:
 		// The point is moved in the text: times 100, a float may round to what does not read back.
 		whole, rest, _ := strings.Cut(plain(v), ".")
 		rest += "00"
@@ -112,7 +112,7 @@
 			whole += "." + rest
 		}
 		return whole + "%"
-	case aRate:
+	case kindRate:
 		return plain(v) + "/s"
 	}
 	return plain(v)
@@ -121,27 +121,27 @@
 // Decompile writes settings in the language, losing nothing: compiled, they are the same settings.
 func Decompile(s *settings.Settings) []byte {
 	var b bytes.Buffer
-	write(&b, s.ProtoReflect(), top, 0)
+	writeFields(&b, s.ProtoReflect(), rootSchema, 0)
 	return b.Bytes()
 }
 
-func write(b *bytes.Buffer, m protoreflect.Message, l *level, depth int) {
+func writeFields(b *bytes.Buffer, m protoreflect.Message, l *blockSchema, depth int) {
 	indent := strings.Repeat("  ", depth)
 	for _, name := range l.names {
-		s := l.by[name]
+		s := l.byName[name]
 		if !m.Has(s.field) {
 			continue
 		}
 		v := m.Get(s.field)
 		switch {
-		case s.kind != aBlock && s.field.IsList():
+		case s.kind != kindBlock && s.field.IsList():
 			b.WriteString(indent + name)
 			for i := range v.List().Len() {
-				b.WriteString(" " + figure(s, v.List().Get(i)))
+				b.WriteString(" " + formatValue(s, v.List().Get(i)))
 			}
 			b.WriteString("\n")
-		case s.kind != aBlock:
-			fmt.Fprintf(b, "%s%s %s\n", indent, name, figure(s, v))
+		case s.kind != kindBlock:
+			fmt.Fprintf(b, "%s%s %s\n", indent, name, formatValue(s, v))
 		case s.field.IsList():
 			for i := range v.List().Len() {
 				writeBlock(b, s, v.List().Get(i).Message(), depth)
@@ -154,60 +154,60 @@
 
 func writeBlock(b *bytes.Buffer, s *setting, m protoreflect.Message, depth int) {
 	indent := strings.Repeat("  ", depth)
-	l := levels[s.field.Message().FullName()]
-	if s.line != nil {
+	l := schemas[s.field.Message().FullName()]
+	if s.lineElements != nil {
 		b.WriteString(indent + s.name)
-		for _, p := range s.line {
-			if p.word != "" {
-				b.WriteString(" " + p.word)
-			} else if !p.may || m.Has(p.field) {
-				b.WriteString(" " + figure(&setting{kind: kindOf(l.message, p.field), field: p.field}, m.Get(p.field)))
+		for _, p := range s.lineElements {
+			if p.keyword != "" {
+				b.WriteString(" " + p.keyword)
+			} else if !p.optional || m.Has(p.field) {
+				b.WriteString(" " + formatValue(&setting{kind: kindOf(l.message, p.field), field: p.field}, m.Get(p.field)))
 			}
 		}
 		b.WriteString("\n")
 		return
 	}
 	b.WriteString(indent + s.name)
-	if s.label != nil {
-		b.WriteString(" " + figure(&setting{kind: kindOf(l.message, s.label), field: s.label}, m.Get(s.label)))
+	if s.labelField != nil {
+		b.WriteString(" " + formatValue(&setting{kind: kindOf(l.message, s.labelField), field: s.labelField}, m.Get(s.labelField)))
 	}
 	b.WriteString(" {\n")
 	rest := *l
-	if s.label != nil { // the label is not said twice
+	if s.labelField != nil { // the label is not said twice
 		rest.names = nil
 		for _, n := range l.names {
-			if l.by[n].field != s.label {
+			if l.byName[n].field != s.labelField {
 				rest.names = append(rest.names, n)
 			}
 		}
 	}
-	write(b, m, &rest, depth+1)
+	writeFields(b, m, &rest, depth+1)
 	b.WriteString(indent + "}\n")
 }
 
-// figure writes one value as it is read.
-func figure(s *setting, v protoreflect.Value) string {
+// formatValue writes one value as it is read.
+func formatValue(s *setting, v protoreflect.Value) string {
 	switch s.kind {
-	case aText:
+	case kindText:
 		return quote(v.String())
-	case aFlag:
+	case kindFlag:
 		if v.Bool() {
 			return "on"
 		}
 		return "off"
-	case aWord:
+	case kindEnum:
 		return strings.ReplaceAll(strings.ToLower(string(s.field.Enum().Values().ByNumber(v.Enum()).Name())), "_", "-")
 	}
 	switch s.field.Kind() {
 	case protoreflect.Uint32Kind, protoreflect.Uint64Kind:
-		if s.kind == aCount || v.Uint() > 1<<53 {
+		if s.kind == kindCount || v.Uint() > 1<<53 {
 			text := strconv.FormatUint(v.Uint(), 10)
-			if s.kind == aSize {
+			if s.kind == kindSize {
 				text += "B"
 			}
 			return text
 		}
-		return spell(s.kind, float64(v.Uint()))
+		return formatQuantity(s.kind, float64(v.Uint()))
 	}
-	return spell(s.kind, v.Float())
+	return formatQuantity(s.kind, v.Float())
 }
