--- a/internal/lang/parse.go
+++ b/internal/lang/parse.go
@@ -1,5 +1,5 @@
-// Package lang is the language that people write settings in: it parses, checks, formats and compares files, and
-// compiles them to the settings' inner form. docs/language.md has the grammar.
+// Package lang implements the settings language: it parses, checks, formats and compares files, and compiles them to
+// the protobuf message settings.Settings. docs/language.md has the grammar.
 package lang
 
 import (
@@ -13,11 +13,13 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// file is one file as it is written, comments and blank lines with it.
+// file is the syntax tree of one file, with comments and line breaks. The names of this type and of those below appear in
+// the grammar that docs/language.md shows (see Grammar).
 type file struct {
 	Items []*item `parser:"@@*"`
 }
 
+// item is a comment, a line break or semicolon, or a statement.
 type item struct {
 	Pos     lexer.Position
 	Comment string     `parser:"( @Comment"`
@@ -25,6 +27,7 @@
 	Stmt    *statement `parser:"| @@ )"`
 }
 
+// statement is a name, its values and an optional block.
 type statement struct {
 	Pos    lexer.Position
 	Name   string   `parser:"@Word"`
@@ -32,6 +35,7 @@
 	Block  *block   `parser:"@@?"`
 }
 
+// value is a quoted string, a $name or a bare word.
 type value struct {
 	Pos  lexer.Position
 	Text string `parser:"( @String"`
@@ -39,12 +43,13 @@
 	Word string `parser:"| @Word )"`
 }
 
+// block is the items between { and }.
 type block struct {
 	Pos   lexer.Position
 	Items []*item `parser:"Open @@* Close"`
 }
 
-var tokens = lexer.MustSimple([]lexer.SimpleRule{
+var lexerRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#[^\n]*`},
 	{Name: "Break", Pattern: `[\n;]`},
 	{Name: "Space", Pattern: `[ \t\r]+`},
@@ -55,33 +60,33 @@
 	{Name: "Word", Pattern: `[^\s{}"#;$]+`},
 })
 
-var parser = participle.MustBuild[file](participle.Lexer(tokens), participle.Elide("Space"))
+var parser = participle.MustBuild[file](participle.Lexer(lexerRules), participle.Elide("Space"))
 
 const (
-	maxFileBytes  = 4 << 20 // of a file
-	maxBlockDepth = 40      // of blocks in blocks
+	maxFileBytes  = 4 << 20 // size of one file
+	maxBlockDepth = 40      // levels of nested blocks
 )
 
-// source is one file that was read, and the way it was included.
+// source is one file that was read, and how it was included.
 type source struct {
 	name         string
 	text         []byte
-	includedFrom []string // file:line of each include that led here, the nearest first
+	includedFrom []string // file:line of each include on the way to this file, the nearest first
 	tree         *file
 }
 
-// parse reads one file's text; what is wrong is told once.
+// parse builds the syntax tree of one file. It stops at the first error.
 func parse(name string, text []byte) (*source, *Diagnostic) {
 	s := &source{name: name, text: bytes.TrimPrefix(text, []byte("\xef\xbb\xbf"))}
 	if d := s.checkLexical(); d != nil {
 		return s, d
 	}
 	tree, err := parser.ParseBytes(name, s.text)
-	var bad participle.Error
-	if errors.As(err, &bad) {
-		pos := bad.Position()
-		return s, s.diagnostic(pos.Line, pos.Column, "AC007", "a line begins with a name; what stands here is none",
-			"write the name of a setting first, such as slo-time 250ms")
+	var syntaxErr participle.Error
+	if errors.As(err, &syntaxErr) {
+		pos := syntaxErr.Position()
+		return s, s.diagnostic(pos.Line, pos.Column, "AC007", "a statement must begin with a name",
+			"write the name of a setting first, for example slo-time 250ms")
 	} else if err != nil {
 		return s, s.diagnostic(1, 1, "AC007", err.Error(), "")
 	}
@@ -89,92 +94,94 @@
 	return s, nil
 }
 
-// checkLexical finds what no grammar need be asked about: bytes, strings and braces.
+// checkLexical finds errors that need no grammar, before parsing: file size, invalid bytes, strings, escapes and
+// unbalanced braces.
 func (s *source) checkLexical() *Diagnostic {
 	if len(s.text) > maxFileBytes {
-		return s.diagnostic(1, 1, "AC001", fmt.Sprintf("the file has %d bytes, more than %d", len(s.text), maxFileBytes), "split it with include")
+		return s.diagnostic(1, 1, "AC001", fmt.Sprintf("the file has %d bytes; the limit is %d", len(s.text), maxFileBytes), "split it into several files with include")
 	}
-	type open struct{ line, start, at int }
-	var stack []open
-	line, start := 1, 0
+	type brace struct{ line, lineStart, offset int }
+	var openBraces []brace
+	line, lineStart := 1, 0
 	for i := 0; i < len(s.text); {
 		c := s.text[i]
-		col := func() int { return utf8.RuneCount(s.text[start:i]) + 1 }
+		column := func() int { return utf8.RuneCount(s.text[lineStart:i]) + 1 }
 		switch {
 		case c == '\n':
-			line, start = line+1, i+1
+			line, lineStart = line+1, i+1
 		case c == '#':
 			for i+1 < len(s.text) && s.text[i+1] != '\n' {
 				i++
 			}
-			if !utf8.Valid(s.text[start : i+1]) {
-				return s.diagnostic(line, 1, "AC002", "this line is not UTF-8", "save the file as UTF-8")
+			if !utf8.Valid(s.text[lineStart : i+1]) {
+				return s.diagnostic(line, 1, "AC002", "this line is not valid UTF-8", "save the file as UTF-8")
 			}
 		case c == '"':
-			col := col()
+			opening := column()
 			for i++; i < len(s.text) && s.text[i] != '"'; i++ {
 				if s.text[i] == '\n' || i == len(s.text)-1 {
-					return s.diagnostic(line, col, "AC003", "this string is never closed", `put a " at its end`)
+					return s.diagnostic(line, opening, "AC003", "this string is not terminated", `add a closing " on the same line`)
 				}
 				if s.text[i] == '\\' {
 					if i+1 >= len(s.text) || s.text[i+1] != '"' && s.text[i+1] != '\\' {
-						return s.diagnostic(line, utf8.RuneCount(s.text[start:i])+1, "AC004", `\ stands before nothing that it could mean`, `write \\ for one`)
+						return s.diagnostic(line, utf8.RuneCount(s.text[lineStart:i])+1, "AC004", "invalid escape sequence", `write \\ for a backslash`)
 					}
 					i++
 				}
 			}
 			if i >= len(s.text) {
-				return s.diagnostic(line, col, "AC003", "this string is never closed", `put a " at its end`)
+				return s.diagnostic(line, opening, "AC003", "this string is not terminated", `add a closing " on the same line`)
 			}
 		case c == '{':
-			if stack = append(stack, open{line, start, i}); len(stack) > maxBlockDepth {
-				return s.diagnostic(line, col(), "AC005", fmt.Sprintf("blocks stand in blocks more than %d deep", maxBlockDepth), "no setting is that deep")
+			if openBraces = append(openBraces, brace{line, lineStart, i}); len(openBraces) > maxBlockDepth {
+				return s.diagnostic(line, column(), "AC005", fmt.Sprintf("blocks are nested more than %d levels deep", maxBlockDepth), "no setting needs that depth")
 			}
 		case c == '}':
-			if len(stack) == 0 {
-				return s.diagnostic(line, col(), "AC006", "this } closes nothing", "remove it, or look for a { that is missing above")
+			if len(openBraces) == 0 {
+				return s.diagnostic(line, column(), "AC006", "this } has no matching {", "remove it, or add the missing { above")
 			}
-			stack = stack[:len(stack)-1]
+			openBraces = openBraces[:len(openBraces)-1]
 		case c == '$' && (i+1 >= len(s.text) || !isLetter(s.text[i+1])):
-			return s.diagnostic(line, col(), "AC008", "$ stands before no name", `write $name for a named value, or put the text in "quotes"`)
+			return s.diagnostic(line, column(), "AC008", "$ is not followed by a name", `write $name for a named value, or put the text in "quotes"`)
 		case c < ' ' && c != '\t' && c != '\r' || c == 0x7f:
-			return s.diagnostic(line, col(), "AC002", fmt.Sprintf("a control character (0x%02x) stands here", c), "remove it")
+			return s.diagnostic(line, column(), "AC002", fmt.Sprintf("the control character 0x%02x is not allowed", c), "remove it")
 		case c >= utf8.RuneSelf:
 			if r, n := utf8.DecodeRune(s.text[i:]); r == utf8.RuneError && n == 1 {
-				return s.diagnostic(line, col(), "AC002", "this is not UTF-8", "save the file as UTF-8")
+				return s.diagnostic(line, column(), "AC002", "this is not valid UTF-8", "save the file as UTF-8")
 			} else {
 				i += n - 1
 			}
 		}
 		i++
 	}
-	if len(stack) > 0 {
-		last := stack[len(stack)-1]
-		return s.diagnostic(last.line, utf8.RuneCount(s.text[last.start:last.at])+1, "AC006", "this { is never closed", "put a } at the end of its block")
+	if len(openBraces) > 0 {
+		last := openBraces[len(openBraces)-1]
+		return s.diagnostic(last.line, utf8.RuneCount(s.text[last.lineStart:last.offset])+1, "AC006", "this { has no matching }", "add a } at the end of the block")
 	}
 	return nil
 }
 
 func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' }
 
-// Diagnostic is one thing wrong, or odd, with a place.
+// Diagnostic is an error or a warning, with its place in a file.
 type Diagnostic struct {
 	File         string   `json:"file"`
-	Line         int      `json:"line"`
-	Column       int      `json:"column"`
-	Code         string   `json:"code"`
+	Line         int      `json:"line"`   // from 1
+	Column       int      `json:"column"` // in characters, from 1
+	Code         string   `json:"code"`   // stable; see Explain
 	Message      string   `json:"what"`
-	Fix          string   `json:"fix,omitempty"`
+	Fix          string   `json:"fix,omitempty"` // the suggested fix
 	Warning      bool     `json:"warning,omitempty"`
-	SourceLine   string   `json:"text,omitempty"` // the line
-	IncludedFrom []string `json:"included_from,omitempty"`
+	SourceLine   string   `json:"text,omitempty"`          // the line itself; empty where it is too long to show
+	IncludedFrom []string `json:"included_from,omitempty"` // file:line of each include, the nearest first
 }
 
-const maxSourceLineBytes = 160 // of a line that is shown
+const maxSourceLineBytes = 160 // longer lines are not shown
 
-func (s *source) diagnostic(line, col int, code, what, fix string) *Diagnostic {
-	d := &Diagnostic{File: s.name, Line: line, Column: col, Code: code, Message: what, Fix: fix, IncludedFrom: s.includedFrom}
-	rest := s.text
+// diagnostic makes a Diagnostic for a place in the file, with the text of its line.
+func (s *source) diagnostic(line, column int, code, message, fix string) *Diagnostic {
+	d := &Diagnostic{File: s.name, Line: line, Column: column, Code: code, Message: message, Fix: fix, IncludedFrom: s.includedFrom}
+	rest := s.text // from the start of the requested line
 	for n := 1; n < line; n++ {
 		i := bytes.IndexByte(rest, '\n')
 		if i < 0 {
@@ -191,6 +198,7 @@
 	return d
 }
 
+// Error formats the diagnostic for a terminal: the message, the line with a marker under the column, and the fix.
 func (d *Diagnostic) Error() string {
 	kind := ""
 	if d.Warning {
@@ -198,14 +206,14 @@
 	}
 	b := fmt.Sprintf("%s:%d:%d: %s%s %s", d.File, d.Line, d.Column, kind, d.Code, d.Message)
 	if d.SourceLine != "" {
-		mark := strings.Map(func(r rune) rune {
+		padding := strings.Map(func(r rune) rune {
 			if r == '\t' {
 				return r
 			}
 			return ' '
 		}, string([]rune(d.SourceLine)[:min(max(d.Column-1, 0), len([]rune(d.SourceLine)))]))
 		number := fmt.Sprintf("%5d | ", d.Line)
-		b += "\n" + number + d.SourceLine + "\n" + strings.Repeat(" ", len(number)-2) + "| " + mark + "^"
+		b += "\n" + number + d.SourceLine + "\n" + strings.Repeat(" ", len(number)-2) + "| " + padding + "^"
 	}
 	if d.Fix != "" {
 		b += "\n        " + d.Fix
@@ -216,12 +224,12 @@
 	return b
 }
 
-// unquote gives what a string means.
+// unquote returns the text that a quoted string stands for.
 func unquote(s string) string {
 	return strings.NewReplacer(`\"`, `"`, `\\`, `\`).Replace(s[1 : len(s)-1])
 }
 
-// quote writes a text as a value: as it is where that is one word, else as a string.
+// quote writes a text as a value: unchanged if it is a single word, else as a quoted string.
 func quote(s string) string {
 	if s != "" && !strings.ContainsAny(s, " \t\r\n{}\"#;$\\") {
 		return s
@@ -229,7 +237,7 @@
 	return `"` + strings.NewReplacer(`\`, `\\`, `"`, `\"`).Replace(s) + `"`
 }
 
-// Grammar is the language's grammar as the parser has it, in EBNF.
+// Grammar returns the parser's grammar in EBNF.
 func Grammar() string {
 	lines := []string{}
 	for line := range strings.SplitSeq(parser.String(), "\n") {
