--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -107,52 +107,52 @@
 }
 
 // include reads a file and what it includes.
-func (c *compiler) include(path string, by *location, chain []string) {
-	from := []string{}
-	if by != nil {
-		from = append([]string{fmt.Sprintf("%s:%d", by.source.name, by.pos.Line)}, by.source.includedFrom...)
+func (c *compiler) include(path string, includedBy *location, chain []string) {
+	includedFrom := []string{}
+	if includedBy != nil {
+		includedFrom = append([]string{fmt.Sprintf("%s:%d", includedBy.source.name, includedBy.pos.Line)}, includedBy.source.includedFrom...)
 	}
 	real, err := filepath.EvalSymlinks(path)
 	if err != nil {
 		real = path
 	}
 	if slices.Contains(chain, real) {
-		c.report(*by, "AC101", "this include comes back to "+path+", which leads here", "remove one of the includes of the loop")
+		c.report(*includedBy, "AC101", "this include comes back to "+path+", which leads here", "remove one of the includes of the loop")
 		return
 	}
-	if before := c.sources[real]; before != nil {
-		c.report(*by, "AC102", path+" is included twice", "remove this include; the first is at "+strings.Join(before.includedFrom[:min(1, len(before.includedFrom))], ""))
+	if earlier := c.sources[real]; earlier != nil {
+		c.report(*includedBy, "AC102", path+" is included twice", "remove this include; the first is at "+strings.Join(earlier.includedFrom[:min(1, len(earlier.includedFrom))], ""))
 		return
 	}
 	text, err := c.read(path)
 	if err != nil {
-		if by == nil {
+		if includedBy == nil {
 			c.diagnostics = append(c.diagnostics, &Diagnostic{File: path, Line: 1, Column: 1, Code: "AC103", Message: "can't be read: " + errorReason(err),
 				Fix: "look at the name and its rights"})
 		} else {
-			c.report(*by, "AC103", path+" can't be read: "+errorReason(err), "look at the name, which starts from the folder of this file, and its rights")
+			c.report(*includedBy, "AC103", path+" can't be read: "+errorReason(err), "look at the name, which starts from the folder of this file, and its rights")
 		}
 		return
 	}
 	c.fileOrder[path] = len(c.fileOrder)
-	s, bad := parse(path, text)
-	s.includedFrom = from
-	c.sources[real] = s
-	if bad != nil {
-		bad.IncludedFrom = from
-		c.diagnostics = append(c.diagnostics, bad)
+	src, syntaxErr := parse(path, text)
+	src.includedFrom = includedFrom
+	c.sources[real] = src
+	if syntaxErr != nil {
+		syntaxErr.IncludedFrom = includedFrom
+		c.diagnostics = append(c.diagnostics, syntaxErr)
 		return
 	}
-	for _, it := range s.tree.Items {
+	for _, it := range src.tree.Items {
 		if it.Stmt == nil {
 			continue
 		}
-		st := fileStatement{it.Stmt, s}
+		st := fileStatement{it.Stmt, src}
 		if st.Name != "include" {
 			c.statements = append(c.statements, st)
 			continue
 		}
-		here := location{s, st.Pos}
+		here := location{src, st.Pos}
 		if len(st.Values) != 1 || st.Values[0].Var != "" || st.Block != nil {
 			c.report(here, "AC104", "include takes one file or pattern", `write include "pools/*.cleat"`)
 			continue
@@ -188,30 +188,30 @@
 
 // collectDefinitions collects named values and blocks of all files: where they stand does not matter.
 func (c *compiler) collectDefinitions() {
-	var rest []fileStatement
+	var settingStatements []fileStatement
 	for _, st := range c.statements {
-		into, what := c.lets, "let"
+		definitions, keyword := c.lets, "let"
 		switch st.Name {
 		case "let":
 		case "define":
-			into, what = c.defines, "define"
+			definitions, keyword = c.defines, "define"
 		default:
-			rest = append(rest, st)
+			settingStatements = append(settingStatements, st)
 			continue
 		}
 		here := location{st.source, st.Pos}
-		if len(st.Values) == 0 || st.Values[0].Word == "" || !isLetter(st.Values[0].Word[0]) || what == "let" && (len(st.Values) < 2 || st.Block != nil) ||
-			what == "define" && st.Block == nil {
-			c.report(here, "AC105", what+" is not complete", map[string]string{"let": "write let NAME VALUE", "define": "write define NAME PARAMETER... { ... }"}[what])
+		if len(st.Values) == 0 || st.Values[0].Word == "" || !isLetter(st.Values[0].Word[0]) || keyword == "let" && (len(st.Values) < 2 || st.Block != nil) ||
+			keyword == "define" && st.Block == nil {
+			c.report(here, "AC105", keyword+" is not complete", map[string]string{"let": "write let NAME VALUE", "define": "write define NAME PARAMETER... { ... }"}[keyword])
 			continue
 		}
 		name := st.Values[0].Word
-		if before := into[name]; before != nil {
-			c.report(location{st.source, st.Values[0].Pos}, "AC106", name+" is defined already", fmt.Sprintf("the other definition is at %s:%d", before.source.name, before.Pos.Line))
+		if earlier := definitions[name]; earlier != nil {
+			c.report(location{st.source, st.Values[0].Pos}, "AC106", name+" is defined already", fmt.Sprintf("the other definition is at %s:%d", earlier.source.name, earlier.Pos.Line))
 			continue
 		}
 		d := &definition{fileStatement: st}
-		if what == "define" {
+		if keyword == "define" {
 			for _, v := range st.Values[1:] {
 				if v.Word == "" || !isLetter(v.Word[0]) || slices.Contains(d.params, v.Word) {
 					c.report(location{st.source, v.Pos}, "AC105", "a parameter is a name, each another", "write define NAME PARAMETER... { ... }")
@@ -220,16 +220,16 @@
 				d.params = append(d.params, v.Word)
 			}
 		}
-		into[name] = d
+		definitions[name] = d
 	}
-	c.statements = rest
+	c.statements = settingStatements
 }
 
 // resolveValues puts named values in.
-func (c *compiler) resolveValues(in *source, values []*value, sc scope) (all []resolvedValue, ok bool) {
+func (c *compiler) resolveValues(src *source, values []*value, sc scope) (all []resolvedValue, ok bool) {
 	ok = true
 	for _, v := range values {
-		at := location{in, v.Pos}
+		at := location{src, v.Pos}
 		switch {
 		case v.Var == "" && v.Word != "":
 			all = append(all, resolvedValue{v.Word, false, at})
@@ -257,12 +257,12 @@
 				continue
 			}
 			d.resolving = true
-			more, fine := c.resolveValues(d.source, d.Values[1:], scope{})
+			resolved, resolvedOK := c.resolveValues(d.source, d.Values[1:], scope{})
 			d.resolving, d.used = false, true
-			for i := range more {
-				more[i].at = at
+			for i := range resolved {
+				resolved[i].at = at
 			}
-			all, ok = append(all, more...), ok && fine
+			all, ok = append(all, resolved...), ok && resolvedOK
 		}
 	}
 	return all, ok
@@ -286,33 +286,33 @@
 }
 
 // setFields sets the fields of a message from statements.
-func (c *compiler) setFields(stmts []fileStatement, l *blockSchema, m protoreflect.Message, path string, sc scope) {
+func (c *compiler) setFields(stmts []fileStatement, schema *blockSchema, m protoreflect.Message, path string, sc scope) {
 	for _, st := range stmts {
 		here := location{st.source, st.Pos}
 		if st.Name == "use" {
-			c.expandUse(st, l, m, path, sc)
+			c.expandUse(st, schema, m, path, sc)
 			continue
 		}
-		s := l.byName[st.Name]
+		s := schema.byName[st.Name]
 		if s == nil && st.Name == "include" {
 			c.report(here, "AC104", "include stands outside of blocks", "move it there; define and use bring lines into a block")
 			continue
 		}
 		if s == nil {
-			other := "here stand " + strings.Join(l.names, ", ")
-			if l == rootSchema {
-				other = "at the top stand let, define, include, " + strings.Join(l.names, ", ")
+			other := "here stand " + strings.Join(schema.names, ", ")
+			if schema == rootSchema {
+				other = "at the top stand let, define, include, " + strings.Join(schema.names, ", ")
 			}
-			c.report(here, "AC201", "no setting is called "+st.Name+" here", c.suggest(st.Name, append(slices.Clone(l.names), "let", "define", "include", "use"), other))
+			c.report(here, "AC201", "no setting is called "+st.Name+" here", c.suggest(st.Name, append(slices.Clone(schema.names), "let", "define", "include", "use"), other))
 			continue
 		}
 		values, ok := c.resolveValues(st.source, st.Values, sc)
 		if !ok {
 			continue
 		}
-		at := path + string(s.field.Name())
+		fieldPath := path + string(s.field.Name())
 		if s.kind == kindBlock {
-			c.setBlock(st, s, values, m, at, sc)
+			c.setBlock(st, s, values, m, fieldPath, sc)
 			continue
 		}
 		if st.Block != nil {
@@ -326,13 +326,13 @@
 			for _, v := range values {
 				list := m.Mutable(s.field).List()
 				if x, ok := c.parseValue(s, v); ok {
-					c.locations[fmt.Sprintf("%s[%d]", at, list.Len())] = v.at
+					c.locations[fmt.Sprintf("%s[%d]", fieldPath, list.Len())] = v.at
 					list.Append(x)
 				}
 			}
 			continue
 		}
-		if before, twice := c.locations[at+"[0]"]; twice {
+		if before, twice := c.locations[fieldPath+"[0]"]; twice {
 			c.report(here, "AC204", st.Name+" is set already", fmt.Sprintf("the other one is at %s:%d", before.source.name, before.pos.Line))
 			continue
 		}
@@ -344,7 +344,7 @@
 			c.report(here, "AC203", fmt.Sprintf("%s takes one value, not %d", st.Name, len(values)), "write "+st.Name+" "+like)
 			continue
 		}
-		c.locations[at+"[0]"] = values[0].at
+		c.locations[fieldPath+"[0]"] = values[0].at
 		if x, ok := c.parseValue(s, values[0]); ok {
 			m.Set(s.field, x)
 		}
@@ -359,7 +359,7 @@
 }
 
 // setBlock sets a block: with a label, in one line, or plain.
-func (c *compiler) setBlock(st fileStatement, s *setting, values []resolvedValue, m protoreflect.Message, at string, sc scope) {
+func (c *compiler) setBlock(st fileStatement, s *setting, values []resolvedValue, m protoreflect.Message, path string, sc scope) {
 	here := location{st.source, st.Pos}
 	var sub protoreflect.Message
 	index := 0
@@ -370,17 +370,17 @@
 	} else {
 		sub = m.Mutable(s.field).Message()
 	}
-	at = fmt.Sprintf("%s[%d]", at, index)
+	path = fmt.Sprintf("%s[%d]", path, index)
 	if !s.field.IsList() {
-		if before, twice := c.locations[at]; twice {
+		if before, twice := c.locations[path]; twice {
 			c.report(here, "AC204", st.Name+" is set already", fmt.Sprintf("the other one is at %s:%d", before.source.name, before.pos.Line))
 			return
 		}
 	}
-	c.locations[at] = here
-	l := schemas[s.field.Message().FullName()]
+	c.locations[path] = here
+	schema := schemas[s.field.Message().FullName()]
 	if s.lineElements != nil {
-		c.setOneLineBlock(st, s, values, sub, at)
+		c.setOneLineBlock(st, s, values, sub, path)
 		return
 	}
 	if s.labelField != nil {
@@ -388,9 +388,9 @@
 			c.report(here, "AC203", fmt.Sprintf("%s takes one name, not %d", st.Name, len(values)), "write "+st.Name+" NAME { ... }")
 			return
 		}
-		if x, ok := c.parseValue(&setting{kind: kindOf(l.message, s.labelField), field: s.labelField, name: st.Name}, values[0]); ok {
+		if x, ok := c.parseValue(&setting{kind: kindOf(schema.message, s.labelField), field: s.labelField, name: st.Name}, values[0]); ok {
 			sub.Set(s.labelField, x)
-			c.locations[at+"."+string(s.labelField.Name())+"[0]"] = values[0].at
+			c.locations[path+"."+string(s.labelField.Name())+"[0]"] = values[0].at
 		}
 	} else if len(values) > 0 {
 		c.report(values[0].at, "AC203", st.Name+" takes no value of its own", "put it in the block: "+st.Name+" { ... }")
@@ -400,43 +400,43 @@
 		c.report(here, "AC202", st.Name+" has no block", "write "+st.Name+" { ... }")
 		return
 	}
-	c.setFields(c.statementsIn(st.source, st.Block), l, sub, at+".", sc)
+	c.setFields(c.statementsIn(st.source, st.Block), schema, sub, path+".", sc)
 }
 
-func (c *compiler) statementsIn(in *source, b *block) (all []fileStatement) {
+func (c *compiler) statementsIn(src *source, b *block) (all []fileStatement) {
 	for _, it := range b.Items {
 		if it.Stmt != nil {
-			all = append(all, fileStatement{it.Stmt, in})
+			all = append(all, fileStatement{it.Stmt, src})
 		}
 	}
 	return all
 }
 
 // setOneLineBlock sets a block that is written as the values of one line.
-func (c *compiler) setOneLineBlock(st fileStatement, s *setting, values []resolvedValue, sub protoreflect.Message, at string) {
+func (c *compiler) setOneLineBlock(st fileStatement, s *setting, values []resolvedValue, sub protoreflect.Message, path string) {
 	here := location{st.source, st.Pos}
 	usage := st.Name
-	fixed := 0
+	required := 0
 	for _, p := range s.lineElements {
 		switch {
 		case p.keyword != "":
 			usage += " " + p.keyword
 		case p.optional:
 			usage += " [" + strings.ToUpper(string(p.field.Name())) + "]"
-			fixed--
+			required--
 		default:
 			usage += " " + strings.ToUpper(string(p.field.Name()))
 		}
-		fixed++
+		required++
 	}
-	if st.Block != nil || len(values) < fixed || len(values) > len(s.lineElements) {
+	if st.Block != nil || len(values) < required || len(values) > len(s.lineElements) {
 		c.report(here, "AC203", st.Name+" is written in one line, with other values than these", "write "+usage)
 		return
 	}
-	skip := len(s.lineElements) - len(values)
+	omitted := len(s.lineElements) - len(values)
 	for _, p := range s.lineElements {
-		if p.optional && skip > 0 {
-			skip--
+		if p.optional && omitted > 0 {
+			omitted--
 			continue
 		}
 		v := values[0]
@@ -448,9 +448,9 @@
 			}
 			continue
 		}
-		l := schemas[s.field.Message().FullName()]
-		c.locations[at+"."+string(p.field.Name())+"[0]"] = v.at
-		if x, ok := c.parseValue(&setting{name: string(p.field.Name()), kind: kindOf(l.message, p.field), field: p.field}, v); ok {
+		schema := schemas[s.field.Message().FullName()]
+		c.locations[path+"."+string(p.field.Name())+"[0]"] = v.at
+		if x, ok := c.parseValue(&setting{name: string(p.field.Name()), kind: kindOf(schema.message, p.field), field: p.field}, v); ok {
 			sub.Set(p.field, x)
 		}
 	}
@@ -459,7 +459,7 @@
 const maxUseDepth = 20 // blocks used by blocks
 
 // expandUse puts the statements of a defined block in the place of the expandUse.
-func (c *compiler) expandUse(st fileStatement, l *blockSchema, m protoreflect.Message, path string, sc scope) {
+func (c *compiler) expandUse(st fileStatement, schema *blockSchema, m protoreflect.Message, path string, sc scope) {
 	here := location{st.source, st.Pos}
 	values, ok := c.resolveValues(st.source, st.Values, sc)
 	if !ok {
@@ -488,13 +488,13 @@
 	for i, p := range d.params {
 		inner.params[p] = values[i+1]
 	}
-	c.setFields(c.statementsIn(d.source, d.Block), l, m, path, inner)
+	c.setFields(c.statementsIn(d.source, d.Block), schema, m, path, inner)
 	d.resolving = false
 }
 
 // parseValue reads a parseValue as its setting wants it. A unit is part of a figure.
 func (c *compiler) parseValue(s *setting, v resolvedValue) (x protoreflect.Value, ok bool) {
-	bad := func(code, what, fix string) (protoreflect.Value, bool) {
+	fail := func(code, what, fix string) (protoreflect.Value, bool) {
 		c.report(v.at, code, what, fix)
 		return x, false
 	}
@@ -503,58 +503,58 @@
 		return protoreflect.ValueOfString(v.text), true
 	case kindFlag:
 		if v.text != "on" && v.text != "off" {
-			return bad("AC205", s.name+" is on or off, not "+v.text, "write "+s.name+" on")
+			return fail("AC205", s.name+" is on or off, not "+v.text, "write "+s.name+" on")
 		}
 		return protoreflect.ValueOfBool(v.text == "on"), true
 	case kindEnum:
 		all := enumNames(s.field.Enum())
 		if !slices.Contains(all, v.text) {
-			return bad("AC205", s.name+" is none of its words: "+v.text, c.suggest(v.text, all, "write "+strings.Join(all, " or ")))
+			return fail("AC205", s.name+" is none of its words: "+v.text, c.suggest(v.text, all, "write "+strings.Join(all, " or ")))
 		}
 		e := s.field.Enum().Values().ByName(protoreflect.Name(strings.ToUpper(strings.ReplaceAll(v.text, "-", "_"))))
 		return protoreflect.ValueOfEnum(e.Number()), true
 	}
-	figure := strings.TrimRight(v.text, "%/abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
-	n, err := strconv.ParseFloat(figure, 64)
-	suffix := v.text[len(figure):]
-	if err != nil || v.quoted || math.IsInf(n, 0) || strings.ContainsAny(figure, "_xX") {
-		return bad("AC206", s.name+" is "+kindDescriptions[s.kind][0]+", not "+v.text, "write "+s.name+" "+kindDescriptions[s.kind][1])
+	number := strings.TrimRight(v.text, "%/abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
+	n, err := strconv.ParseFloat(number, 64)
+	suffix := v.text[len(number):]
+	if err != nil || v.quoted || math.IsInf(n, 0) || strings.ContainsAny(number, "_xX") {
+		return fail("AC206", s.name+" is "+kindDescriptions[s.kind][0]+", not "+v.text, "write "+s.name+" "+kindDescriptions[s.kind][1])
 	}
 	if list := units[s.kind]; list != nil {
 		i := slices.IndexFunc(list, func(u unit) bool { return u.name == suffix })
 		if i < 0 {
-			return bad(unitCode(suffix), unitMessage(s, v.text, suffix), unitFix(s.kind, figure, suffix))
+			return fail(unitCode(suffix), unitMessage(s, v.text, suffix), unitFix(s.kind, number, suffix))
 		}
-		if n = toBaseUnit(figure, list[i]); s.kind == kindShare && (n < 0 || n > 1) {
-			return bad("AC209", s.name+" is a share: from 0% to 100%, not "+v.text, "write "+s.name+" 100% for all")
+		if n = toBaseUnit(number, list[i]); s.kind == kindShare && (n < 0 || n > 1) {
+			return fail("AC209", s.name+" is a share: from 0% to 100%, not "+v.text, "write "+s.name+" 100% for all")
 		}
 	} else if suffix != "" {
-		return bad("AC208", s.name+" is "+kindDescriptions[s.kind][0]+" without a unit, not "+v.text, "write "+s.name+" "+figure)
+		return fail("AC208", s.name+" is "+kindDescriptions[s.kind][0]+" without a unit, not "+v.text, "write "+s.name+" "+number)
 	}
 	switch s.field.Kind() {
 	case protoreflect.DoubleKind:
 		return protoreflect.ValueOfFloat64(n), true
 	case protoreflect.Uint64Kind:
-		whole, err := strconv.ParseUint(figure, 10, 64)
+		whole, err := strconv.ParseUint(number, 10, 64)
 		if s.kind == kindSize {
 			whole, err = uint64(n), nil
 		}
 		if err != nil || n < 0 {
-			return bad("AC206", s.name+" is a whole number, not "+v.text, "write "+s.name+" 3")
+			return fail("AC206", s.name+" is a whole number, not "+v.text, "write "+s.name+" 3")
 		}
 		return protoreflect.ValueOfUint64(whole), true
 	}
 	if n != math.Trunc(n) || n < 0 || n > math.MaxUint32 {
-		return bad("AC206", s.name+" is a whole number from 0 on, not "+v.text, "write "+s.name+" "+strconv.Itoa(int(min(max(1, math.Abs(n)), 1e9))))
+		return fail("AC206", s.name+" is a whole number from 0 on, not "+v.text, "write "+s.name+" "+strconv.Itoa(int(min(max(1, math.Abs(n)), 1e9))))
 	}
 	return protoreflect.ValueOfUint32(uint32(n)), true
 }
 
 // toBaseUnit brings a figure to the inner form's unit.
-func toBaseUnit(figure string, u unit) float64 {
-	n, err := strconv.ParseFloat(figure+u.exponent, 64)
+func toBaseUnit(number string, u unit) float64 {
+	n, err := strconv.ParseFloat(number+u.exponent, 64)
 	if err != nil { // it has a power of ten of its own
-		n, _ = strconv.ParseFloat(figure, 64)
+		n, _ = strconv.ParseFloat(number, 64)
 		ten, _ := strconv.ParseFloat("1"+u.exponent, 64)
 		n *= ten
 	}
@@ -578,26 +578,26 @@
 	return s.name + " is " + kindDescriptions[s.kind][0] + "; " + suffix + " is no unit of that"
 }
 
-func unitFix(k kind, figure, suffix string) string {
+func unitFix(k kind, number, suffix string) string {
 	for _, u := range units[k] {
 		if strings.EqualFold(u.name, suffix) && suffix != "M" {
-			return "write " + figure + u.name
+			return "write " + number + u.name
 		}
 	}
 	switch {
 	case k == kindTime && suffix == "m":
-		return "write " + figure + "min or " + figure + "ms"
+		return "write " + number + "min or " + number + "ms"
 	case k == kindTime:
-		return "write " + figure + "s for seconds or " + figure + "ms for milliseconds"
+		return "write " + number + "s for seconds or " + number + "ms for milliseconds"
 	case k == kindShare:
-		if n, err := strconv.ParseFloat(figure, 64); err == nil && n < 1 && suffix == "" {
+		if n, err := strconv.ParseFloat(number, 64); err == nil && n < 1 && suffix == "" {
 			return "write " + strconv.FormatFloat(n*100, 'g', 6, 64) + "%"
 		}
-		return "write " + figure + "%"
+		return "write " + number + "%"
 	case k == kindRate:
-		return "write " + figure + "/s"
+		return "write " + number + "/s"
 	}
-	return "write " + figure + "KiB, " + figure + "MiB or " + figure + "B"
+	return "write " + number + "KiB, " + number + "MiB or " + number + "B"
 }
 
 // checkSettings checks what each value alone can't show, and finds the places of what is wrong.
@@ -697,11 +697,11 @@
 }
 
 // coversListeners says that what is kept to the first listeners takes all that comes to the others.
-func coversListeners(first, others []string) bool {
-	if len(first) == 0 {
+func coversListeners(earlier, later []string) bool {
+	if len(earlier) == 0 {
 		return true
 	}
-	return len(others) > 0 && !slices.ContainsFunc(others, func(l string) bool { return !slices.Contains(first, l) })
+	return len(later) > 0 && !slices.ContainsFunc(later, func(l string) bool { return !slices.Contains(earlier, l) })
 }
 
 // warnRules finds settings under which a rule could not be kept, or an operation not be repeated as it says.
--- a/internal/lang/diff.go
+++ b/internal/lang/diff.go
@@ -71,24 +71,24 @@
 
 type differ struct{ changes []Change }
 
-func (d *differ) compareMessages(a, b protoreflect.Message, l *blockSchema, path, name string) {
-	for _, n := range l.names {
-		s := l.byName[n]
+func (d *differ) compareMessages(a, b protoreflect.Message, schema *blockSchema, path, name string) {
+	for _, n := range schema.names {
+		s := schema.byName[n]
 		at := path + string(s.field.Name())
-		rule := affectsRules(l.message, s.field)
-		said := strings.TrimSpace(name + " " + n)
+		rule := affectsRules(schema.message, s.field)
+		fullName := strings.TrimSpace(name + " " + n)
 		switch {
 		case s.kind == kindBlock && s.field.IsList():
-			d.compareBlocks(a.Get(s.field).List(), b.Get(s.field).List(), s, at, said, rule)
+			d.compareBlocks(a.Get(s.field).List(), b.Get(s.field).List(), s, at, fullName, rule)
 		case s.kind == kindBlock:
 			if a.Has(s.field) != b.Has(s.field) && proto.Size(a.Get(s.field).Message().Interface())+proto.Size(b.Get(s.field).Message().Interface()) == 0 {
 				continue // an empty block says nothing
 			}
-			d.compareMessages(a.Get(s.field).Message(), b.Get(s.field).Message(), schemas[s.field.Message().FullName()], at+".", said+":")
+			d.compareMessages(a.Get(s.field).Message(), b.Get(s.field).Message(), schemas[s.field.Message().FullName()], at+".", fullName+":")
 		default:
 			from, to := formatField(s, a), formatField(s, b)
 			if from != to {
-				d.changes = append(d.changes, Change{Path: at, Name: said, From: from, To: to, AffectsRules: rule})
+				d.changes = append(d.changes, Change{Path: at, Name: fullName, From: from, To: to, AffectsRules: rule})
 			}
 		}
 	}
@@ -111,8 +111,8 @@
 }
 
 // compareBlocks compares lists of compareBlocks: those with a label by it, the others as a whole in their order.
-func (d *differ) compareBlocks(a, b protoreflect.List, s *setting, path, said string, rule bool) {
-	l := schemas[s.field.Message().FullName()]
+func (d *differ) compareBlocks(a, b protoreflect.List, s *setting, path, name string, rule bool) {
+	schema := schemas[s.field.Message().FullName()]
 	if s.labelField == nil {
 		for i := range max(a.Len(), b.Len()) {
 			var from, to string
@@ -123,7 +123,7 @@
 				to = formatInline(s, b.Get(i).Message())
 			}
 			if from != to {
-				d.changes = append(d.changes, Change{Path: fmt.Sprintf("%s[%d]", path, i), Name: fmt.Sprintf("%s %d", said, i+1), From: from, To: to, AffectsRules: rule})
+				d.changes = append(d.changes, Change{Path: fmt.Sprintf("%s[%d]", path, i), Name: fmt.Sprintf("%s %d", name, i+1), From: from, To: to, AffectsRules: rule})
 			}
 		}
 		return
@@ -144,9 +144,9 @@
 		at := fmt.Sprintf("%s[%d]", path, i)
 		j := find(b, label(m))
 		if j >= 0 {
-			d.compareMessages(m, b.Get(j).Message(), l, at+".", said+" "+quote(label(m))+":")
+			d.compareMessages(m, b.Get(j).Message(), schema, at+".", name+" "+quote(label(m))+":")
 			if j < last { // the first match counts: order has a meaning
-				d.changes = append(d.changes, Change{Path: at, Name: said + " " + quote(label(m)), From: fmt.Sprint(i + 1), To: fmt.Sprint(j + 1), Moved: true, AffectsRules: true})
+				d.changes = append(d.changes, Change{Path: at, Name: name + " " + quote(label(m)), From: fmt.Sprint(i + 1), To: fmt.Sprint(j + 1), Moved: true, AffectsRules: true})
 			}
 			last = max(last, j)
 			continue
@@ -165,14 +165,14 @@
 			}
 		}
 		if j >= 0 {
-			d.changes = append(d.changes, Change{Path: at, Name: said, From: quote(label(m)), To: quote(label(b.Get(j).Message())), Renamed: true})
+			d.changes = append(d.changes, Change{Path: at, Name: name, From: quote(label(m)), To: quote(label(b.Get(j).Message())), Renamed: true})
 		} else {
-			d.changes = append(d.changes, Change{Path: at, Name: said + " " + quote(label(m)), From: formatInline(s, m), AffectsRules: true})
+			d.changes = append(d.changes, Change{Path: at, Name: name + " " + quote(label(m)), From: formatInline(s, m), AffectsRules: true})
 		}
 	}
 	for j := range b.Len() {
 		if m := b.Get(j).Message(); find(a, label(m)) < 0 && !renamed[j] {
-			d.changes = append(d.changes, Change{Path: fmt.Sprintf("%s[%d]", path, j), Name: said + " " + quote(label(m)), To: formatInline(s, m), AffectsRules: true})
+			d.changes = append(d.changes, Change{Path: fmt.Sprintf("%s[%d]", path, j), Name: name + " " + quote(label(m)), To: formatInline(s, m), AffectsRules: true})
 		}
 	}
 }
--- a/internal/lang/schema.go
+++ b/internal/lang/schema.go
@@ -63,8 +63,8 @@
 var rootSchema = buildSchema((&settings.Settings{}).ProtoReflect().Descriptor())
 
 func buildSchema(m protoreflect.MessageDescriptor) *blockSchema {
-	if l := schemas[m.FullName()]; l != nil {
-		return l
+	if schema := schemas[m.FullName()]; schema != nil {
+		return schema
 	}
 	l := &blockSchema{message: m, byName: map[string]*setting{}}
 	schemas[m.FullName()] = l
@@ -79,10 +79,10 @@
 			s.name = strings.ReplaceAll(s.name, "_", "-")
 		}
 		if s.kind == kindBlock {
-			of := f.Message()
-			buildSchema(of)
-			field := func(name string) protoreflect.FieldDescriptor { return of.Fields().ByName(protoreflect.Name(name)) }
-			switch of.Name() {
+			blockMessage := f.Message()
+			buildSchema(blockMessage)
+			field := func(name string) protoreflect.FieldDescriptor { return blockMessage.Fields().ByName(protoreflect.Name(name)) }
+			switch blockMessage.Name() {
 			case "Operation", "Tenant", "Pool", "Listener":
 				s.labelField = field("name")
 			case "Peer":
--- a/internal/lang/vim.go
+++ b/internal/lang/vim.go
@@ -10,10 +10,10 @@
 func VimSyntax() string {
 	names := map[string]bool{}
 	enums := map[string]bool{"on": true, "off": true}
-	for _, l := range schemas {
-		for _, n := range l.names {
+	for _, schema := range schemas {
+		for _, n := range schema.names {
 			names[n] = true
-			if s := l.byName[n]; s.kind == kindEnum {
+			if s := schema.byName[n]; s.kind == kindEnum {
 				for _, w := range enumNames(s.field.Enum()) {
 					enums[w] = true
 				}
@@ -28,13 +28,13 @@
 		slices.Sort(all)
 		return strings.Join(all, " ")
 	}
-	var figures []string
+	var unitPatterns []string
 	for _, k := range []kind{kindTime, kindSize, kindShare, kindRate} {
 		for _, u := range units[k] {
-			figures = append(figures, strings.ReplaceAll(u.name, "/", `\/`))
+			unitPatterns = append(unitPatterns, strings.ReplaceAll(u.name, "/", `\/`))
 		}
 	}
-	slices.SortFunc(figures, func(a, b string) int { return len(b) - len(a) })
+	slices.SortFunc(unitPatterns, func(a, b string) int { return len(b) - len(a) })
 	return fmt.Sprintf(`" Vim syntax of arrowcleat's settings; made by: arrowcleat syntax vim
 if exists("b:current_syntax")
   finish
@@ -55,5 +55,5 @@
 highlight default link cleatString String
 highlight default link cleatComment Comment
 let b:current_syntax = "cleat"
-`, list(names), list(enums), strings.Join(figures, `\|`))
+`, list(names), list(enums), strings.Join(unitPatterns, `\|`))
 }
--- a/internal/lang/write.go
+++ b/internal/lang/write.go
@@ -125,10 +125,10 @@
 	return b.Bytes()
 }
 
-func writeFields(b *bytes.Buffer, m protoreflect.Message, l *blockSchema, depth int) {
+func writeFields(b *bytes.Buffer, m protoreflect.Message, schema *blockSchema, depth int) {
 	indent := strings.Repeat("  ", depth)
-	for _, name := range l.names {
-		s := l.byName[name]
+	for _, name := range schema.names {
+		s := schema.byName[name]
 		if !m.Has(s.field) {
 			continue
 		}
@@ -154,14 +154,14 @@
 
 func writeBlock(b *bytes.Buffer, s *setting, m protoreflect.Message, depth int) {
 	indent := strings.Repeat("  ", depth)
-	l := schemas[s.field.Message().FullName()]
+	schema := schemas[s.field.Message().FullName()]
 	if s.lineElements != nil {
 		b.WriteString(indent + s.name)
 		for _, p := range s.lineElements {
 			if p.keyword != "" {
 				b.WriteString(" " + p.keyword)
 			} else if !p.optional || m.Has(p.field) {
-				b.WriteString(" " + formatValue(&setting{kind: kindOf(l.message, p.field), field: p.field}, m.Get(p.field)))
+				b.WriteString(" " + formatValue(&setting{kind: kindOf(schema.message, p.field), field: p.field}, m.Get(p.field)))
 			}
 		}
 		b.WriteString("\n")
@@ -169,19 +169,19 @@
 	}
 	b.WriteString(indent + s.name)
 	if s.labelField != nil {
-		b.WriteString(" " + formatValue(&setting{kind: kindOf(l.message, s.labelField), field: s.labelField}, m.Get(s.labelField)))
+		b.WriteString(" " + formatValue(&setting{kind: kindOf(schema.message, s.labelField), field: s.labelField}, m.Get(s.labelField)))
 	}
 	b.WriteString(" {\n")
-	rest := *l
+	unlabeled := *schema
 	if s.labelField != nil { // the label is not said twice
-		rest.names = nil
-		for _, n := range l.names {
-			if l.byName[n].field != s.labelField {
-				rest.names = append(rest.names, n)
+		unlabeled.names = nil
+		for _, n := range schema.names {
+			if schema.byName[n].field != s.labelField {
+				unlabeled.names = append(unlabeled.names, n)
 			}
 		}
 	}
-	writeFields(b, m, &rest, depth+1)
+	writeFields(b, m, &unlabeled, depth+1)
 	b.WriteString(indent + "}\n")
 }
 
