--- a/internal/lang/diff.go
+++ b/internal/lang/diff.go
@@ -11,17 +11,18 @@
 	"arrowcleat/internal/settings"
 )
 
-// Change is one thing in which two versions of settings differ, by meaning.
+// Change is one difference in meaning between two versions of settings.
 type Change struct {
-	Path         string `json:"path"`             // of the inner form, of the old version where it is there, else of the new
-	Name         string `json:"name"`             // in the words of the language: operation slot-book: time-limit
-	From         string `json:"from,omitempty"`   // empty: it was not there
-	To           string `json:"to,omitempty"`     // empty: it is no more
-	AffectsRules bool   `json:"rule,omitempty"`   // it touches what the rules are kept by
-	Moved        bool   `json:"moved,omitempty"`  // only its place among others changed
+	Path         string `json:"path"`             // of the protobuf field: in the old version if it is there, else in the new one
+	Name         string `json:"name"`             // in the terms of the language: operation slot-book: time-limit
+	From         string `json:"from,omitempty"`   // empty: added
+	To           string `json:"to,omitempty"`     // empty: removed
+	AffectsRules bool   `json:"rule,omitempty"`   // the rules that the marshal enforces depend on it
+	Moved        bool   `json:"moved,omitempty"`  // only its position in the list changed: From and To are positions
 	Renamed      bool   `json:"rename,omitempty"` // only its name changed
 }
 
+// String formats the change as one line.
 func (c Change) String() string {
 	text := c.Name
 	switch {
@@ -42,7 +43,7 @@
 	return text
 }
 
-// affectsRules are the settings that the rules of the brief are kept by.
+// affectsRules reports whether the rules that the marshal enforces depend on a field.
 func affectsRules(m protoreflect.MessageDescriptor, f protoreflect.FieldDescriptor) bool {
 	switch m.Name() {
 	case "Rules", "Rollout", "Stage":
@@ -62,39 +63,41 @@
 	return false
 }
 
-// Diff tells in which settings two versions differ, in the order of the schema.
+// Diff returns the settings in which two versions differ, in the order of the schema.
 func Diff(a, b *settings.Settings) []Change {
 	d := &differ{}
 	d.compareMessages(a.ProtoReflect(), b.ProtoReflect(), rootSchema, "", "")
 	return d.changes
 }
 
+// differ collects the changes between two versions.
 type differ struct{ changes []Change }
 
+// compareMessages compares two messages field by field. path and name are the prefixes of the changes found.
 func (d *differ) compareMessages(a, b protoreflect.Message, schema *blockSchema, path, name string) {
 	for _, n := range schema.names {
 		s := schema.byName[n]
-		at := path + string(s.field.Name())
+		fieldPath := path + string(s.field.Name())
 		rule := affectsRules(schema.message, s.field)
 		fullName := strings.TrimSpace(name + " " + n)
 		switch {
 		case s.kind == kindBlock && s.field.IsList():
-			d.compareBlocks(a.Get(s.field).List(), b.Get(s.field).List(), s, at, fullName, rule)
+			d.compareBlocks(a.Get(s.field).List(), b.Get(s.field).List(), s, fieldPath, fullName, rule)
 		case s.kind == kindBlock:
 			if a.Has(s.field) != b.Has(s.field) && proto.Size(a.Get(s.field).Message().Interface())+proto.Size(b.Get(s.field).Message().Interface()) == 0 {
-				continue // an empty block says nothing
+				continue // an empty block means the same as none
 			}
-			d.compareMessages(a.Get(s.field).Message(), b.Get(s.field).Message(), schemas[s.field.Message().FullName()], at+".", fullName+":")
+			d.compareMessages(a.Get(s.field).Message(), b.Get(s.field).Message(), schemas[s.field.Message().FullName()], fieldPath+".", fullName+":")
 		default:
 			from, to := formatField(s, a), formatField(s, b)
 			if from != to {
-				d.changes = append(d.changes, Change{Path: at, Name: fullName, From: from, To: to, AffectsRules: rule})
+				d.changes = append(d.changes, Change{Path: fieldPath, Name: fullName, From: from, To: to, AffectsRules: rule})
 			}
 		}
 	}
 }
 
-// formatField gives a plain field as it is formatField, empty where it is not set.
+// formatField formats a field that is not a block as it is written in a file; empty if it is not set.
 func formatField(s *setting, m protoreflect.Message) string {
 	if !m.Has(s.field) {
 		return ""
@@ -110,7 +113,8 @@
 	return strings.Join(all, " ")
 }
 
-// compareBlocks compares lists of compareBlocks: those with a label by it, the others as a whole in their order.
+// compareBlocks compares two lists of blocks. Blocks with a label are matched by it; others are compared as a whole, by
+// position.
 func (d *differ) compareBlocks(a, b protoreflect.List, s *setting, path, name string, rule bool) {
 	schema := schemas[s.field.Message().FullName()]
 	if s.labelField == nil {
@@ -129,36 +133,36 @@
 		return
 	}
 	label := func(m protoreflect.Message) string { return m.Get(s.labelField).String() }
-	find := func(list protoreflect.List, name string) int {
+	find := func(list protoreflect.List, wanted string) int {
 		for i := range list.Len() {
-			if label(list.Get(i).Message()) == name {
+			if label(list.Get(i).Message()) == wanted {
 				return i
 			}
 		}
 		return -1
 	}
 	renamed := map[int]bool{}
-	last := -1
+	lastMatch := -1 // greatest position in b matched so far
 	for i := range a.Len() {
 		m := a.Get(i).Message()
 		at := fmt.Sprintf("%s[%d]", path, i)
 		j := find(b, label(m))
 		if j >= 0 {
 			d.compareMessages(m, b.Get(j).Message(), schema, at+".", name+" "+quote(label(m))+":")
-			if j < last { // the first match counts: order has a meaning
+			if j < lastMatch { // order has a meaning: the first operation that matches a request gets it
 				d.changes = append(d.changes, Change{Path: at, Name: name + " " + quote(label(m)), From: fmt.Sprint(i + 1), To: fmt.Sprint(j + 1), Moved: true, AffectsRules: true})
 			}
-			last = max(last, j)
+			lastMatch = max(lastMatch, j)
 			continue
 		}
-		for k := range b.Len() { // the same under another name
-			o := b.Get(k).Message()
-			if renamed[k] || find(a, label(o)) >= 0 {
+		for k := range b.Len() { // the same block under another label
+			candidate := b.Get(k).Message()
+			if renamed[k] || find(a, label(candidate)) >= 0 {
 				continue
 			}
-			same := proto.Clone(o.Interface()).ProtoReflect()
-			same.Set(s.labelField, m.Get(s.labelField))
-			if proto.Equal(same.Interface(), m.Interface()) {
+			relabeled := proto.Clone(candidate.Interface()).ProtoReflect()
+			relabeled.Set(s.labelField, m.Get(s.labelField))
+			if proto.Equal(relabeled.Interface(), m.Interface()) {
 				renamed[k] = true
 				j = k
 				break
@@ -177,7 +181,7 @@
 	}
 }
 
-// formatInline writes a block in one line.
+// formatInline writes a block on one line.
 func formatInline(s *setting, m protoreflect.Message) string {
 	var b bytes.Buffer
 	writeBlock(&b, s, m, 0)
