--- a/internal/lang/write.go
+++ b/internal/lang/write.go
@@ -13,12 +13,12 @@
 	"arrowcleat/internal/settings"
 )
 
-// Format writes a file anew: one statement a line, two spaces a block, one blank line at most, comments where they
-// stood. What it means is untouched.
+// Format formats a file without changing its meaning: one statement per line, two spaces of indentation per block, at
+// most one blank line in a row, comments in their places.
 func Format(name string, text []byte) ([]byte, *Diagnostic) {
-	s, bad := parse(name, text)
-	if bad != nil {
-		return nil, bad
+	s, syntaxErr := parse(name, text)
+	if syntaxErr != nil {
+		return nil, syntaxErr
 	}
 	var b bytes.Buffer
 	formatItems(&b, s.tree.Items, 0)
@@ -26,10 +26,11 @@
 	return append(bytes.TrimRight(out, "\n"), "\n"[:min(1, len(out))]...), nil
 }
 
-// formatItems writes the items of a file or block. Each ends its line, but a comment behind a statement joins it.
+// formatItems writes the items of a file or block, each on a line of its own. A comment that follows a statement on the
+// same line stays on that line.
 func formatItems(b *bytes.Buffer, items []*item, depth int) {
 	indent := strings.Repeat("  ", depth)
-	breaks, first := 0, true // line ends since the last thing written
+	breaks, first := 0, true // breaks counts line ends since the last item written
 	for i, it := range items {
 		switch {
 		case it.Break == "\n":
@@ -39,7 +40,7 @@
 			continue
 		case it.Comment != "":
 			comment := strings.TrimRight(it.Comment, " \t\r")
-			if breaks == 0 && !first && i > 0 { // it stands behind something
+			if breaks == 0 && !first && i > 0 { // it follows something on the same line
 				b.Truncate(len(bytes.TrimRight(b.Bytes(), "\n")))
 				b.WriteString("  " + comment + "\n")
 			} else {
@@ -54,35 +55,37 @@
 	}
 }
 
-// keepBlankLine keeps one keepBlankLine line where there was one or more, but not at the begin of a block.
+// keepBlankLine writes one blank line where there were one or more, except at the start of a block.
 func keepBlankLine(b *bytes.Buffer, breaks int, first bool) {
 	if breaks > 1 && !first {
 		b.WriteString("\n")
 	}
 }
 
+// formatStatement writes a statement with its block.
 func formatStatement(b *bytes.Buffer, st *statement, depth int) {
 	b.WriteString(strings.Repeat("  ", depth) + st.Name)
 	for _, v := range st.Values {
 		b.WriteString(" " + v.Text + v.Var + v.Word)
 	}
 	if st.Block != nil {
-		var inside bytes.Buffer
+		var body bytes.Buffer
 		items := st.Block.Items
 		b.WriteString(" {")
-		if len(items) > 0 && items[0].Comment != "" { // behind the brace
+		if len(items) > 0 && items[0].Comment != "" { // on the line of the brace
 			b.WriteString("  " + strings.TrimRight(items[0].Comment, " \t\r"))
 			items = items[1:]
 		}
-		formatItems(&inside, items, depth+1)
+		formatItems(&body, items, depth+1)
 		b.WriteString("\n")
-		b.Write(inside.Bytes())
+		b.Write(body.Bytes())
 		b.WriteString(strings.Repeat("  ", depth) + "}")
 	}
 	b.WriteString("\n")
 }
 
-// formatQuantity writes a figure of the inner form with its unit, in the largest that leaves it whole and reads back exactly.
+// formatQuantity writes a number in the base unit of its kind with a unit: for times and sizes the largest that gives a
+// whole number (for seconds, also a short decimal). The text reads back as exactly the same number.
 func formatQuantity(k kind, v float64) string {
 	plain := func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 	switch k {
@@ -102,14 +105,14 @@
 		}
 		return plain(v) + "B"
 	case kindShare:
-		// The point is moved in the text: times 100, a float may round to what does not read back.
-		whole, rest, _ := strings.Cut(plain(v), ".")
-		rest += "00"
-		if whole = strings.TrimLeft(whole+rest[:2], "0"); whole == "" {
+		// The decimal point is moved in the text: multiplying by 100 may round to a number that does not read back exactly.
+		whole, fraction, _ := strings.Cut(plain(v), ".")
+		fraction += "00"
+		if whole = strings.TrimLeft(whole+fraction[:2], "0"); whole == "" {
 			whole = "0"
 		}
-		if rest = strings.TrimRight(rest[2:], "0"); rest != "" {
-			whole += "." + rest
+		if fraction = strings.TrimRight(fraction[2:], "0"); fraction != "" {
+			whole += "." + fraction
 		}
 		return whole + "%"
 	case kindRate:
@@ -118,13 +121,14 @@
 	return plain(v)
 }
 
-// Decompile writes settings in the language, losing nothing: compiled, they are the same settings.
+// Decompile writes settings in the language. Compiling the result gives the same settings.
 func Decompile(s *settings.Settings) []byte {
 	var b bytes.Buffer
 	writeFields(&b, s.ProtoReflect(), rootSchema, 0)
 	return b.Bytes()
 }
 
+// writeFields writes the fields of a message that are set, in the order of the schema.
 func writeFields(b *bytes.Buffer, m protoreflect.Message, schema *blockSchema, depth int) {
 	indent := strings.Repeat("  ", depth)
 	for _, name := range schema.names {
@@ -146,12 +150,13 @@
 			for i := range v.List().Len() {
 				writeBlock(b, s, v.List().Get(i).Message(), depth)
 			}
-		case proto.Size(v.Message().Interface()) > 0: // an empty one says nothing
+		case proto.Size(v.Message().Interface()) > 0: // an empty block means the same as none
 			writeBlock(b, s, v.Message(), depth)
 		}
 	}
 }
 
+// writeBlock writes a message as a block or, where its setting has line elements, on one line.
 func writeBlock(b *bytes.Buffer, s *setting, m protoreflect.Message, depth int) {
 	indent := strings.Repeat("  ", depth)
 	schema := schemas[s.field.Message().FullName()]
@@ -173,7 +178,7 @@
 	}
 	b.WriteString(" {\n")
 	unlabeled := *schema
-	if s.labelField != nil { // the label is not said twice
+	if s.labelField != nil { // the label is not written a second time in the block
 		unlabeled.names = nil
 		for _, n := range schema.names {
 			if schema.byName[n].field != s.labelField {
@@ -185,7 +190,7 @@
 	b.WriteString(indent + "}\n")
 }
 
-// formatValue writes one value as it is read.
+// formatValue writes one value as the compiler reads it.
 func formatValue(s *setting, v protoreflect.Value) string {
 	switch s.kind {
 	case kindText:
@@ -200,7 +205,7 @@
 	}
 	switch s.field.Kind() {
 	case protoreflect.Uint32Kind, protoreflect.Uint64Kind:
-		if s.kind == kindCount || v.Uint() > 1<<53 {
+		if s.kind == kindCount || v.Uint() > 1<<53 { // a float64 holds integers exactly up to 1<<53
 			text := strconv.FormatUint(v.Uint(), 10)
 			if s.kind == kindSize {
 				text += "B"
