--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -17,16 +17,16 @@
 	"arrowcleat/internal/settings"
 )
 
-// ReadFunc gives the text of a file; os.ReadFile where files are files.
+// ReadFunc returns the content of a file, for example os.ReadFile.
 type ReadFunc func(path string) ([]byte, error)
 
-// Load reads a file with all that it includes, and compiles it. All that is wrong comes in the order of the files;
-// settings are given where none of it is more than a warning.
+// Load reads a file and the files that it includes, and compiles them. Diagnostics are sorted by file, in the order in
+// which the files were read, then by line and column. Settings are nil if there is an error; warnings alone don't count.
 func Load(path string, read ReadFunc) (*settings.Settings, []*Diagnostic) {
 	c := newCompiler(read)
 	c.include(path, nil, nil)
 	if len(c.diagnostics) == 0 && len(c.statements) == 0 {
-		c.report(c.locate(""), "AC009", "the file says nothing: it is empty, or holds only comments", "docs/language.md begins with the shortest file that runs")
+		c.report(c.locate(""), "AC009", "the file contains no settings: it is empty or has only comments", "docs/language.md begins with the shortest working file")
 	}
 	if len(c.diagnostics) == 0 {
 		c.collectDefinitions()
@@ -44,7 +44,7 @@
 	return c.out, c.diagnostics
 }
 
-// Compile compiles a text that includes nothing from elsewhere but by read.
+// Compile compiles a single text. Including another file is an error.
 func Compile(name string, text []byte) (*settings.Settings, []*Diagnostic) {
 	return Load(name, func(path string) ([]byte, error) {
 		if path == name {
@@ -59,68 +59,73 @@
 		lets: map[string]*definition{}, defines: map[string]*definition{}}
 }
 
+// compiler holds the state of compiling one file and the files that it includes.
 type compiler struct {
 	read        ReadFunc
 	out         *settings.Settings
-	statements  []fileStatement // the statements of all files, in order
-	fileOrder   map[string]int
-	sources     map[string]*source
+	statements  []fileStatement    // of all files, in order, without the includes
+	fileOrder   map[string]int     // by path, from 0
+	sources     map[string]*source // by path with symbolic links resolved
 	lets        map[string]*definition
 	defines     map[string]*definition
-	locations   map[string]location // where each setting of the inner form was written, by its path
+	locations   map[string]location // where each field was written, by its path: operation[1].slo_ms[0]
 	diagnostics []*Diagnostic
 }
 
-// fileStatement is a statement with the file that it stands in.
+// fileStatement is a statement and the file that contains it.
 type fileStatement struct {
 	*statement
 	source *source
 }
 
+// location is a position in a file.
 type location struct {
 	source *source
 	pos    lexer.Position
 }
 
+// definition is a value defined by let, or a block defined by define.
 type definition struct {
 	fileStatement
 	params    []string
-	resolving bool // being looked up: a cycle comes back here
+	resolving bool // while it is being expanded; reaching it again means a cycle
 	used      bool
 }
 
-// scope is what the parameters of a used block stand for.
+// scope holds the parameters of the defined block that is being expanded.
 type scope struct {
 	params map[string]resolvedValue
-	depth  int
+	depth  int // of nested uses
 }
 
-// resolvedValue is a value, with its place, after named values have been put in.
+// resolvedValue is a value after named values and parameters have been replaced.
 type resolvedValue struct {
 	text   string
 	quoted bool
 	at     location
 }
 
-func (c *compiler) report(at location, code, what, fix string) {
-	c.diagnostics = append(c.diagnostics, at.source.diagnostic(at.pos.Line, at.pos.Column, code, what, fix))
+// report adds an error.
+func (c *compiler) report(at location, code, message, fix string) {
+	c.diagnostics = append(c.diagnostics, at.source.diagnostic(at.pos.Line, at.pos.Column, code, message, fix))
 }
 
-// include reads a file and what it includes.
+// include reads a file and the files that it includes. includedBy is the location of the include, nil for the first file;
+// chain is the files on the way to it.
 func (c *compiler) include(path string, includedBy *location, chain []string) {
 	includedFrom := []string{}
 	if includedBy != nil {
 		includedFrom = append([]string{fmt.Sprintf("%s:%d", includedBy.source.name, includedBy.pos.Line)}, includedBy.source.includedFrom...)
 	}
-	real, err := filepath.EvalSymlinks(path)
+	realPath, err := filepath.EvalSymlinks(path)
 	if err != nil {
-		real = path
+		realPath = path
 	}
-	if slices.Contains(chain, real) {
-		c.report(*includedBy, "AC101", "this include comes back to "+path+", which leads here", "remove one of the includes of the loop")
+	if slices.Contains(chain, realPath) {
+		c.report(*includedBy, "AC101", "include cycle: "+path+" includes this file, directly or through other files", "remove one of the includes of the cycle")
 		return
 	}
-	if earlier := c.sources[real]; earlier != nil {
+	if earlier := c.sources[realPath]; earlier != nil {
 		c.report(*includedBy, "AC102", path+" is included twice", "remove this include; the first is at "+strings.Join(earlier.includedFrom[:min(1, len(earlier.includedFrom))], ""))
 		return
 	}
@@ -128,16 +133,16 @@
 	if err != nil {
 		if includedBy == nil {
 			c.diagnostics = append(c.diagnostics, &Diagnostic{File: path, Line: 1, Column: 1, Code: "AC103", Message: "can't be read: " + errorReason(err),
-				Fix: "look at the name and its rights"})
+				Fix: "check the name and the permissions of the file"})
 		} else {
-			c.report(*includedBy, "AC103", path+" can't be read: "+errorReason(err), "look at the name, which starts from the folder of this file, and its rights")
+			c.report(*includedBy, "AC103", path+" can't be read: "+errorReason(err), "check the name, which is relative to the folder of this file, and the permissions")
 		}
 		return
 	}
 	c.fileOrder[path] = len(c.fileOrder)
 	src, syntaxErr := parse(path, text)
 	src.includedFrom = includedFrom
-	c.sources[real] = src
+	c.sources[realPath] = src
 	if syntaxErr != nil {
 		syntaxErr.IncludedFrom = includedFrom
 		c.diagnostics = append(c.diagnostics, syntaxErr)
@@ -167,17 +172,18 @@
 		files := []string{name}
 		if strings.ContainsAny(name, "*?[") {
 			if files, err = filepath.Glob(name); err != nil || len(files) == 0 {
-				c.report(here, "AC103", "no file matches "+name, "look at the pattern, which starts from the folder of this file")
+				c.report(here, "AC103", "no file matches "+name, "check the pattern, which is relative to the folder of this file")
 				continue
 			}
 			slices.Sort(files)
 		}
 		for _, f := range files {
-			c.include(f, &here, append(slices.Clone(chain), real))
+			c.include(f, &here, append(slices.Clone(chain), realPath))
 		}
 	}
 }
 
+// errorReason returns the text of an error without the path, which the message already names.
 func errorReason(err error) string {
 	var p *os.PathError
 	if errors.As(err, &p) {
@@ -186,7 +192,8 @@
 	return err.Error()
 }
 
-// collectDefinitions collects named values and blocks of all files: where they stand does not matter.
+// collectDefinitions collects the named values and blocks of all files and removes them from the statements. A name may
+// be used before its definition.
 func (c *compiler) collectDefinitions() {
 	var settingStatements []fileStatement
 	for _, st := range c.statements {
@@ -202,19 +209,19 @@
 		here := location{st.source, st.Pos}
 		if len(st.Values) == 0 || st.Values[0].Word == "" || !isLetter(st.Values[0].Word[0]) || keyword == "let" && (len(st.Values) < 2 || st.Block != nil) ||
 			keyword == "define" && st.Block == nil {
-			c.report(here, "AC105", keyword+" is not complete", map[string]string{"let": "write let NAME VALUE", "define": "write define NAME PARAMETER... { ... }"}[keyword])
+			c.report(here, "AC105", keyword+" is malformed", map[string]string{"let": "write let NAME VALUE", "define": "write define NAME PARAMETER... { ... }"}[keyword])
 			continue
 		}
 		name := st.Values[0].Word
 		if earlier := definitions[name]; earlier != nil {
-			c.report(location{st.source, st.Values[0].Pos}, "AC106", name+" is defined already", fmt.Sprintf("the other definition is at %s:%d", earlier.source.name, earlier.Pos.Line))
+			c.report(location{st.source, st.Values[0].Pos}, "AC106", name+" is already defined", fmt.Sprintf("the other definition is at %s:%d", earlier.source.name, earlier.Pos.Line))
 			continue
 		}
 		d := &definition{fileStatement: st}
 		if keyword == "define" {
 			for _, v := range st.Values[1:] {
 				if v.Word == "" || !isLetter(v.Word[0]) || slices.Contains(d.params, v.Word) {
-					c.report(location{st.source, v.Pos}, "AC105", "a parameter is a name, each another", "write define NAME PARAMETER... { ... }")
+					c.report(location{st.source, v.Pos}, "AC105", "parameters must be distinct names", "write define NAME PARAMETER... { ... }")
 					continue
 				}
 				d.params = append(d.params, v.Word)
@@ -225,7 +232,7 @@
 	c.statements = settingStatements
 }
 
-// resolveValues puts named values in.
+// resolveValues replaces named values and parameters by what they stand for.
 func (c *compiler) resolveValues(src *source, values []*value, sc scope) (all []resolvedValue, ok bool) {
 	ok = true
 	for _, v := range values {
@@ -252,7 +259,7 @@
 				continue
 			}
 			if d.resolving {
-				c.report(at, "AC108", "the value "+name+" is defined by itself", fmt.Sprintf("give the let at %s:%d a value of its own", d.source.name, d.Pos.Line))
+				c.report(at, "AC108", "the value "+name+" is defined in terms of itself", fmt.Sprintf("give the let at %s:%d a value of its own", d.source.name, d.Pos.Line))
 				ok = false
 				continue
 			}
@@ -268,6 +275,7 @@
 	return all, ok
 }
 
+// definedNames returns the names of definitions, sorted.
 func definedNames(m map[string]*definition) (all []string) {
 	for k := range m {
 		all = append(all, k)
@@ -276,7 +284,7 @@
 	return all
 }
 
-// suggest words the likely fix for a name that is not known.
+// suggest returns the fix for an unknown name: the most similar known name or, if none is similar, the given text.
 func (c *compiler) suggest(name string, known []string, otherwise string) string {
 	slices.Sort(known)
 	if best := settings.Nearest(name, known); best != "" {
@@ -285,7 +293,7 @@
 	return otherwise
 }
 
-// setFields sets the fields of a message from statements.
+// setFields sets the fields of a message from statements. path is the prefix of the field paths.
 func (c *compiler) setFields(stmts []fileStatement, schema *blockSchema, m protoreflect.Message, path string, sc scope) {
 	for _, st := range stmts {
 		here := location{st.source, st.Pos}
@@ -295,15 +303,15 @@
 		}
 		s := schema.byName[st.Name]
 		if s == nil && st.Name == "include" {
-			c.report(here, "AC104", "include stands outside of blocks", "move it there; define and use bring lines into a block")
+			c.report(here, "AC104", "include is not allowed in a block", "move it outside; define and use share statements between blocks")
 			continue
 		}
 		if s == nil {
-			other := "here stand " + strings.Join(schema.names, ", ")
+			allowed := "allowed here: " + strings.Join(schema.names, ", ")
 			if schema == rootSchema {
-				other = "at the top stand let, define, include, " + strings.Join(schema.names, ", ")
+				allowed = "allowed at the top level: let, define, include, " + strings.Join(schema.names, ", ")
 			}
-			c.report(here, "AC201", "no setting is called "+st.Name+" here", c.suggest(st.Name, append(slices.Clone(schema.names), "let", "define", "include", "use"), other))
+			c.report(here, "AC201", "no setting is called "+st.Name+" here", c.suggest(st.Name, append(slices.Clone(schema.names), "let", "define", "include", "use"), allowed))
 			continue
 		}
 		values, ok := c.resolveValues(st.source, st.Values, sc)
@@ -332,16 +340,16 @@
 			}
 			continue
 		}
-		if before, twice := c.locations[fieldPath+"[0]"]; twice {
-			c.report(here, "AC204", st.Name+" is set already", fmt.Sprintf("the other one is at %s:%d", before.source.name, before.pos.Line))
+		if earlier, twice := c.locations[fieldPath+"[0]"]; twice {
+			c.report(here, "AC204", st.Name+" is already set", fmt.Sprintf("the other one is at %s:%d", earlier.source.name, earlier.pos.Line))
 			continue
 		}
 		if len(values) != 1 {
-			like := example(s)
+			suggested := example(s)
 			if len(values) == 2 && slices.ContainsFunc(units[s.kind], func(u unit) bool { return u.name == values[1].text }) {
-				like = values[0].text + values[1].text // a space before the unit
+				suggested = values[0].text + values[1].text // written with a space before the unit
 			}
-			c.report(here, "AC203", fmt.Sprintf("%s takes one value, not %d", st.Name, len(values)), "write "+st.Name+" "+like)
+			c.report(here, "AC203", fmt.Sprintf("%s takes one value, not %d", st.Name, len(values)), "write "+st.Name+" "+suggested)
 			continue
 		}
 		c.locations[fieldPath+"[0]"] = values[0].at
@@ -351,6 +359,7 @@
 	}
 }
 
+// example returns a value that a setting accepts, for messages.
 func example(s *setting) string {
 	if s.kind == kindEnum {
 		return strings.Join(enumNames(s.field.Enum()), " or ")
@@ -358,7 +367,7 @@
 	return kindDescriptions[s.kind][1]
 }
 
-// setBlock sets a block: with a label, in one line, or plain.
+// setBlock sets a message from a block, which may have a label or be written on one line.
 func (c *compiler) setBlock(st fileStatement, s *setting, values []resolvedValue, m protoreflect.Message, path string, sc scope) {
 	here := location{st.source, st.Pos}
 	var sub protoreflect.Message
@@ -372,8 +381,8 @@
 	}
 	path = fmt.Sprintf("%s[%d]", path, index)
 	if !s.field.IsList() {
-		if before, twice := c.locations[path]; twice {
-			c.report(here, "AC204", st.Name+" is set already", fmt.Sprintf("the other one is at %s:%d", before.source.name, before.pos.Line))
+		if earlier, twice := c.locations[path]; twice {
+			c.report(here, "AC204", st.Name+" is already set", fmt.Sprintf("the other one is at %s:%d", earlier.source.name, earlier.pos.Line))
 			return
 		}
 	}
@@ -393,7 +402,7 @@
 			c.locations[path+"."+string(s.labelField.Name())+"[0]"] = values[0].at
 		}
 	} else if len(values) > 0 {
-		c.report(values[0].at, "AC203", st.Name+" takes no value of its own", "put it in the block: "+st.Name+" { ... }")
+		c.report(values[0].at, "AC203", st.Name+" takes no value before its block", "put it inside the block: "+st.Name+" { ... }")
 		return
 	}
 	if st.Block == nil {
@@ -403,6 +412,7 @@
 	c.setFields(c.statementsIn(st.source, st.Block), schema, sub, path+".", sc)
 }
 
+// statementsIn returns the statements of a block, without comments and line breaks.
 func (c *compiler) statementsIn(src *source, b *block) (all []fileStatement) {
 	for _, it := range b.Items {
 		if it.Stmt != nil {
@@ -412,7 +422,7 @@
 	return all
 }
 
-// setOneLineBlock sets a block that is written as the values of one line.
+// setOneLineBlock sets a message from a block that is written as the values of one line.
 func (c *compiler) setOneLineBlock(st fileStatement, s *setting, values []resolvedValue, sub protoreflect.Message, path string) {
 	here := location{st.source, st.Pos}
 	usage := st.Name
@@ -430,7 +440,7 @@
 		required++
 	}
 	if st.Block != nil || len(values) < required || len(values) > len(s.lineElements) {
-		c.report(here, "AC203", st.Name+" is written in one line, with other values than these", "write "+usage)
+		c.report(here, "AC203", st.Name+" has the wrong values, or a block", "write "+usage)
 		return
 	}
 	omitted := len(s.lineElements) - len(values)
@@ -443,7 +453,7 @@
 		values = values[1:]
 		if p.keyword != "" {
 			if v.text != p.keyword {
-				c.report(v.at, "AC203", "here stands "+p.keyword, "write "+usage)
+				c.report(v.at, "AC203", "expected "+p.keyword+" here", "write "+usage)
 				return
 			}
 			continue
@@ -456,9 +466,9 @@
 	}
 }
 
-const maxUseDepth = 20 // blocks used by blocks
+const maxUseDepth = 20 // levels of defined blocks that use others
 
-// expandUse puts the statements of a defined block in the place of the expandUse.
+// expandUse applies the statements of a defined block at the place of its use.
 func (c *compiler) expandUse(st fileStatement, schema *blockSchema, m protoreflect.Message, path string, sc scope) {
 	here := location{st.source, st.Pos}
 	values, ok := c.resolveValues(st.source, st.Values, sc)
@@ -466,12 +476,12 @@
 		return
 	}
 	if len(values) == 0 || st.Block != nil {
-		c.report(here, "AC105", "use is not complete", "write use NAME VALUE...")
+		c.report(here, "AC105", "use is malformed", "write use NAME VALUE...")
 		return
 	}
 	d := c.defines[values[0].text]
 	if d == nil {
-		c.report(values[0].at, "AC107", "no block is defined as "+values[0].text, c.suggest(values[0].text, definedNames(c.defines), "define it: define "+values[0].text+" { ... }"))
+		c.report(values[0].at, "AC107", "no block is named "+values[0].text, c.suggest(values[0].text, definedNames(c.defines), "define it: define "+values[0].text+" { ... }"))
 		return
 	}
 	if len(values)-1 != len(d.params) {
@@ -492,10 +502,10 @@
 	d.resolving = false
 }
 
-// parseValue reads a parseValue as its setting wants it. A unit is part of a figure.
+// parseValue converts a value to the type of its setting's field. A number includes its unit.
 func (c *compiler) parseValue(s *setting, v resolvedValue) (x protoreflect.Value, ok bool) {
-	fail := func(code, what, fix string) (protoreflect.Value, bool) {
-		c.report(v.at, code, what, fix)
+	fail := func(code, message, fix string) (protoreflect.Value, bool) {
+		c.report(v.at, code, message, fix)
 		return x, false
 	}
 	switch s.kind {
@@ -503,13 +513,13 @@
 		return protoreflect.ValueOfString(v.text), true
 	case kindFlag:
 		if v.text != "on" && v.text != "off" {
-			return fail("AC205", s.name+" is on or off, not "+v.text, "write "+s.name+" on")
+			return fail("AC205", s.name+" must be on or off, not "+v.text, "write "+s.name+" on")
 		}
 		return protoreflect.ValueOfBool(v.text == "on"), true
 	case kindEnum:
 		all := enumNames(s.field.Enum())
 		if !slices.Contains(all, v.text) {
-			return fail("AC205", s.name+" is none of its words: "+v.text, c.suggest(v.text, all, "write "+strings.Join(all, " or ")))
+			return fail("AC205", s.name+" has an unknown value: "+v.text, c.suggest(v.text, all, "write "+strings.Join(all, " or ")))
 		}
 		e := s.field.Enum().Values().ByName(protoreflect.Name(strings.ToUpper(strings.ReplaceAll(v.text, "-", "_"))))
 		return protoreflect.ValueOfEnum(e.Number()), true
@@ -518,7 +528,7 @@
 	n, err := strconv.ParseFloat(number, 64)
 	suffix := v.text[len(number):]
 	if err != nil || v.quoted || math.IsInf(n, 0) || strings.ContainsAny(number, "_xX") {
-		return fail("AC206", s.name+" is "+kindDescriptions[s.kind][0]+", not "+v.text, "write "+s.name+" "+kindDescriptions[s.kind][1])
+		return fail("AC206", s.name+" must be "+kindDescriptions[s.kind][0]+", not "+v.text, "write "+s.name+" "+kindDescriptions[s.kind][1])
 	}
 	if list := units[s.kind]; list != nil {
 		i := slices.IndexFunc(list, func(u unit) bool { return u.name == suffix })
@@ -526,10 +536,10 @@
 			return fail(unitCode(suffix), unitMessage(s, v.text, suffix), unitFix(s.kind, number, suffix))
 		}
 		if n = toBaseUnit(number, list[i]); s.kind == kindShare && (n < 0 || n > 1) {
-			return fail("AC209", s.name+" is a share: from 0% to 100%, not "+v.text, "write "+s.name+" 100% for all")
+			return fail("AC209", s.name+" must be a share from 0% to 100%, not "+v.text, "write "+s.name+" 100% for all")
 		}
 	} else if suffix != "" {
-		return fail("AC208", s.name+" is "+kindDescriptions[s.kind][0]+" without a unit, not "+v.text, "write "+s.name+" "+number)
+		return fail("AC208", s.name+" must be "+kindDescriptions[s.kind][0]+" without a unit, not "+v.text, "write "+s.name+" "+number)
 	}
 	switch s.field.Kind() {
 	case protoreflect.DoubleKind:
@@ -540,27 +550,28 @@
 			whole, err = uint64(n), nil
 		}
 		if err != nil || n < 0 {
-			return fail("AC206", s.name+" is a whole number, not "+v.text, "write "+s.name+" 3")
+			return fail("AC206", s.name+" must be a whole number, not "+v.text, "write "+s.name+" 3")
 		}
 		return protoreflect.ValueOfUint64(whole), true
 	}
 	if n != math.Trunc(n) || n < 0 || n > math.MaxUint32 {
-		return fail("AC206", s.name+" is a whole number from 0 on, not "+v.text, "write "+s.name+" "+strconv.Itoa(int(min(max(1, math.Abs(n)), 1e9))))
+		return fail("AC206", s.name+" must be a whole number from 0 to 4294967295, not "+v.text, "write "+s.name+" "+strconv.Itoa(int(min(max(1, math.Abs(n)), 1e9))))
 	}
 	return protoreflect.ValueOfUint32(uint32(n)), true
 }
 
-// toBaseUnit brings a figure to the inner form's unit.
+// toBaseUnit converts a number with a unit to the unit of the protobuf field.
 func toBaseUnit(number string, u unit) float64 {
 	n, err := strconv.ParseFloat(number+u.exponent, 64)
-	if err != nil { // it has a power of ten of its own
+	if err != nil { // the number has an exponent already
 		n, _ = strconv.ParseFloat(number, 64)
-		ten, _ := strconv.ParseFloat("1"+u.exponent, 64)
-		n *= ten
+		power, _ := strconv.ParseFloat("1"+u.exponent, 64)
+		n *= power
 	}
 	return n * u.factor / u.divisor
 }
 
+// unitCode returns the code for a missing or an unknown unit.
 func unitCode(suffix string) string {
 	if suffix == "" {
 		return "AC207"
@@ -568,16 +579,18 @@
 	return "AC208"
 }
 
+// unitMessage returns the message for a missing or an unknown unit.
 func unitMessage(s *setting, text, suffix string) string {
 	if suffix == "" {
 		return s.name + " is " + kindDescriptions[s.kind][0] + " and has no unit: " + text
 	}
 	if suffix == "m" && s.kind == kindTime {
-		return s.name + ": m may be minutes or milliseconds"
+		return s.name + ": m could mean minutes or milliseconds"
 	}
-	return s.name + " is " + kindDescriptions[s.kind][0] + "; " + suffix + " is no unit of that"
+	return s.name + " is " + kindDescriptions[s.kind][0] + "; " + suffix + " is not one of its units"
 }
 
+// unitFix returns the fix for a missing or an unknown unit.
 func unitFix(k kind, number, suffix string) string {
 	for _, u := range units[k] {
 		if strings.EqualFold(u.name, suffix) && suffix != "M" {
@@ -600,21 +613,22 @@
 	return "write " + number + "KiB, " + number + "MiB or " + number + "B"
 }
 
-// checkSettings checks what each value alone can't show, and finds the places of what is wrong.
+// checkSettings checks the settings as a whole: it reports the problems that package settings finds at their locations,
+// with the fix in the terms of the language, then adds warnings.
 func (c *compiler) checkSettings() {
 	for _, p := range settings.Check(c.out) {
 		at := c.locate(p.Path)
 		what, fix, _ := strings.Cut(p.What, "; ")
 		name := displayName(p.Path)
-		switch last := name[strings.LastIndex(name, " ")+1:]; { // the fix in the words of the language
-		case what == "missing" && at.source != nil && c.isWritten(p.Path): // written as 0
+		switch last := name[strings.LastIndex(name, " ")+1:]; { // fixes are reworded in the terms of the language
+		case what == "missing" && at.source != nil && c.isWritten(p.Path): // it was written as 0
 			what = "0 is too little"
 		case strings.HasPrefix(what, "the block is missing"):
 			what, fix = "the block is missing", "write "+last+" { ... }"
 		case p.Code == "AC301" && last == "zones":
 			fix = "name the data centres: write zones NAME..."
 		case p.Code == "AC301" && last == "match":
-			fix = "what calls it? write match GET /path, or match /path/* for any method and all below"
+			fix = "write match GET /path, or match /path/* for any method and all paths below"
 		case p.Code == "AC301" && last == "stage":
 			fix = "describe the stages in order: write stage 10% cap 15%"
 		case p.Code == "AC301" && last == "repeat":
@@ -634,7 +648,7 @@
 	c.warnRules()
 }
 
-// warnUnused finds what is defined and used nowhere; a value that leads nowhere is wrong all the same.
+// warnUnused warns about definitions that are never used. An unused value that can't be resolved is still an error.
 func (c *compiler) warnUnused() {
 	for _, m := range []map[string]*definition{c.lets, c.defines} {
 		for _, name := range definedNames(m) {
@@ -642,17 +656,17 @@
 			if d.used {
 				continue
 			}
-			if fine := true; d.Block == nil {
-				if _, fine = c.resolveValues(d.source, d.Values[1:], scope{}); !fine {
+			if ok := true; d.Block == nil {
+				if _, ok = c.resolveValues(d.source, d.Values[1:], scope{}); !ok {
 					continue
 				}
 			}
-			c.warn(location{d.source, d.Pos}, "AC110", name+" is defined and used nowhere", "remove it")
+			c.warn(location{d.source, d.Pos}, "AC110", name+" is defined but never used", "remove it")
 		}
 	}
 }
 
-// locateSameName finds the operation before one that has its name.
+// locateSameName says where the earlier operation of the same name is.
 func (c *compiler) locateSameName(path string) string {
 	var i int
 	fmt.Sscanf(path, "operation[%d]", &i)
@@ -665,38 +679,40 @@
 	return ""
 }
 
-func (c *compiler) warn(at location, code, what, fix string) {
-	c.report(at, code, what, fix)
+// warn adds a warning.
+func (c *compiler) warn(at location, code, message, fix string) {
+	c.report(at, code, message, fix)
 	c.diagnostics[len(c.diagnostics)-1].Warning = true
 }
 
-// warnShadowedMatches finds matches that come too late: all they match an earlier one has.
+// warnShadowedMatches warns about matches that are never reached, as an earlier one matches the same requests.
 func (c *compiler) warnShadowedMatches() {
-	type seen struct {
+	type operationMatch struct {
 		*settings.Match
-		op string
-		on []string
+		operation string
+		listeners []string
 	}
-	var before []seen
+	var earlier []operationMatch
 	for i, o := range c.out.Operation {
 		for j, m := range o.Match {
-			for _, b := range before {
-				prefix, star := strings.CutSuffix(b.Path, "*")
-				if !coversListeners(b.on, o.Listener) {
+			for _, e := range earlier {
+				prefix, star := strings.CutSuffix(e.Path, "*")
+				if !coversListeners(e.listeners, o.Listener) {
 					continue
 				}
-				if (b.Method == "" || b.Method == m.Method) && (b.Path == m.Path || star && strings.HasPrefix(m.Path, prefix)) {
+				if (e.Method == "" || e.Method == m.Method) && (e.Path == m.Path || star && strings.HasPrefix(m.Path, prefix)) {
 					c.warn(c.locate(fmt.Sprintf("operation[%d].match[%d].path", i, j)), "AC401",
-						o.Name+" can't be reached by "+strings.TrimSpace(m.Method+" "+m.Path)+": "+b.op+" matches it first", "put it before "+b.op)
+						o.Name+" can't be reached by "+strings.TrimSpace(m.Method+" "+m.Path)+": "+e.operation+" matches it first", "put it before "+e.operation)
 					break
 				}
 			}
-			before = append(before, seen{m, o.Name, o.Listener})
+			earlier = append(earlier, operationMatch{m, o.Name, o.Listener})
 		}
 	}
 }
 
-// coversListeners says that what is kept to the first listeners takes all that comes to the others.
+// coversListeners reports whether an operation limited to the earlier listeners also gets every request of the later ones.
+// An empty list stands for all listeners.
 func coversListeners(earlier, later []string) bool {
 	if len(earlier) == 0 {
 		return true
@@ -704,39 +720,39 @@
 	return len(later) > 0 && !slices.ContainsFunc(later, func(l string) bool { return !slices.Contains(earlier, l) })
 }
 
-// warnRules finds settings under which a rule could not be kept, or an operation not be repeated as it says.
+// warnRules warns about settings with which a rule can't be kept, or an operation can't be repeated as its settings say.
 func (c *compiler) warnRules() {
-	r := c.out.Rollout
+	rollout := c.out.Rollout
 	for i, o := range c.out.Operation {
 		at := func(name string) location { return c.locate(fmt.Sprintf("operation[%d].%s", i, name)) }
 		if o.Repeat == settings.Repeat_FINGERPRINTED && o.MemoryMs > 0 && o.MemoryMs < o.LimitMs {
 			c.warn(at("memory_ms"), "AC402", fmt.Sprintf("%s: nodes remember a repeat for %s, less than its time limit of %s", o.Name,
-				formatQuantity(kindTime, o.MemoryMs), formatQuantity(kindTime, o.LimitMs)), "what fails after that can't be sent again")
+				formatQuantity(kindTime, o.MemoryMs), formatQuantity(kindTime, o.LimitMs)), "an invocation that fails after that can't be sent again")
 		}
 	}
-	for i, of := range c.out.Pools() {
-		at := "rollout"
+	for i, pool := range c.out.Pools() {
+		rolloutPath := "rollout"
 		if len(c.out.Pool) > 0 && c.out.Pool[i].Rollout != nil {
-			at = fmt.Sprintf("pool[%d].rollout", i)
+			rolloutPath = fmt.Sprintf("pool[%d].rollout", i)
 		}
-		for _, o := range of.Operation {
-			if o.Repeat != settings.Repeat_IDEMPOTENT && of.Rollout.Shielded == 0 && !c.isWritten(at+"[0].shielded") {
-				c.warn(c.locate(at), "AC405", o.Name+" has an effect and may go to a build in its first stage",
-					"write shielded 1 to keep it out, or shielded 0 to say that it is meant")
+		for _, o := range pool.Operation {
+			if o.Repeat != settings.Repeat_IDEMPOTENT && pool.Rollout.Shielded == 0 && !c.isWritten(rolloutPath+"[0].shielded") {
+				c.warn(c.locate(rolloutPath), "AC405", o.Name+" is not idempotent and may go to a build in its first stage",
+					"write shielded 1 to prevent this, or shielded 0 to allow it")
 				break
 			}
 		}
 	}
-	if len(r.Stage) > 0 && r.Allowance < 1 && r.Stage[0].Cap*r.CountedOverMs < 1 {
-		c.warn(c.locate("rollout.allowance"), "AC403", "with no allowance and so small a first cap a build may never get an invocation", "write allowance 1")
+	if len(rollout.Stage) > 0 && rollout.Allowance < 1 && rollout.Stage[0].Cap*rollout.CountedOverMs < 1 {
+		c.warn(c.locate("rollout.allowance"), "AC403", "without an allowance and with so small a first cap, a build may never get an invocation", "write allowance 1")
 	}
 	if c.out.Times.DialMs >= c.out.Rules.GraceMs && c.out.Rules.GraceMs > 0 {
-		c.warn(c.locate("times.dial_ms"), "AC403", fmt.Sprintf("a connection may open %s after a dispatch, later than the grace of %s for nodes that drain",
-			formatQuantity(kindTime, c.out.Times.DialMs), formatQuantity(kindTime, c.out.Rules.GraceMs)), "write a dial time under the grace")
+		c.warn(c.locate("times.dial_ms"), "AC403", fmt.Sprintf("a connection may open %s after a dispatch, later than the grace of %s for draining nodes",
+			formatQuantity(kindTime, c.out.Times.DialMs), formatQuantity(kindTime, c.out.Rules.GraceMs)), "write a dial time shorter than the grace")
 	}
 }
 
-// locate finds where a setting of the inner form was written, or what it should stand in.
+// locate returns where a field was written or, if it was not, the innermost block around it that was.
 func (c *compiler) locate(path string) location {
 	parts := strings.Split(path, ".")
 	for i := range parts {
@@ -757,32 +773,32 @@
 	return location{&source{}, lexer.Position{Line: 1, Column: 1}}
 }
 
-// isWritten says that a setting itself was isWritten, not only what it stands in.
+// isWritten reports whether a field itself was written, not only the block around it.
 func (c *compiler) isWritten(path string) bool {
 	_, ok := c.locations[path+"[0]"]
 	return ok
 }
 
-// displayName gives a path of the inner form in the words of the language: operation 2, slo-time.
+// displayName returns the path of a field in the terms of the language: operation 2, slo-time.
 func displayName(path string) string {
-	l, out := rootSchema, []string{}
+	schema, names := rootSchema, []string{}
 	for part := range strings.SplitSeq(path, ".") {
 		name, rest, _ := strings.Cut(part, "[")
 		index, _ := strconv.Atoi(strings.TrimSuffix(rest, "]"))
 		word := name
-		for _, s := range l.byName {
+		for _, s := range schema.byName {
 			if string(s.field.Name()) == name {
 				word = s.name
 				if s.field.IsList() && rest != "" {
 					word += " " + strconv.Itoa(index+1)
 				}
 				if s.kind == kindBlock {
-					l = schemas[s.field.Message().FullName()]
+					schema = schemas[s.field.Message().FullName()]
 				}
 				break
 			}
 		}
-		out = append(out, word)
+		names = append(names, word)
 	}
-	return strings.Join(out, ", ")
+	return strings.Join(names, ", ")
 }
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -239,9 +239,9 @@
 	for _, c := range []struct{ old, new, want string }{
 		{"match POST /reminders", "match POST /slots/late", "w.cleat:28:14: warning AC401 reminder can't be reached by POST /slots/late: slot-book matches it first"},
 		{"memory 2.5s", "memory 1s", "w.cleat:21:10: warning AC402 slot-book: nodes remember a repeat for 1s, less than its time limit of 1.5s"},
-		{"dial 300ms", "dial 500ms", "w.cleat:61:8: warning AC403 a connection may open 500ms after a dispatch, later than the grace of 400ms for nodes that drain"},
-		{"shielded 1\n", "", "w.cleat:84:1: warning AC405 slot-book has an effect and may go to a build in its first stage"},
-		{"zones east west", "let spare 5s\nzones east west", "w.cleat:5:1: warning AC110 spare is defined and used nowhere"},
+		{"dial 300ms", "dial 500ms", "w.cleat:61:8: warning AC403 a connection may open 500ms after a dispatch, later than the grace of 400ms for draining nodes"},
+		{"shielded 1\n", "", "w.cleat:84:1: warning AC405 slot-book is not idempotent and may go to a build in its first stage"},
+		{"zones east west", "let spare 5s\nzones east west", "w.cleat:5:1: warning AC110 spare is defined but never used"},
 	} {
 		changed := strings.Replace(string(text), c.old, c.new, 1)
 		set, found := Compile("w.cleat", []byte(changed))
