--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -21,7 +21,7 @@
 type ReadFunc func(path string) ([]byte, error)
 
 // Load reads a file and the files that it includes, and compiles them. Diagnostics are sorted by file, in the order in
-// which the files were read, then by line and column. Settings are nil if there is an error; warnings alone don't count.
+// which the files were read, then by line and column. The settings are nil if one of them is an error; warnings alone leave them usable.
 func Load(path string, read ReadFunc) (*settings.Settings, []*Diagnostic) {
 	c := newCompiler(read)
 	c.include(path, nil, nil)
--- a/internal/lang/examples_test.go
+++ b/internal/lang/examples_test.go
@@ -6,19 +6,19 @@
 	"testing"
 )
 
-// Every example can be used and is formatted.
+// Every example compiles and is formatted.
 func TestExamples(t *testing.T) {
 	files, _ := filepath.Glob("../../examples/*.cleat")
 	if len(files) < 3 {
-		t.Fatal("no examples")
+		t.Fatalf("%d examples found, want at least 3", len(files))
 	}
 	for _, f := range files {
-		if set, found := Load(f, os.ReadFile); set == nil {
-			t.Errorf("%s: %v", f, found)
+		if set, diagnostics := Load(f, os.ReadFile); set == nil {
+			t.Errorf("%s: %v", f, diagnostics)
 		}
 		text, err := os.ReadFile(f)
-		if out, bad := Format(f, text); err != nil || bad != nil || string(out) != string(text) {
-			t.Errorf("%s is not formatted: %v", f, bad)
+		if out, syntaxErr := Format(f, text); err != nil || syntaxErr != nil || string(out) != string(text) {
+			t.Errorf("%s is not formatted: read error %v, syntax error %v", f, err, syntaxErr)
 		}
 	}
 }
--- a/internal/lang/fleet_test.go
+++ b/internal/lang/fleet_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// fleetFiles writes settings of so many operations, five matches each, over a file for each operation and one more.
+// fleetFiles returns settings with the given number of operations, five matches each: one file for each operation and
+// main.cleat, which includes them.
 func fleetFiles(operations int) map[string]string {
 	files := map[string]string{}
 	base := func(name string) string {
@@ -32,6 +33,7 @@
 	return files
 }
 
+// readFrom returns a ReadFunc for files in memory.
 func readFrom(files map[string]string) ReadFunc {
 	return func(path string) ([]byte, error) {
 		if text, ok := files[path]; ok {
@@ -41,59 +43,60 @@
 	}
 }
 
-// A fleet's files of growing size: 40 operations with 200 matches over 41 files, and several times that.
+// BenchmarkFleet measures check, fmt and diff on settings of growing size: 40 operations with 200 matches in 41 files, and
+// two, four and eight times that.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{40, 80, 160, 320} {
 		files := fleetFiles(n)
 		b.Run(fmt.Sprintf("check/%d", n), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				if set, found := Load("main.cleat", readFrom(files)); set == nil || len(set.Operation) != n {
-					b.Fatal(found)
+				if set, diagnostics := Load("main.cleat", readFrom(files)); set == nil || len(set.Operation) != n {
+					b.Fatal(diagnostics)
 				}
 			}
 		})
 		b.Run(fmt.Sprintf("fmt/%d", n), func(b *testing.B) {
 			for b.Loop() {
 				for name, text := range files {
-					if _, bad := Format(name, []byte(text)); bad != nil {
-						b.Fatal(bad)
+					if _, syntaxErr := Format(name, []byte(text)); syntaxErr != nil {
+						b.Fatal(syntaxErr)
 					}
 				}
 			}
 		})
 		set, _ := Load("main.cleat", readFrom(files))
-		other := set.Copy()
-		other.Operation[n/2].LimitMs = 1
+		changed := set.Copy()
+		changed.Operation[n/2].LimitMs = 1
 		b.Run(fmt.Sprintf("diff/%d", n), func(b *testing.B) {
 			for b.Loop() {
-				if len(Diff(set, other)) != 1 {
-					b.Fatal("not one difference")
+				if changes := Diff(set, changed); len(changes) != 1 {
+					b.Fatalf("%d differences, want 1", len(changes))
 				}
 			}
 		})
 	}
 }
 
-// The editor's file kept beside the examples is the one that the schema makes.
+// examples/cleat.vim is up to date with the schema.
 func TestVimIsWritten(t *testing.T) {
 	text, err := os.ReadFile("../../examples/cleat.vim")
 	if err != nil || string(text) != VimSyntax() {
-		t.Errorf("examples/cleat.vim is not what arrowcleat syntax vim writes: %v", err)
+		t.Errorf("examples/cleat.vim differs from the output of arrowcleat syntax vim (read error: %v)", err)
 	}
 }
 
-// The grammar that docs/language.md shows is the parser's own.
+// docs/language.md shows the parser's grammar and names every setting and diagnostic code.
 func TestGrammarIsWritten(t *testing.T) {
 	text, err := os.ReadFile("../../docs/language.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), Grammar()) {
-		t.Errorf("docs/language.md does not hold the grammar:\n%s", Grammar())
+		t.Errorf("docs/language.md does not contain the grammar:\n%s", Grammar())
 	}
-	for _, l := range schemas {
-		for _, name := range l.names {
+	for _, schema := range schemas {
+		for _, name := range schema.names {
 			if !strings.Contains(string(text), "`"+name) {
 				t.Errorf("docs/language.md does not name %s", name)
 			}
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -15,108 +15,112 @@
 	"arrowcleat/internal/settings"
 )
 
-// enterDir reads a folder's files as they are named from enterDir it.
+// enterDir changes to a folder and returns its .cleat files, so that messages name them without the folder.
 func enterDir(t *testing.T, dir string) []string {
 	t.Helper()
 	t.Chdir(dir)
 	files, err := filepath.Glob("*.cleat")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no files", err)
+		t.Fatalf("no .cleat files in %s: %v", dir, err)
 	}
 	return files
 }
 
-// Each broken file has one message, kept beside it; with UPDATE=1 it is written anew, to be read by people.
+// Each invalid file gives exactly one error, whose text is kept in the .want file beside it. UPDATE=1 rewrites the .want
+// files; review the diff.
 func TestBroken(t *testing.T) {
 	files := enterDir(t, "testdata/bad")
 	if len(files) < 80 {
-		t.Errorf("%d files", len(files))
+		t.Errorf("%d files, want at least 80", len(files))
 	}
 	for _, f := range files {
-		set, found := Load(f, os.ReadFile)
-		wrong := 0
+		set, diagnostics := Load(f, os.ReadFile)
+		failures := 0
 		var got strings.Builder
-		for _, d := range found {
+		for _, d := range diagnostics {
 			if !d.Warning {
-				wrong++
+				failures++
 				fmt.Fprintln(&got, d)
 				if explanations[d.Code] == "" {
-					t.Errorf("%s: %s is explained nowhere", f, d.Code)
+					t.Errorf("%s: code %s has no explanation", f, d.Code)
 				}
 			}
 		}
-		if set != nil || wrong != 1 {
-			t.Errorf("%s: %d messages: %s", f, wrong, got.String())
+		if set != nil || failures != 1 {
+			t.Errorf("%s: %d errors, want 1 and no settings: %s", f, failures, got.String())
 		}
 		want := strings.TrimSuffix(f, "cleat") + "want"
 		if os.Getenv("UPDATE") != "" {
 			os.WriteFile(want, []byte(got.String()), 0o644)
 		}
 		if text, err := os.ReadFile(want); err != nil || string(text) != got.String() {
-			t.Errorf("%s:\n%s\nnot\n%s", f, got.String(), text)
+			t.Errorf("%s: got\n%s\nwant\n%s", f, got.String(), text)
 		}
 	}
 }
 
-// Each good file compiles to what is kept beside it, formatted or not; formatted twice it is as formatted once.
+// Each valid file compiles to the settings in the .want file beside it. Formatting changes neither its meaning nor its
+// comments and is idempotent; decompiling and compiling again gives the same settings.
 func TestGood(t *testing.T) {
 	files := enterDir(t, "testdata/good")
 	if len(files) < 30 {
-		t.Errorf("%d files", len(files))
+		t.Errorf("%d files, want at least 30", len(files))
 	}
 	for _, f := range files {
-		set, found := Load(f, os.ReadFile)
-		if set == nil || len(found) > 0 {
-			t.Errorf("%s: %v", f, found)
+		set, diagnostics := Load(f, os.ReadFile)
+		if set == nil || len(diagnostics) > 0 {
+			t.Errorf("%s: %v", f, diagnostics)
 			continue
 		}
 		want := strings.TrimSuffix(f, "cleat") + "want"
 		var got bytes.Buffer
-		for _, c := range Diff(&settings.Settings{}, set) { // one line a setting, whatever the writer of protobuf text does
+		for _, c := range Diff(&settings.Settings{}, set) { // one line per setting; protobuf text output is not stable
 			fmt.Fprintln(&got, c.Name, c.To)
 		}
 		if os.Getenv("UPDATE") != "" {
 			os.WriteFile(want, got.Bytes(), 0o644)
 		}
 		if text, err := os.ReadFile(want); err != nil || !bytes.Equal(text, got.Bytes()) {
-			t.Errorf("%s compiles to\n%s", f, got.String())
+			t.Errorf("%s: got\n%s\nwant\n%s", f, got.String(), text)
 		}
 		text, _ := os.ReadFile(f)
-		once, bad := Format(f, text)
-		if bad != nil {
-			t.Fatal(bad)
+		once, syntaxErr := Format(f, text)
+		if syntaxErr != nil {
+			t.Fatal(syntaxErr)
 		}
 		if twice, _ := Format(f, once); !bytes.Equal(once, twice) {
-			t.Errorf("%s formatted twice:\n%s\nonce:\n%s", f, twice, once)
+			t.Errorf("%s: formatting again changes it from\n%s\nto\n%s", f, once, twice)
 		}
-		again, _ := Load(f, func(path string) ([]byte, error) {
+		reloaded, _ := Load(f, func(path string) ([]byte, error) {
 			if path == f {
 				return once, nil
 			}
 			return os.ReadFile(path)
 		})
-		if !proto.Equal(set, again) {
-			t.Errorf("%s formatted means something else: %v", f, Diff(set, again))
+		if !proto.Equal(set, reloaded) {
+			t.Errorf("%s: formatting changes the settings: %v", f, Diff(set, reloaded))
 		}
 		if got, want := bytes.Count(once, []byte("#")), bytes.Count(text, []byte("#")); got != want {
-			t.Errorf("%s: %d comments of %d are left", f, got, want)
+			t.Errorf("%s: formatting leaves %d of %d comments", f, got, want)
 		}
-		back, found := Compile("back.cleat", Decompile(set))
-		if !proto.Equal(set, back) {
-			t.Errorf("%s decompiled means something else: %v %v", f, found, Diff(set, back))
+		recompiled, diagnostics := Compile("back.cleat", Decompile(set))
+		if !proto.Equal(set, recompiled) {
+			t.Errorf("%s: decompiling changes the settings: %v %v", f, diagnostics, Diff(set, recompiled))
 		}
 	}
 }
 
+// loadBase returns valid settings to be changed by a test.
 func loadBase(t testing.TB) *settings.Settings {
-	set, found := Load("testdata/good/includes.cleat", os.ReadFile)
+	set, diagnostics := Load("testdata/good/includes.cleat", os.ReadFile)
 	if set == nil {
-		t.Fatal(found)
+		t.Fatal(diagnostics)
 	}
 	return set
 }
 
-// changeRandomField sets one field of a message, anywhere in it, to something else, and gives its name.
+// changeRandomField changes one random field of a message, at any depth, and returns its name; empty if nothing was
+// changed.
 func changeRandomField(t *rapid.T, m protoreflect.Message) string {
 	var fields []protoreflect.FieldDescriptor
 	m.Range(func(f protoreflect.FieldDescriptor, _ protoreflect.Value) bool {
@@ -151,48 +155,49 @@
 	case protoreflect.Uint64Kind:
 		m.Set(f, protoreflect.ValueOfUint64(v.Uint()+rapid.Uint64Min(1).Draw(t, "by")))
 	default:
-		x := rapid.Float64Range(0.0001, 0.9999).Draw(t, "figure")
-		if x == v.Float() {
-			x /= 2
+		number := rapid.Float64Range(0.0001, 0.9999).Draw(t, "number")
+		if number == v.Float() {
+			number /= 2
 		}
-		m.Set(f, protoreflect.ValueOfFloat64(x))
+		m.Set(f, protoreflect.ValueOfFloat64(number))
 	}
 	return string(f.Name())
 }
 
-// A share is written so that it reads back as the same, also where a hundred times it would round.
+// A share is written so that it reads back as exactly the same number, even where multiplying it by 100 would round.
 func TestSharesReadBack(t *testing.T) {
 	for text, v := range map[string]float64{"64.00000154972094%": 0.6400000154972094, "0.5%": 0.005, "25%": 0.25, "100%": 1, "0%": 0,
 		"150%": 1.5, "0.00001%": 1e-7} {
 		if got := formatQuantity(kindShare, v); got != text || toBaseUnit(strings.TrimSuffix(got, "%"), units[kindShare][0]) != v {
-			t.Errorf("%v is written as %s", v, got)
+			t.Errorf("%v is written as %s, want %s", v, got, text)
 		}
 	}
 }
 
-// Diff finds every single field that changes, and nothing where nothing does; what is decompiled reads as the same.
+// Diff finds a change of any single field, and no change between equal settings. Changed settings decompile and compile to
+// the same settings.
 func TestDiffAndDecompile(t *testing.T) {
 	set := loadBase(t)
-	if d := Diff(set, set.Copy()); len(d) > 0 {
-		t.Errorf("of itself it differs in %v", d)
+	if changes := Diff(set, set.Copy()); len(changes) > 0 {
+		t.Errorf("equal settings differ: %v", changes)
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		other := set.Copy()
-		name := changeRandomField(t, other.ProtoReflect())
+		changed := set.Copy()
+		name := changeRandomField(t, changed.ProtoReflect())
 		if name == "" {
 			t.Skip("nothing to change")
 		}
-		d := Diff(set, other)
-		if len(d) == 0 {
-			t.Fatalf("a change of %s is not found", name)
+		changes := Diff(set, changed)
+		if len(changes) == 0 {
+			t.Fatalf("the change of %s is not found", name)
 		}
-		if len(d) > 1 && name != "name" {
-			t.Fatalf("one change of %s is told as %v", name, d)
+		if len(changes) > 1 && name != "name" {
+			t.Fatalf("one change of %s is reported as %v", name, changes)
 		}
 		c := newCompiler(os.ReadFile)
-		s, bad := parse("d.cleat", Decompile(other))
-		if bad != nil {
-			t.Fatal(bad)
+		s, syntaxErr := parse("d.cleat", Decompile(changed))
+		if syntaxErr != nil {
+			t.Fatal(syntaxErr)
 		}
 		for _, it := range s.tree.Items {
 			if it.Stmt != nil {
@@ -201,13 +206,13 @@
 		}
 		c.setFields(c.statements, rootSchema, c.out.ProtoReflect(), "", scope{})
 		settings.Check(c.out) // fills in empty blocks
-		if len(c.diagnostics) > 0 || !proto.Equal(c.out, other) {
-			t.Fatalf("decompiled it reads as something else: %v %v\n%v\n%v", c.diagnostics, Diff(other, c.out), other, c.out)
+		if len(c.diagnostics) > 0 || !proto.Equal(c.out, changed) {
+			t.Fatalf("decompiling changes the settings: %v %v\n%v\n%v", c.diagnostics, Diff(changed, c.out), changed, c.out)
 		}
 	})
 }
 
-// What diff says of the matters that people care for.
+// Each kind of change has the expected text.
 func TestDiffSays(t *testing.T) {
 	set := loadBase(t)
 	for _, c := range []struct {
@@ -222,15 +227,15 @@
 		{func(s *settings.Settings) { s.Log.Level = "debug" }, "log: level info -> debug"},
 		{func(s *settings.Settings) { s.Zone = s.Zone[:1] }, "zones east west -> east"},
 	} {
-		other := set.Copy()
-		c.change(other)
-		if d := Diff(set, other); len(d) != 1 || d[0].String() != c.want {
-			t.Errorf("%v\nnot\n%s", d, c.want)
+		changed := set.Copy()
+		c.change(changed)
+		if changes := Diff(set, changed); len(changes) != 1 || changes[0].String() != c.want {
+			t.Errorf("got %v\nwant %s", changes, c.want)
 		}
 	}
 }
 
-// What is odd but may be meant is a warning, with its place, and the settings can be used.
+// A questionable setting gives a warning with its location, and the settings are still returned.
 func TestWarnings(t *testing.T) {
 	text, err := os.ReadFile("testdata/good/plain.cleat")
 	if err != nil {
@@ -244,16 +249,16 @@
 		{"zones east west", "let spare 5s\nzones east west", "w.cleat:5:1: warning AC110 spare is defined but never used"},
 	} {
 		changed := strings.Replace(string(text), c.old, c.new, 1)
-		set, found := Compile("w.cleat", []byte(changed))
-		if changed == string(text) || set == nil || len(found) != 1 {
-			t.Errorf("%q for %q: %v", c.new, c.old, found)
-		} else if got, _, _ := strings.Cut(found[0].Error(), "\n"); got != c.want {
-			t.Errorf("%s\nnot\n%s", got, c.want)
+		set, diagnostics := Compile("w.cleat", []byte(changed))
+		if changed == string(text) || set == nil || len(diagnostics) != 1 {
+			t.Errorf("%q replaced by %q: %v, want one warning and settings", c.old, c.new, diagnostics)
+		} else if got, _, _ := strings.Cut(diagnostics[0].Error(), "\n"); got != c.want {
+			t.Errorf("got %s\nwant %s", got, c.want)
 		}
 	}
 }
 
-// No text makes the parser, the compiler or the formatter panic; formatted, a text is formatted and means the same.
+// No text makes the parser, the compiler or the formatter panic. Formatting is idempotent and doesn't change the meaning.
 func FuzzText(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*/*.cleat")
 	for _, file := range files {
@@ -262,22 +267,22 @@
 		}
 	}
 	f.Fuzz(func(t *testing.T, text []byte) {
-		set, found := Compile("f.cleat", text)
-		for _, d := range found {
+		set, diagnostics := Compile("f.cleat", text)
+		for _, d := range diagnostics {
 			if d.Line < 1 || d.Column < 1 || explanations[d.Code] == "" || d.Error() == "" {
-				t.Fatalf("%+v", d)
+				t.Fatalf("incomplete diagnostic: %+v", d)
 			}
 		}
-		once, bad := Format("f.cleat", text)
-		if bad != nil {
+		once, syntaxErr := Format("f.cleat", text)
+		if syntaxErr != nil {
 			return
 		}
-		twice, bad := Format("f.cleat", once)
-		if bad != nil || !bytes.Equal(once, twice) {
-			t.Fatalf("%q is formatted as %q, then as %q, %v", text, once, twice, bad)
+		twice, syntaxErr := Format("f.cleat", once)
+		if syntaxErr != nil || !bytes.Equal(once, twice) {
+			t.Fatalf("%q is formatted as %q, then as %q, %v", text, once, twice, syntaxErr)
 		}
-		if again, _ := Compile("f.cleat", once); (set == nil) != (again == nil) || set != nil && !proto.Equal(set, again) {
-			t.Fatalf("%q formatted means something else", text)
+		if recompiled, _ := Compile("f.cleat", once); (set == nil) != (recompiled == nil) || set != nil && !proto.Equal(set, recompiled) {
+			t.Fatalf("formatting changes the meaning of %q", text)
 		}
 	})
 }
