--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -21,7 +21,7 @@
 type ReadFunc func(path string) ([]byte, error)
 
 // Load reads a file and the files that it includes, and compiles them. Diagnostics are sorted by file, in the order in
-// which the files were read, then by line and column. The settings are nil if one of them is an error; warnings alone leave them usable.
+// which the files were read, then by line and column. The settings are nil if any diagnostic is an error, not a warning.
 func Load(path string, read ReadFunc) (*settings.Settings, []*Diagnostic) {
 	c := newCompiler(read)
 	c.include(path, nil, nil)
@@ -110,8 +110,8 @@
 	c.diagnostics = append(c.diagnostics, at.source.diagnostic(at.pos.Line, at.pos.Column, code, message, fix))
 }
 
-// include reads a file and the files that it includes. includedBy is the location of the include, nil for the first file;
-// chain is the files on the way to it.
+// include reads a file and the files that it includes. includedBy is the location of the include, nil for the first
+// file; chain is the files on the way to it.
 func (c *compiler) include(path string, includedBy *location, chain []string) {
 	includedFrom := []string{}
 	if includedBy != nil {
@@ -711,8 +711,8 @@
 	}
 }
 
-// coversListeners reports whether an operation limited to the earlier listeners also gets every request of the later ones.
-// An empty list stands for all listeners.
+// coversListeners reports whether an operation limited to the earlier listeners also gets every request of the later
+// ones. An empty list stands for all listeners.
 func coversListeners(earlier, later []string) bool {
 	if len(earlier) == 0 {
 		return true
@@ -720,7 +720,8 @@
 	return len(later) > 0 && !slices.ContainsFunc(later, func(l string) bool { return !slices.Contains(earlier, l) })
 }
 
-// warnRules warns about settings with which a rule can't be kept, or an operation can't be repeated as its settings say.
+// warnRules warns about settings with which a rule can't be kept, or an operation can't be repeated as its settings
+// say.
 func (c *compiler) warnRules() {
 	rollout := c.out.Rollout
 	for i, o := range c.out.Operation {
--- a/internal/lang/fleet_test.go
+++ b/internal/lang/fleet_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// BenchmarkFleet measures check, fmt and diff on settings of growing size: 40 operations with 200 matches in 41 files, and
-// two, four and eight times that.
+// BenchmarkFleet measures check, fmt and diff on settings of growing size: 40 operations with 200 matches in 41 files,
+// and two, four and eight times that.
 func BenchmarkFleet(b *testing.B) {
 	for _, n := range []int{40, 80, 160, 320} {
 		files := fleetFiles(n)
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -26,8 +26,8 @@
 	return files
 }
 
-// Each invalid file gives exactly one error, whose text is kept in the .want file beside it. UPDATE=1 rewrites the .want
-// files; review the diff.
+// Each invalid file gives exactly one error, whose text is kept in the .want file beside it. UPDATE=1 rewrites the
+// .want files; review the diff.
 func TestBroken(t *testing.T) {
 	files := enterDir(t, "testdata/bad")
 	if len(files) < 80 {
@@ -174,8 +174,8 @@
 	}
 }
 
-// Diff finds a change of any single field, and no change between equal settings. Changed settings decompile and compile to
-// the same settings.
+// Diff finds a change of any single field, and no change between equal settings. Changed settings decompile and compile
+// to the same settings.
 func TestDiffAndDecompile(t *testing.T) {
 	set := loadBase(t)
 	if changes := Diff(set, set.Copy()); len(changes) > 0 {
@@ -258,7 +258,7 @@
 	}
 }
 
-// No text makes the parser, the compiler or the formatter panic. Formatting is idempotent and doesn't change the meaning.
+// No text makes the parser, the compiler or the formatter panic. Formatting is idempotent and keeps the meaning.
 func FuzzText(f *testing.F) {
 	files, _ := filepath.Glob("testdata/*/*.cleat")
 	for _, file := range files {
--- a/internal/lang/parse.go
+++ b/internal/lang/parse.go
@@ -13,8 +13,8 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-// file is the syntax tree of one file, with comments and line breaks. The names of this type and of those below appear in
-// the grammar that docs/language.md shows (see Grammar).
+// file is the syntax tree of one file, with comments and line breaks. The names of this type and of those below appear
+// in the grammar that docs/language.md shows (see Grammar).
 type file struct {
 	Items []*item `parser:"@@*"`
 }
