--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -21,7 +21,7 @@
 type ReadFunc func(path string) ([]byte, error)
 
 // Load reads a file and the files that it includes, and compiles them. Diagnostics are sorted by file, in the order in
-// which the files were read, then by line and column. The settings are nil if any diagnostic is an error, not a warning.
+// which the files were read, then by line and column. The settings are nil if any diagnostic is more than a warning.
 func Load(path string, read ReadFunc) (*settings.Settings, []*Diagnostic) {
 	c := newCompiler(read)
 	c.include(path, nil, nil)
@@ -453,7 +453,7 @@
 		values = values[1:]
 		if p.keyword != "" {
 			if v.text != p.keyword {
-				c.report(v.at, "AC203", "expected "+p.keyword+" here", "write "+usage)
+				c.report(v.at, "AC203", "expected "+p.keyword, "write "+usage)
 				return
 			}
 			continue
