--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -637,7 +637,7 @@
 			fix = "describe it: write pool NAME { roster { ... } }"
 		case p.Code == "AC301" && strings.HasSuffix(what, "at the top: write "+last+" { ... }"), strings.Contains(what, "here and at the top"):
 			what, fix = "the block is missing, here and at the top", "write "+last+" { ... }"
-		case p.Code == "AC306" && !strings.HasPrefix(p.Path, "operation"):
+		case p.Code == "AC306" && !strings.HasPrefix(p.Path, "operation"): // the text of package settings is kept
 		case p.Code == "AC306" && strings.HasSuffix(p.Path, ".name"):
 			what, fix = "another operation has this name", c.locateSameName(p.Path)
 		}
