--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -17,34 +17,34 @@
 	"arrowcleat/internal/settings"
 )
 
-// Reader gives the text of a file; os.ReadFile where files are files.
-type Reader func(path string) ([]byte, error)
+// ReadFunc returns the content of a file, for example os.ReadFile.
+type ReadFunc func(path string) ([]byte, error)
 
-// Load reads a file with all that it includes, and compiles it. All that is wrong comes in the order of the files;
-// settings are given where none of it is more than a warning.
-func Load(path string, read Reader) (*settings.Settings, []*Diagnostic) {
+// Load reads a file and the files that it includes, and compiles them. Diagnostics are sorted by file, in the order in
+// which the files were read, then by line and column. The settings are nil if any diagnostic is more than a warning.
+func Load(path string, read ReadFunc) (*settings.Settings, []*Diagnostic) {
 	c := newCompiler(read)
 	c.include(path, nil, nil)
-	if len(c.found) == 0 && len(c.all) == 0 {
-		c.say(c.place(""), "AC009", "the file says nothing: it is empty, or holds only comments", "docs/language.md begins with the shortest file that runs")
+	if len(c.diagnostics) == 0 && len(c.statements) == 0 {
+		c.report(c.locate(""), "AC009", "the file contains no settings: it is empty or has only comments", "docs/language.md begins with the shortest working file")
 	}
-	if len(c.found) == 0 {
-		c.names()
-		c.block(c.all, top, c.out.ProtoReflect(), "", scope{})
+	if len(c.diagnostics) == 0 {
+		c.collectDefinitions()
+		c.setFields(c.statements, rootSchema, c.out.ProtoReflect(), "", scope{})
 	}
-	if len(c.found) == 0 {
-		c.meaning()
+	if len(c.diagnostics) == 0 {
+		c.checkSettings()
 	}
-	slices.SortStableFunc(c.found, func(a, b *Diagnostic) int {
-		return cmp.Or(cmp.Compare(c.order[a.File], c.order[b.File]), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
+	slices.SortStableFunc(c.diagnostics, func(a, b *Diagnostic) int {
+		return cmp.Or(cmp.Compare(c.fileOrder[a.File], c.fileOrder[b.File]), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
-	if slices.ContainsFunc(c.found, func(d *Diagnostic) bool { return !d.Warning }) {
-		return nil, c.found
+	if slices.ContainsFunc(c.diagnostics, func(d *Diagnostic) bool { return !d.Warning }) {
+		return nil, c.diagnostics
 	}
-	return c.out, c.found
+	return c.out, c.diagnostics
 }
 
-// Compile compiles a text that includes nothing from elsewhere but by read.
+// Compile compiles a single text. Including another file is an error.
 func Compile(name string, text []byte) (*settings.Settings, []*Diagnostic) {
 	return Load(name, func(path string) ([]byte, error) {
 		if path == name {
@@ -54,107 +54,112 @@
 	})
 }
 
-func newCompiler(read Reader) *compiler {
-	return &compiler{read: read, out: &settings.Settings{}, order: map[string]int{}, at: map[string]place{}, sources: map[string]*source{},
+func newCompiler(read ReadFunc) *compiler {
+	return &compiler{read: read, out: &settings.Settings{}, fileOrder: map[string]int{}, locations: map[string]location{}, sources: map[string]*source{},
 		lets: map[string]*definition{}, defines: map[string]*definition{}}
 }
 
+// compiler holds the state of compiling one file and the files that it includes.
 type compiler struct {
-	read    Reader
-	out     *settings.Settings
-	all     []placed // the statements of all files, in order
-	order   map[string]int
-	sources map[string]*source
-	lets    map[string]*definition
-	defines map[string]*definition
-	at      map[string]place // where each setting of the inner form was written, by its path
-	found   []*Diagnostic
-}
-
-// placed is a statement with the file that it stands in.
-type placed struct {
+	read        ReadFunc
+	out         *settings.Settings
+	statements  []fileStatement    // of all files, in order, without the includes
+	fileOrder   map[string]int     // by path, from 0
+	sources     map[string]*source // by path with symbolic links resolved
+	lets        map[string]*definition
+	defines     map[string]*definition
+	locations   map[string]location // where each field was written, by its path: operation[1].slo_ms[0]
+	diagnostics []*Diagnostic
+}
+
+// fileStatement is a statement and the file that contains it.
+type fileStatement struct {
 	*statement
-	in *source
+	source *source
 }
 
-type place struct {
-	in  *source
-	pos lexer.Position
+// location is a position in a file.
+type location struct {
+	source *source
+	pos    lexer.Position
 }
 
+// definition is a value defined by let, or a block defined by define.
 type definition struct {
-	placed
-	params []string
-	busy   bool // being looked up: a cycle comes back here
-	used   bool
+	fileStatement
+	params    []string
+	resolving bool // while it is being expanded; reaching it again means a cycle
+	used      bool
 }
 
-// scope is what the parameters of a used block stand for.
+// scope holds the parameters of the defined block that is being expanded.
 type scope struct {
-	params map[string]word
-	depth  int
+	params map[string]resolvedValue
+	depth  int // of nested uses
 }
 
-// word is a value, with its place, after named values have been put in.
-type word struct {
+// resolvedValue is a value after named values and parameters have been replaced.
+type resolvedValue struct {
 	text   string
 	quoted bool
-	at     place
+	at     location
 }
 
-func (c *compiler) say(at place, code, what, fix string) {
-	c.found = append(c.found, at.in.at(at.pos.Line, at.pos.Column, code, what, fix))
+// report adds an error.
+func (c *compiler) report(at location, code, message, fix string) {
+	c.diagnostics = append(c.diagnostics, at.source.diagnostic(at.pos.Line, at.pos.Column, code, message, fix))
 }
 
-// include reads a file and what it includes.
-func (c *compiler) include(path string, by *place, chain []string) {
-	from := []string{}
-	if by != nil {
-		from = append([]string{fmt.Sprintf("%s:%d", by.in.name, by.pos.Line)}, by.in.from...)
+// include reads a file and the files that it includes. includedBy is the location of the include, nil for the first
+// file; chain is the files on the way to it.
+func (c *compiler) include(path string, includedBy *location, chain []string) {
+	includedFrom := []string{}
+	if includedBy != nil {
+		includedFrom = append([]string{fmt.Sprintf("%s:%d", includedBy.source.name, includedBy.pos.Line)}, includedBy.source.includedFrom...)
 	}
-	real, err := filepath.EvalSymlinks(path)
+	realPath, err := filepath.EvalSymlinks(path)
 	if err != nil {
-		real = path
+		realPath = path
 	}
-	if slices.Contains(chain, real) {
-		c.say(*by, "AC101", "this include comes back to "+path+", which leads here", "remove one of the includes of the loop")
+	if slices.Contains(chain, realPath) {
+		c.report(*includedBy, "AC101", "include cycle: "+path+" includes this file, directly or through other files", "remove one of the includes of the cycle")
 		return
 	}
-	if before := c.sources[real]; before != nil {
-		c.say(*by, "AC102", path+" is included twice", "remove this include; the first is at "+strings.Join(before.from[:min(1, len(before.from))], ""))
+	if earlier := c.sources[realPath]; earlier != nil {
+		c.report(*includedBy, "AC102", path+" is included twice", "remove this include; the first is at "+strings.Join(earlier.includedFrom[:min(1, len(earlier.includedFrom))], ""))
 		return
 	}
 	text, err := c.read(path)
 	if err != nil {
-		if by == nil {
-			c.found = append(c.found, &Diagnostic{File: path, Line: 1, Column: 1, Code: "AC103", What: "can't be read: " + reason(err),
-				Fix: "look at the name and its rights"})
+		if includedBy == nil {
+			c.diagnostics = append(c.diagnostics, &Diagnostic{File: path, Line: 1, Column: 1, Code: "AC103", Message: "can't be read: " + errorReason(err),
+				Fix: "check the name and the permissions of the file"})
 		} else {
-			c.say(*by, "AC103", path+" can't be read: "+reason(err), "look at the name, which starts from the folder of this file, and its rights")
+			c.report(*includedBy, "AC103", path+" can't be read: "+errorReason(err), "check the name, which is relative to the folder of this file, and the permissions")
 		}
 		return
 	}
-	c.order[path] = len(c.order)
-	s, bad := parse(path, text)
-	s.from = from
-	c.sources[real] = s
-	if bad != nil {
-		bad.From = from
-		c.found = append(c.found, bad)
+	c.fileOrder[path] = len(c.fileOrder)
+	src, syntaxErr := parse(path, text)
+	src.includedFrom = includedFrom
+	c.sources[realPath] = src
+	if syntaxErr != nil {
+		syntaxErr.IncludedFrom = includedFrom
+		c.diagnostics = append(c.diagnostics, syntaxErr)
 		return
 	}
-	for _, it := range s.tree.Items {
+	for _, it := range src.tree.Items {
 		if it.Stmt == nil {
 			continue
 		}
-		st := placed{it.Stmt, s}
+		st := fileStatement{it.Stmt, src}
 		if st.Name != "include" {
-			c.all = append(c.all, st)
+			c.statements = append(c.statements, st)
 			continue
 		}
-		here := place{s, st.Pos}
+		here := location{src, st.Pos}
 		if len(st.Values) != 1 || st.Values[0].Var != "" || st.Block != nil {
-			c.say(here, "AC104", "include takes one file or pattern", `write include "pools/*.cleat"`)
+			c.report(here, "AC104", "include takes one file or pattern", `write include "pools/*.cleat"`)
 			continue
 		}
 		name := st.Values[0].Word
@@ -167,18 +172,19 @@
 		files := []string{name}
 		if strings.ContainsAny(name, "*?[") {
 			if files, err = filepath.Glob(name); err != nil || len(files) == 0 {
-				c.say(here, "AC103", "no file matches "+name, "look at the pattern, which starts from the folder of this file")
+				c.report(here, "AC103", "no file matches "+name, "check the pattern, which is relative to the folder of this file")
 				continue
 			}
 			slices.Sort(files)
 		}
 		for _, f := range files {
-			c.include(f, &here, append(slices.Clone(chain), real))
+			c.include(f, &here, append(slices.Clone(chain), realPath))
 		}
 	}
 }
 
-func reason(err error) string {
+// errorReason returns the text of an error without the path, which the message already names.
+func errorReason(err error) string {
 	var p *os.PathError
 	if errors.As(err, &p) {
 		return p.Err.Error()
@@ -186,89 +192,91 @@
 	return err.Error()
 }
 
-// names collects named values and blocks of all files: where they stand does not matter.
-func (c *compiler) names() {
-	var rest []placed
-	for _, st := range c.all {
-		into, what := c.lets, "let"
+// collectDefinitions collects the named values and blocks of all files and removes them from the statements. A name may
+// be used before its definition.
+func (c *compiler) collectDefinitions() {
+	var settingStatements []fileStatement
+	for _, st := range c.statements {
+		definitions, keyword := c.lets, "let"
 		switch st.Name {
 		case "let":
 		case "define":
-			into, what = c.defines, "define"
+			definitions, keyword = c.defines, "define"
 		default:
-			rest = append(rest, st)
+			settingStatements = append(settingStatements, st)
 			continue
 		}
-		here := place{st.in, st.Pos}
-		if len(st.Values) == 0 || st.Values[0].Word == "" || !letter(st.Values[0].Word[0]) || what == "let" && (len(st.Values) < 2 || st.Block != nil) ||
-			what == "define" && st.Block == nil {
-			c.say(here, "AC105", what+" is not complete", map[string]string{"let": "write let NAME VALUE", "define": "write define NAME PARAMETER... { ... }"}[what])
+		here := location{st.source, st.Pos}
+		if len(st.Values) == 0 || st.Values[0].Word == "" || !isLetter(st.Values[0].Word[0]) || keyword == "let" && (len(st.Values) < 2 || st.Block != nil) ||
+			keyword == "define" && st.Block == nil {
+			c.report(here, "AC105", keyword+" is malformed", map[string]string{"let": "write let NAME VALUE", "define": "write define NAME PARAMETER... { ... }"}[keyword])
 			continue
 		}
 		name := st.Values[0].Word
-		if before := into[name]; before != nil {
-			c.say(place{st.in, st.Values[0].Pos}, "AC106", name+" is defined already", fmt.Sprintf("the other definition is at %s:%d", before.in.name, before.Pos.Line))
+		if earlier := definitions[name]; earlier != nil {
+			c.report(location{st.source, st.Values[0].Pos}, "AC106", name+" is already defined", fmt.Sprintf("the other definition is at %s:%d", earlier.source.name, earlier.Pos.Line))
 			continue
 		}
-		d := &definition{placed: st}
-		if what == "define" {
+		d := &definition{fileStatement: st}
+		if keyword == "define" {
 			for _, v := range st.Values[1:] {
-				if v.Word == "" || !letter(v.Word[0]) || slices.Contains(d.params, v.Word) {
-					c.say(place{st.in, v.Pos}, "AC105", "a parameter is a name, each another", "write define NAME PARAMETER... { ... }")
+				if v.Word == "" || !isLetter(v.Word[0]) || slices.Contains(d.params, v.Word) {
+					c.report(location{st.source, v.Pos}, "AC105", "parameters must be distinct names", "write define NAME PARAMETER... { ... }")
 					continue
 				}
 				d.params = append(d.params, v.Word)
 			}
 		}
-		into[name] = d
+		definitions[name] = d
 	}
-	c.all = rest
+	c.statements = settingStatements
 }
 
-// words puts named values in.
-func (c *compiler) words(in *source, values []*value, sc scope) (all []word, ok bool) {
+// resolveValues replaces named values and parameters by what they stand for.
+func (c *compiler) resolveValues(src *source, values []*value, sc scope) (all []resolvedValue, ok bool) {
 	ok = true
 	for _, v := range values {
-		at := place{in, v.Pos}
+		at := location{src, v.Pos}
 		switch {
 		case v.Var == "" && v.Word != "":
-			all = append(all, word{v.Word, false, at})
+			all = append(all, resolvedValue{v.Word, false, at})
 		case v.Var == "":
-			all = append(all, word{unquote(v.Text), true, at})
+			all = append(all, resolvedValue{unquote(v.Text), true, at})
 		default:
 			name := v.Var[1:]
 			if w, param := sc.params[name]; param {
-				all = append(all, word{w.text, w.quoted, at})
+				all = append(all, resolvedValue{w.text, w.quoted, at})
 				continue
 			}
 			d := c.lets[name]
 			if d == nil {
-				known := keys(c.lets)
+				known := definedNames(c.lets)
 				for p := range sc.params {
 					known = append(known, p)
 				}
-				c.say(at, "AC107", "no value is named "+name, c.near(name, known, "define it: let "+name+" VALUE"))
+				c.report(at, "AC107", "no value is named "+name, c.suggest(name, known, "define it: let "+name+" VALUE"))
 				ok = false
 				continue
 			}
-			if d.busy {
-				c.say(at, "AC108", "the value "+name+" is defined by itself", fmt.Sprintf("give the let at %s:%d a value of its own", d.in.name, d.Pos.Line))
+			if d.resolving {
+				c.report(at, "AC108", "the value "+name+" is defined in terms of itself", fmt.Sprintf("give the let at %s:%d a value of its own", d.source.name, d.Pos.Line))
 				ok = false
 				continue
 			}
-			d.busy = true
-			more, fine := c.words(d.in, d.Values[1:], scope{})
-			d.busy, d.used = false, true
-			for i := range more {
-				more[i].at = at
+			d.resolving = true
+			resolved, resolvedOK := c.resolveValues(d.source, d.Values[1:], scope{})
+			d.resolving, d.used = false, true
+			for i := range resolved {
+				resolved[i].at = at
 			}
-			all, ok = append(all, more...), ok && fine
+			all, ok = append(all, resolved...), ok && resolvedOK
 		}
 	}
 	return all, ok
 }
 
-func keys(m map[string]*definition) (all []string) {
+// definedNames returns the names of definitions, sorted.
+func definedNames(m map[string]*definition) (all []string) {
 	for k := range m {
 		all = append(all, k)
 	}
@@ -276,8 +284,8 @@
 	return all
 }
 
-// near words the likely fix for a name that is not known.
-func (c *compiler) near(name string, known []string, otherwise string) string {
+// suggest returns the fix for an unknown name: the most similar known name or, if none is similar, the given text.
+func (c *compiler) suggest(name string, known []string, otherwise string) string {
 	slices.Sort(known)
 	if best := settings.Nearest(name, known); best != "" {
 		return "did you mean " + best + "?"
@@ -285,82 +293,83 @@
 	return otherwise
 }
 
-// block sets the fields of a message from statements.
-func (c *compiler) block(stmts []placed, l *level, m protoreflect.Message, path string, sc scope) {
+// setFields sets the fields of a message from statements. path is the prefix of the field paths.
+func (c *compiler) setFields(stmts []fileStatement, schema *blockSchema, m protoreflect.Message, path string, sc scope) {
 	for _, st := range stmts {
-		here := place{st.in, st.Pos}
+		here := location{st.source, st.Pos}
 		if st.Name == "use" {
-			c.use(st, l, m, path, sc)
+			c.expandUse(st, schema, m, path, sc)
 			continue
 		}
-		s := l.by[st.Name]
+		s := schema.byName[st.Name]
 		if s == nil && st.Name == "include" {
-			c.say(here, "AC104", "include stands outside of blocks", "move it there; define and use bring lines into a block")
+			c.report(here, "AC104", "include is not allowed in a block", "move it outside; define and use share statements between blocks")
 			continue
 		}
 		if s == nil {
-			other := "here stand " + strings.Join(l.names, ", ")
-			if l == top {
-				other = "at the top stand let, define, include, " + strings.Join(l.names, ", ")
+			allowed := "allowed here: " + strings.Join(schema.names, ", ")
+			if schema == rootSchema {
+				allowed = "allowed at the top level: let, define, include, " + strings.Join(schema.names, ", ")
 			}
-			c.say(here, "AC201", "no setting is called "+st.Name+" here", c.near(st.Name, append(slices.Clone(l.names), "let", "define", "include", "use"), other))
+			c.report(here, "AC201", "no setting is called "+st.Name+" here", c.suggest(st.Name, append(slices.Clone(schema.names), "let", "define", "include", "use"), allowed))
 			continue
 		}
-		values, ok := c.words(st.in, st.Values, sc)
+		values, ok := c.resolveValues(st.source, st.Values, sc)
 		if !ok {
 			continue
 		}
-		at := path + string(s.field.Name())
-		if s.kind == aBlock {
-			c.message(st, s, values, m, at, sc)
+		fieldPath := path + string(s.field.Name())
+		if s.kind == kindBlock {
+			c.setBlock(st, s, values, m, fieldPath, sc)
 			continue
 		}
 		if st.Block != nil {
-			c.say(place{st.in, st.Block.Pos}, "AC202", st.Name+" takes no block", "write "+st.Name+" "+example(s))
+			c.report(location{st.source, st.Block.Pos}, "AC202", st.Name+" takes no block", "write "+st.Name+" "+example(s))
 			continue
 		}
 		if s.field.IsList() {
 			if len(values) == 0 {
-				c.say(here, "AC203", st.Name+" has no value", "write "+st.Name+" NAME...")
+				c.report(here, "AC203", st.Name+" has no value", "write "+st.Name+" NAME...")
 			}
 			for _, v := range values {
 				list := m.Mutable(s.field).List()
-				if x, ok := c.value(s, v); ok {
-					c.at[fmt.Sprintf("%s[%d]", at, list.Len())] = v.at
+				if x, ok := c.parseValue(s, v); ok {
+					c.locations[fmt.Sprintf("%s[%d]", fieldPath, list.Len())] = v.at
 					list.Append(x)
 				}
 			}
 			continue
 		}
-		if before, twice := c.at[at+"[0]"]; twice {
-			c.say(here, "AC204", st.Name+" is set already", fmt.Sprintf("the other one is at %s:%d", before.in.name, before.pos.Line))
+		if earlier, twice := c.locations[fieldPath+"[0]"]; twice {
+			c.report(here, "AC204", st.Name+" is already set", fmt.Sprintf("the other one is at %s:%d", earlier.source.name, earlier.pos.Line))
 			continue
 		}
 		if len(values) != 1 {
-			like := example(s)
+			suggested := example(s)
 			if len(values) == 2 && slices.ContainsFunc(units[s.kind], func(u unit) bool { return u.name == values[1].text }) {
-				like = values[0].text + values[1].text // a space before the unit
+				suggested = values[0].text + values[1].text // written with a space before the unit
 			}
-			c.say(here, "AC203", fmt.Sprintf("%s takes one value, not %d", st.Name, len(values)), "write "+st.Name+" "+like)
+			c.report(here, "AC203", fmt.Sprintf("%s takes one value, not %d", st.Name, len(values)), "write "+st.Name+" "+suggested)
 			continue
 		}
-		c.at[at+"[0]"] = values[0].at
-		if x, ok := c.value(s, values[0]); ok {
+		c.locations[fieldPath+"[0]"] = values[0].at
+		if x, ok := c.parseValue(s, values[0]); ok {
 			m.Set(s.field, x)
 		}
 	}
 }
 
+// example returns a value that a setting accepts, for messages.
 func example(s *setting) string {
-	if s.kind == aWord {
-		return strings.Join(words(s.field.Enum()), " or ")
+	if s.kind == kindEnum {
+		return strings.Join(enumNames(s.field.Enum()), " or ")
 	}
-	return says[s.kind][1]
+	return kindDescriptions[s.kind][1]
 }
 
-// message sets a block: with a label, in one line, or plain.
-func (c *compiler) message(st placed, s *setting, values []word, m protoreflect.Message, at string, sc scope) {
-	here := place{st.in, st.Pos}
+// setBlock sets a message from a block, which may have a label or be written on one line.
+func (c *compiler) setBlock(st fileStatement, s *setting, values []resolvedValue, m protoreflect.Message, path string, sc scope) {
+	here := location{st.source, st.Pos}
 	var sub protoreflect.Message
 	index := 0
 	if s.field.IsList() {
@@ -370,197 +379,199 @@
 	} else {
 		sub = m.Mutable(s.field).Message()
 	}
-	at = fmt.Sprintf("%s[%d]", at, index)
+	path = fmt.Sprintf("%s[%d]", path, index)
 	if !s.field.IsList() {
-		if before, twice := c.at[at]; twice {
-			c.say(here, "AC204", st.Name+" is set already", fmt.Sprintf("the other one is at %s:%d", before.in.name, before.pos.Line))
+		if earlier, twice := c.locations[path]; twice {
+			c.report(here, "AC204", st.Name+" is already set", fmt.Sprintf("the other one is at %s:%d", earlier.source.name, earlier.pos.Line))
 			return
 		}
 	}
-	c.at[at] = here
-	l := levels[s.field.Message().FullName()]
-	if s.line != nil {
-		c.oneLine(st, s, values, sub, at)
+	c.locations[path] = here
+	schema := schemas[s.field.Message().FullName()]
+	if s.lineElements != nil {
+		c.setOneLineBlock(st, s, values, sub, path)
 		return
 	}
-	if s.label != nil {
+	if s.labelField != nil {
 		if len(values) != 1 {
-			c.say(here, "AC203", fmt.Sprintf("%s takes one name, not %d", st.Name, len(values)), "write "+st.Name+" NAME { ... }")
+			c.report(here, "AC203", fmt.Sprintf("%s takes one name, not %d", st.Name, len(values)), "write "+st.Name+" NAME { ... }")
 			return
 		}
-		if x, ok := c.value(&setting{kind: kindOf(l.message, s.label), field: s.label, name: st.Name}, values[0]); ok {
-			sub.Set(s.label, x)
-			c.at[at+"."+string(s.label.Name())+"[0]"] = values[0].at
+		if x, ok := c.parseValue(&setting{kind: kindOf(schema.message, s.labelField), field: s.labelField, name: st.Name}, values[0]); ok {
+			sub.Set(s.labelField, x)
+			c.locations[path+"."+string(s.labelField.Name())+"[0]"] = values[0].at
 		}
 	} else if len(values) > 0 {
-		c.say(values[0].at, "AC203", st.Name+" takes no value of its own", "put it in the block: "+st.Name+" { ... }")
+		c.report(values[0].at, "AC203", st.Name+" takes no value before its block", "put it inside the block: "+st.Name+" { ... }")
 		return
 	}
 	if st.Block == nil {
-		c.say(here, "AC202", st.Name+" has no block", "write "+st.Name+" { ... }")
+		c.report(here, "AC202", st.Name+" has no block", "write "+st.Name+" { ... }")
 		return
 	}
-	c.block(c.inside(st.in, st.Block), l, sub, at+".", sc)
+	c.setFields(c.statementsIn(st.source, st.Block), schema, sub, path+".", sc)
 }
 
-func (c *compiler) inside(in *source, b *block) (all []placed) {
+// statementsIn returns the statements of a block, without comments and line breaks.
+func (c *compiler) statementsIn(src *source, b *block) (all []fileStatement) {
 	for _, it := range b.Items {
 		if it.Stmt != nil {
-			all = append(all, placed{it.Stmt, in})
+			all = append(all, fileStatement{it.Stmt, src})
 		}
 	}
 	return all
 }
 
-// oneLine sets a block that is written as the values of one line.
-func (c *compiler) oneLine(st placed, s *setting, values []word, sub protoreflect.Message, at string) {
-	here := place{st.in, st.Pos}
+// setOneLineBlock sets a message from a block that is written as the values of one line.
+func (c *compiler) setOneLineBlock(st fileStatement, s *setting, values []resolvedValue, sub protoreflect.Message, path string) {
+	here := location{st.source, st.Pos}
 	usage := st.Name
-	fixed := 0
-	for _, p := range s.line {
+	required := 0
+	for _, p := range s.lineElements {
 		switch {
-		case p.word != "":
-			usage += " " + p.word
-		case p.may:
+		case p.keyword != "":
+			usage += " " + p.keyword
+		case p.optional:
 			usage += " [" + strings.ToUpper(string(p.field.Name())) + "]"
-			fixed--
+			required--
 		default:
 			usage += " " + strings.ToUpper(string(p.field.Name()))
 		}
-		fixed++
+		required++
 	}
-	if st.Block != nil || len(values) < fixed || len(values) > len(s.line) {
-		c.say(here, "AC203", st.Name+" is written in one line, with other values than these", "write "+usage)
+	if st.Block != nil || len(values) < required || len(values) > len(s.lineElements) {
+		c.report(here, "AC203", st.Name+" has the wrong values, or a block", "write "+usage)
 		return
 	}
-	skip := len(s.line) - len(values)
-	for _, p := range s.line {
-		if p.may && skip > 0 {
-			skip--
+	omitted := len(s.lineElements) - len(values)
+	for _, p := range s.lineElements {
+		if p.optional && omitted > 0 {
+			omitted--
 			continue
 		}
 		v := values[0]
 		values = values[1:]
-		if p.word != "" {
-			if v.text != p.word {
-				c.say(v.at, "AC203", "here stands "+p.word, "write "+usage)
+		if p.keyword != "" {
+			if v.text != p.keyword {
+				c.report(v.at, "AC203", "expected "+p.keyword, "write "+usage)
 				return
 			}
 			continue
 		}
-		l := levels[s.field.Message().FullName()]
-		c.at[at+"."+string(p.field.Name())+"[0]"] = v.at
-		if x, ok := c.value(&setting{name: string(p.field.Name()), kind: kindOf(l.message, p.field), field: p.field}, v); ok {
+		schema := schemas[s.field.Message().FullName()]
+		c.locations[path+"."+string(p.field.Name())+"[0]"] = v.at
+		if x, ok := c.parseValue(&setting{name: string(p.field.Name()), kind: kindOf(schema.message, p.field), field: p.field}, v); ok {
 			sub.Set(p.field, x)
 		}
 	}
 }
 
-const mostUses = 20 // blocks used by blocks
+const maxUseDepth = 20 // levels of defined blocks that use others
 
-// use puts the statements of a defined block in the place of the use.
-func (c *compiler) use(st placed, l *level, m protoreflect.Message, path string, sc scope) {
-	here := place{st.in, st.Pos}
-	values, ok := c.words(st.in, st.Values, sc)
+// expandUse applies the statements of a defined block at the place of its use.
+func (c *compiler) expandUse(st fileStatement, schema *blockSchema, m protoreflect.Message, path string, sc scope) {
+	here := location{st.source, st.Pos}
+	values, ok := c.resolveValues(st.source, st.Values, sc)
 	if !ok {
 		return
 	}
 	if len(values) == 0 || st.Block != nil {
-		c.say(here, "AC105", "use is not complete", "write use NAME VALUE...")
+		c.report(here, "AC105", "use is malformed", "write use NAME VALUE...")
 		return
 	}
 	d := c.defines[values[0].text]
 	if d == nil {
-		c.say(values[0].at, "AC107", "no block is defined as "+values[0].text, c.near(values[0].text, keys(c.defines), "define it: define "+values[0].text+" { ... }"))
+		c.report(values[0].at, "AC107", "no block is named "+values[0].text, c.suggest(values[0].text, definedNames(c.defines), "define it: define "+values[0].text+" { ... }"))
 		return
 	}
 	if len(values)-1 != len(d.params) {
-		c.say(here, "AC109", fmt.Sprintf("%s takes %d values, not %d", values[0].text, len(d.params), len(values)-1),
+		c.report(here, "AC109", fmt.Sprintf("%s takes %d values, not %d", values[0].text, len(d.params), len(values)-1),
 			strings.TrimSpace("write use "+values[0].text+" "+strings.ToUpper(strings.Join(d.params, " "))))
 		return
 	}
-	if sc.depth >= mostUses || d.busy {
-		c.say(here, "AC108", "the block "+values[0].text+" uses itself", "remove this use")
+	if sc.depth >= maxUseDepth || d.resolving {
+		c.report(here, "AC108", "the block "+values[0].text+" uses itself", "remove this use")
 		return
 	}
-	d.busy, d.used = true, true
-	inner := scope{params: map[string]word{}, depth: sc.depth + 1}
+	d.resolving, d.used = true, true
+	inner := scope{params: map[string]resolvedValue{}, depth: sc.depth + 1}
 	for i, p := range d.params {
 		inner.params[p] = values[i+1]
 	}
-	c.block(c.inside(d.in, d.Block), l, m, path, inner)
-	d.busy = false
+	c.setFields(c.statementsIn(d.source, d.Block), schema, m, path, inner)
+	d.resolving = false
 }
 
-// value reads a value as its setting wants it. A unit is part of a figure.
-func (c *compiler) value(s *setting, v word) (x protoreflect.Value, ok bool) {
-	bad := func(code, what, fix string) (protoreflect.Value, bool) {
-		c.say(v.at, code, what, fix)
+// parseValue converts a value to the type of its setting's field. A number includes its unit.
+func (c *compiler) parseValue(s *setting, v resolvedValue) (x protoreflect.Value, ok bool) {
+	fail := func(code, message, fix string) (protoreflect.Value, bool) {
+		c.report(v.at, code, message, fix)
 		return x, false
 	}
 	switch s.kind {
-	case aText:
+	case kindText:
 		return protoreflect.ValueOfString(v.text), true
-	case aFlag:
+	case kindFlag:
 		if v.text != "on" && v.text != "off" {
-			return bad("AC205", s.name+" is on or off, not "+v.text, "write "+s.name+" on")
+			return fail("AC205", s.name+" must be on or off, not "+v.text, "write "+s.name+" on")
 		}
 		return protoreflect.ValueOfBool(v.text == "on"), true
-	case aWord:
-		all := words(s.field.Enum())
+	case kindEnum:
+		all := enumNames(s.field.Enum())
 		if !slices.Contains(all, v.text) {
-			return bad("AC205", s.name+" is none of its words: "+v.text, c.near(v.text, all, "write "+strings.Join(all, " or ")))
+			return fail("AC205", s.name+" has an unknown value: "+v.text, c.suggest(v.text, all, "write "+strings.Join(all, " or ")))
 		}
 		e := s.field.Enum().Values().ByName(protoreflect.Name(strings.ToUpper(strings.ReplaceAll(v.text, "-", "_"))))
 		return protoreflect.ValueOfEnum(e.Number()), true
 	}
-	figure := strings.TrimRight(v.text, "%/abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
-	n, err := strconv.ParseFloat(figure, 64)
-	suffix := v.text[len(figure):]
-	if err != nil || v.quoted || math.IsInf(n, 0) || strings.ContainsAny(figure, "_xX") {
-		return bad("AC206", s.name+" is "+says[s.kind][0]+", not "+v.text, "write "+s.name+" "+says[s.kind][1])
+	number := strings.TrimRight(v.text, "%/abcdefghijklmnopqrstuvwxyzABCDEFGHIJKLMNOPQRSTUVWXYZ")
+	n, err := strconv.ParseFloat(number, 64)
+	suffix := v.text[len(number):]
+	if err != nil || v.quoted || math.IsInf(n, 0) || strings.ContainsAny(number, "_xX") {
+		return fail("AC206", s.name+" must be "+kindDescriptions[s.kind][0]+", not "+v.text, "write "+s.name+" "+kindDescriptions[s.kind][1])
 	}
 	if list := units[s.kind]; list != nil {
 		i := slices.IndexFunc(list, func(u unit) bool { return u.name == suffix })
 		if i < 0 {
-			return bad(unitCode(suffix), unitWhat(s, v.text, suffix), unitFix(s.kind, figure, suffix))
+			return fail(unitCode(suffix), unitMessage(s, v.text, suffix), unitFix(s.kind, number, suffix))
 		}
-		if n = scale(figure, list[i]); s.kind == aShare && (n < 0 || n > 1) {
-			return bad("AC209", s.name+" is a share: from 0% to 100%, not "+v.text, "write "+s.name+" 100% for all")
+		if n = toBaseUnit(number, list[i]); s.kind == kindShare && (n < 0 || n > 1) {
+			return fail("AC209", s.name+" must be a share from 0% to 100%, not "+v.text, "write "+s.name+" 100% for all")
 		}
 	} else if suffix != "" {
-		return bad("AC208", s.name+" is "+says[s.kind][0]+" without a unit, not "+v.text, "write "+s.name+" "+figure)
+		return fail("AC208", s.name+" must be "+kindDescriptions[s.kind][0]+" without a unit, not "+v.text, "write "+s.name+" "+number)
 	}
 	switch s.field.Kind() {
 	case protoreflect.DoubleKind:
 		return protoreflect.ValueOfFloat64(n), true
 	case protoreflect.Uint64Kind:
-		whole, err := strconv.ParseUint(figure, 10, 64)
-		if s.kind == aSize {
+		whole, err := strconv.ParseUint(number, 10, 64)
+		if s.kind == kindSize {
 			whole, err = uint64(n), nil
 		}
 		if err != nil || n < 0 {
-			return bad("AC206", s.name+" is a whole number, not "+v.text, "write "+s.name+" 3")
+			return fail("AC206", s.name+" must be a whole number, not "+v.text, "write "+s.name+" 3")
 		}
 		return protoreflect.ValueOfUint64(whole), true
 	}
 	if n != math.Trunc(n) || n < 0 || n > math.MaxUint32 {
-		return bad("AC206", s.name+" is a whole number from 0 on, not "+v.text, "write "+s.name+" "+strconv.Itoa(int(min(max(1, math.Abs(n)), 1e9))))
+		return fail("AC206", s.name+" must be a whole number from 0 to 4294967295, not "+v.text, "write "+s.name+" "+strconv.Itoa(int(min(max(1, math.Abs(n)), 1e9))))
 	}
 	return protoreflect.ValueOfUint32(uint32(n)), true
 }
 
-// scale brings a figure to the inner form's unit.
-func scale(figure string, u unit) float64 {
-	n, err := strconv.ParseFloat(figure+u.ten, 64)
-	if err != nil { // it has a power of ten of its own
-		n, _ = strconv.ParseFloat(figure, 64)
-		ten, _ := strconv.ParseFloat("1"+u.ten, 64)
-		n *= ten
+// toBaseUnit converts a number with a unit to the unit of the protobuf field.
+func toBaseUnit(number string, u unit) float64 {
+	n, err := strconv.ParseFloat(number+u.exponent, 64)
+	if err != nil { // the number has an exponent already
+		n, _ = strconv.ParseFloat(number, 64)
+		power, _ := strconv.ParseFloat("1"+u.exponent, 64)
+		n *= power
 	}
-	return n * u.times / u.by
+	return n * u.factor / u.divisor
 }
 
+// unitCode returns the code for a missing or an unknown unit.
 func unitCode(suffix string) string {
 	if suffix == "" {
 		return "AC207"
@@ -568,53 +579,56 @@
 	return "AC208"
 }
 
-func unitWhat(s *setting, text, suffix string) string {
+// unitMessage returns the message for a missing or an unknown unit.
+func unitMessage(s *setting, text, suffix string) string {
 	if suffix == "" {
-		return s.name + " is " + says[s.kind][0] + " and has no unit: " + text
+		return s.name + " is " + kindDescriptions[s.kind][0] + " and has no unit: " + text
 	}
-	if suffix == "m" && s.kind == aTime {
-		return s.name + ": m may be minutes or milliseconds"
+	if suffix == "m" && s.kind == kindTime {
+		return s.name + ": m could mean minutes or milliseconds"
 	}
-	return s.name + " is " + says[s.kind][0] + "; " + suffix + " is no unit of that"
+	return s.name + " is " + kindDescriptions[s.kind][0] + "; " + suffix + " is not one of its units"
 }
 
-func unitFix(k kind, figure, suffix string) string {
+// unitFix returns the fix for a missing or an unknown unit.
+func unitFix(k kind, number, suffix string) string {
 	for _, u := range units[k] {
 		if strings.EqualFold(u.name, suffix) && suffix != "M" {
-			return "write " + figure + u.name
+			return "write " + number + u.name
 		}
 	}
 	switch {
-	case k == aTime && suffix == "m":
-		return "write " + figure + "min or " + figure + "ms"
-	case k == aTime:
-		return "write " + figure + "s for seconds or " + figure + "ms for milliseconds"
-	case k == aShare:
-		if n, err := strconv.ParseFloat(figure, 64); err == nil && n < 1 && suffix == "" {
+	case k == kindTime && suffix == "m":
+		return "write " + number + "min or " + number + "ms"
+	case k == kindTime:
+		return "write " + number + "s for seconds or " + number + "ms for milliseconds"
+	case k == kindShare:
+		if n, err := strconv.ParseFloat(number, 64); err == nil && n < 1 && suffix == "" {
 			return "write " + strconv.FormatFloat(n*100, 'g', 6, 64) + "%"
 		}
-		return "write " + figure + "%"
-	case k == aRate:
-		return "write " + figure + "/s"
+		return "write " + number + "%"
+	case k == kindRate:
+		return "write " + number + "/s"
 	}
-	return "write " + figure + "KiB, " + figure + "MiB or " + figure + "B"
+	return "write " + number + "KiB, " + number + "MiB or " + number + "B"
 }
 
-// meaning checks what each value alone can't show, and finds the places of what is wrong.
-func (c *compiler) meaning() {
+// checkSettings checks the settings as a whole: it reports the problems that package settings finds at their locations,
+// with the fix in the terms of the language, then adds warnings.
+func (c *compiler) checkSettings() {
 	for _, p := range settings.Check(c.out) {
-		at := c.place(p.Path)
+		at := c.locate(p.Path)
 		what, fix, _ := strings.Cut(p.What, "; ")
-		name := spoken(p.Path)
-		switch last := name[strings.LastIndex(name, " ")+1:]; { // the fix in the words of the language
-		case what == "missing" && at.in != nil && c.written(p.Path): // written as 0
+		name := displayName(p.Path)
+		switch last := name[strings.LastIndex(name, " ")+1:]; { // fixes are reworded in the terms of the language
+		case what == "missing" && at.source != nil && c.isWritten(p.Path): // it was written as 0
 			what = "0 is too little"
 		case strings.HasPrefix(what, "the block is missing"):
 			what, fix = "the block is missing", "write "+last+" { ... }"
 		case p.Code == "AC301" && last == "zones":
 			fix = "name the data centres: write zones NAME..."
 		case p.Code == "AC301" && last == "match":
-			fix = "what calls it? write match GET /path, or match /path/* for any method and all below"
+			fix = "write match GET /path, or match /path/* for any method and all paths below"
 		case p.Code == "AC301" && last == "stage":
 			fix = "describe the stages in order: write stage 10% cap 15%"
 		case p.Code == "AC301" && last == "repeat":
@@ -623,121 +637,124 @@
 			fix = "describe it: write pool NAME { roster { ... } }"
 		case p.Code == "AC301" && strings.HasSuffix(what, "at the top: write "+last+" { ... }"), strings.Contains(what, "here and at the top"):
 			what, fix = "the block is missing, here and at the top", "write "+last+" { ... }"
-		case p.Code == "AC306" && !strings.HasPrefix(p.Path, "operation"):
+		case p.Code == "AC306" && !strings.HasPrefix(p.Path, "operation"): // the text of package settings is kept
 		case p.Code == "AC306" && strings.HasSuffix(p.Path, ".name"):
-			what, fix = "another operation has this name", c.otherName(p.Path)
+			what, fix = "another operation has this name", c.locateSameName(p.Path)
 		}
-		c.say(at, p.Code, name+": "+what, fix)
+		c.report(at, p.Code, name+": "+what, fix)
 	}
-	c.unused()
-	c.shadows()
-	c.rules()
+	c.warnUnused()
+	c.warnShadowedMatches()
+	c.warnRules()
 }
 
-// unused finds what is defined and used nowhere; a value that leads nowhere is wrong all the same.
-func (c *compiler) unused() {
+// warnUnused warns about definitions that are never used. An unused value that can't be resolved is still an error.
+func (c *compiler) warnUnused() {
 	for _, m := range []map[string]*definition{c.lets, c.defines} {
-		for _, name := range keys(m) {
+		for _, name := range definedNames(m) {
 			d := m[name]
 			if d.used {
 				continue
 			}
-			if fine := true; d.Block == nil {
-				if _, fine = c.words(d.in, d.Values[1:], scope{}); !fine {
+			if ok := true; d.Block == nil {
+				if _, ok = c.resolveValues(d.source, d.Values[1:], scope{}); !ok {
 					continue
 				}
 			}
-			c.warn(place{d.in, d.Pos}, "AC110", name+" is defined and used nowhere", "remove it")
+			c.warn(location{d.source, d.Pos}, "AC110", name+" is defined but never used", "remove it")
 		}
 	}
 }
 
-// otherName finds the operation before one that has its name.
-func (c *compiler) otherName(path string) string {
+// locateSameName says where the earlier operation of the same name is.
+func (c *compiler) locateSameName(path string) string {
 	var i int
 	fmt.Sscanf(path, "operation[%d]", &i)
 	for j := range i {
 		if c.out.Operation[j].Name == c.out.Operation[i].Name {
-			at := c.place(fmt.Sprintf("operation[%d].name", j))
-			return fmt.Sprintf("the other one is at %s:%d", at.in.name, at.pos.Line)
+			at := c.locate(fmt.Sprintf("operation[%d].name", j))
+			return fmt.Sprintf("the other one is at %s:%d", at.source.name, at.pos.Line)
 		}
 	}
 	return ""
 }
 
-func (c *compiler) warn(at place, code, what, fix string) {
-	c.say(at, code, what, fix)
-	c.found[len(c.found)-1].Warning = true
+// warn adds a warning.
+func (c *compiler) warn(at location, code, message, fix string) {
+	c.report(at, code, message, fix)
+	c.diagnostics[len(c.diagnostics)-1].Warning = true
 }
 
-// shadows finds matches that come too late: all they match an earlier one has.
-func (c *compiler) shadows() {
-	type seen struct {
+// warnShadowedMatches warns about matches that are never reached, as an earlier one matches the same requests.
+func (c *compiler) warnShadowedMatches() {
+	type operationMatch struct {
 		*settings.Match
-		op string
-		on []string
+		operation string
+		listeners []string
 	}
-	var before []seen
+	var earlier []operationMatch
 	for i, o := range c.out.Operation {
 		for j, m := range o.Match {
-			for _, b := range before {
-				prefix, star := strings.CutSuffix(b.Path, "*")
-				if !together(b.on, o.Listener) {
+			for _, e := range earlier {
+				prefix, star := strings.CutSuffix(e.Path, "*")
+				if !coversListeners(e.listeners, o.Listener) {
 					continue
 				}
-				if (b.Method == "" || b.Method == m.Method) && (b.Path == m.Path || star && strings.HasPrefix(m.Path, prefix)) {
-					c.warn(c.place(fmt.Sprintf("operation[%d].match[%d].path", i, j)), "AC401",
-						o.Name+" can't be reached by "+strings.TrimSpace(m.Method+" "+m.Path)+": "+b.op+" matches it first", "put it before "+b.op)
+				if (e.Method == "" || e.Method == m.Method) && (e.Path == m.Path || star && strings.HasPrefix(m.Path, prefix)) {
+					c.warn(c.locate(fmt.Sprintf("operation[%d].match[%d].path", i, j)), "AC401",
+						o.Name+" can't be reached by "+strings.TrimSpace(m.Method+" "+m.Path)+": "+e.operation+" matches it first", "put it before "+e.operation)
 					break
 				}
 			}
-			before = append(before, seen{m, o.Name, o.Listener})
+			earlier = append(earlier, operationMatch{m, o.Name, o.Listener})
 		}
 	}
 }
 
-// together says that what is kept to the first listeners takes all that comes to the others.
-func together(first, others []string) bool {
-	if len(first) == 0 {
+// coversListeners reports whether an operation limited to the earlier listeners also gets every request of the later
+// ones. An empty list stands for all listeners.
+func coversListeners(earlier, later []string) bool {
+	if len(earlier) == 0 {
 		return true
 	}
-	return len(others) > 0 && !slices.ContainsFunc(others, func(l string) bool { return !slices.Contains(first, l) })
+	return len(later) > 0 && !slices.ContainsFunc(later, func(l string) bool { return !slices.Contains(earlier, l) })
 }
 
-// rules finds settings under which a rule could not be kept, or an operation not be repeated as it says.
-func (c *compiler) rules() {
-	r := c.out.Rollout
+// warnRules warns about settings with which a rule can't be kept, or an operation can't be repeated as its settings
+// say.
+func (c *compiler) warnRules() {
+	rollout := c.out.Rollout
 	for i, o := range c.out.Operation {
-		at := func(name string) place { return c.place(fmt.Sprintf("operation[%d].%s", i, name)) }
+		at := func(name string) location { return c.locate(fmt.Sprintf("operation[%d].%s", i, name)) }
 		if o.Repeat == settings.Repeat_FINGERPRINTED && o.MemoryMs > 0 && o.MemoryMs < o.LimitMs {
 			c.warn(at("memory_ms"), "AC402", fmt.Sprintf("%s: nodes remember a repeat for %s, less than its time limit of %s", o.Name,
-				spell(aTime, o.MemoryMs), spell(aTime, o.LimitMs)), "what fails after that can't be sent again")
+				formatQuantity(kindTime, o.MemoryMs), formatQuantity(kindTime, o.LimitMs)), "an invocation that fails after that can't be sent again")
 		}
 	}
-	for i, of := range c.out.Pools() {
-		at := "rollout"
+	for i, pool := range c.out.Pools() {
+		rolloutPath := "rollout"
 		if len(c.out.Pool) > 0 && c.out.Pool[i].Rollout != nil {
-			at = fmt.Sprintf("pool[%d].rollout", i)
+			rolloutPath = fmt.Sprintf("pool[%d].rollout", i)
 		}
-		for _, o := range of.Operation {
-			if o.Repeat != settings.Repeat_IDEMPOTENT && of.Rollout.Shielded == 0 && !c.written(at+"[0].shielded") {
-				c.warn(c.place(at), "AC405", o.Name+" has an effect and may go to a build in its first stage",
-					"write shielded 1 to keep it out, or shielded 0 to say that it is meant")
+		for _, o := range pool.Operation {
+			if o.Repeat != settings.Repeat_IDEMPOTENT && pool.Rollout.Shielded == 0 && !c.isWritten(rolloutPath+"[0].shielded") {
+				c.warn(c.locate(rolloutPath), "AC405", o.Name+" is not idempotent and may go to a build in its first stage",
+					"write shielded 1 to prevent this, or shielded 0 to allow it")
 				break
 			}
 		}
 	}
-	if len(r.Stage) > 0 && r.Allowance < 1 && r.Stage[0].Cap*r.CountedOverMs < 1 {
-		c.warn(c.place("rollout.allowance"), "AC403", "with no allowance and so small a first cap a build may never get an invocation", "write allowance 1")
+	if len(rollout.Stage) > 0 && rollout.Allowance < 1 && rollout.Stage[0].Cap*rollout.CountedOverMs < 1 {
+		c.warn(c.locate("rollout.allowance"), "AC403", "without an allowance and with so small a first cap, a build may never get an invocation", "write allowance 1")
 	}
 	if c.out.Times.DialMs >= c.out.Rules.GraceMs && c.out.Rules.GraceMs > 0 {
-		c.warn(c.place("times.dial_ms"), "AC403", fmt.Sprintf("a connection may open %s after a dispatch, later than the grace of %s for nodes that drain",
-			spell(aTime, c.out.Times.DialMs), spell(aTime, c.out.Rules.GraceMs)), "write a dial time under the grace")
+		c.warn(c.locate("times.dial_ms"), "AC403", fmt.Sprintf("a connection may open %s after a dispatch, later than the grace of %s for draining nodes",
+			formatQuantity(kindTime, c.out.Times.DialMs), formatQuantity(kindTime, c.out.Rules.GraceMs)), "write a dial time shorter than the grace")
 	}
 }
 
-// place finds where a setting of the inner form was written, or what it should stand in.
-func (c *compiler) place(path string) place {
+// locate returns where a field was written or, if it was not, the innermost block around it that was.
+func (c *compiler) locate(path string) location {
 	parts := strings.Split(path, ".")
 	for i := range parts {
 		if !strings.HasSuffix(parts[i], "]") {
@@ -745,44 +762,44 @@
 		}
 	}
 	for n := len(parts); n > 0; n-- {
-		if at, ok := c.at[strings.Join(parts[:n], ".")]; ok {
+		if at, ok := c.locations[strings.Join(parts[:n], ".")]; ok {
 			return at
 		}
 	}
 	for _, s := range c.sources {
-		if c.order[s.name] == 0 {
-			return place{s, lexer.Position{Line: 1, Column: 1}}
+		if c.fileOrder[s.name] == 0 {
+			return location{s, lexer.Position{Line: 1, Column: 1}}
 		}
 	}
-	return place{&source{}, lexer.Position{Line: 1, Column: 1}}
+	return location{&source{}, lexer.Position{Line: 1, Column: 1}}
 }
 
-// written says that a setting itself was written, not only what it stands in.
-func (c *compiler) written(path string) bool {
-	_, ok := c.at[path+"[0]"]
+// isWritten reports whether a field itself was written, not only the block around it.
+func (c *compiler) isWritten(path string) bool {
+	_, ok := c.locations[path+"[0]"]
 	return ok
 }
 
-// spoken gives a path of the inner form in the words of the language: operation 2, slo-time.
-func spoken(path string) string {
-	l, out := top, []string{}
+// displayName returns the path of a field in the terms of the language: operation 2, slo-time.
+func displayName(path string) string {
+	schema, names := rootSchema, []string{}
 	for part := range strings.SplitSeq(path, ".") {
 		name, rest, _ := strings.Cut(part, "[")
 		index, _ := strconv.Atoi(strings.TrimSuffix(rest, "]"))
 		word := name
-		for _, s := range l.by {
+		for _, s := range schema.byName {
 			if string(s.field.Name()) == name {
 				word = s.name
 				if s.field.IsList() && rest != "" {
 					word += " " + strconv.Itoa(index+1)
 				}
-				if s.kind == aBlock {
-					l = levels[s.field.Message().FullName()]
+				if s.kind == kindBlock {
+					schema = schemas[s.field.Message().FullName()]
 				}
 				break
 			}
 		}
-		out = append(out, word)
+		names = append(names, word)
 	}
-	return strings.Join(out, ", ")
+	return strings.Join(names, ", ")
 }
--- a/internal/lang/write.go
+++ b/internal/lang/write.go
@@ -13,12 +13,12 @@
 	"arrowcleat/internal/settings"
 )
 
-// Format writes a file anew: one statement a line, two spaces a block, one blank line at most, comments where they
-// stood. What it means is untouched.
+// Format formats a file without changing its meaning: one statement per line, two spaces of indentation per block, at
+// most one blank line in a row, comments in their places.
 func Format(name string, text []byte) ([]byte, *Diagnostic) {
-	s, bad := parse(name, text)
-	if bad != nil {
-		return nil, bad
+	s, syntaxErr := parse(name, text)
+	if syntaxErr != nil {
+		return nil, syntaxErr
 	}
 	var b bytes.Buffer
 	formatItems(&b, s.tree.Items, 0)
@@ -26,10 +26,11 @@
 	return append(bytes.TrimRight(out, "\n"), "\n"[:min(1, len(out))]...), nil
 }
 
-// formatItems writes the items of a file or block. Each ends its line, but a comment behind a statement joins it.
+// formatItems writes the items of a file or block, each on a line of its own. A comment that follows a statement on the
+// same line stays on that line.
 func formatItems(b *bytes.Buffer, items []*item, depth int) {
 	indent := strings.Repeat("  ", depth)
-	breaks, first := 0, true // line ends since the last thing written
+	breaks, first := 0, true // breaks counts line ends since the last item written
 	for i, it := range items {
 		switch {
 		case it.Break == "\n":
@@ -39,175 +40,179 @@
 			continue
 		case it.Comment != "":
 			comment := strings.TrimRight(it.Comment, " \t\r")
-			if breaks == 0 && !first && i > 0 { // it stands behind something
+			if breaks == 0 && !first && i > 0 { // it follows something on the same line
 				b.Truncate(len(bytes.TrimRight(b.Bytes(), "\n")))
 				b.WriteString("  " + comment + "\n")
 			} else {
-				blank(b, breaks, first)
+				keepBlankLine(b, breaks, first)
 				b.WriteString(indent + comment + "\n")
 			}
 		default:
-			blank(b, breaks, first)
+			keepBlankLine(b, breaks, first)
 			formatStatement(b, it.Stmt, depth)
 		}
 		breaks, first = 0, false
 	}
 }
 
-// blank keeps one blank line where there was one or more, but not at the begin of a block.
-func blank(b *bytes.Buffer, breaks int, first bool) {
+// keepBlankLine writes one blank line where there were one or more, except at the start of a block.
+func keepBlankLine(b *bytes.Buffer, breaks int, first bool) {
 	if breaks > 1 && !first {
 		b.WriteString("\n")
 	}
 }
 
+// formatStatement writes a statement with its block.
 func formatStatement(b *bytes.Buffer, st *statement, depth int) {
 	b.WriteString(strings.Repeat("  ", depth) + st.Name)
 	for _, v := range st.Values {
 		b.WriteString(" " + v.Text + v.Var + v.Word)
 	}
 	if st.Block != nil {
-		var inside bytes.Buffer
+		var body bytes.Buffer
 		items := st.Block.Items
 		b.WriteString(" {")
-		if len(items) > 0 && items[0].Comment != "" { // behind the brace
+		if len(items) > 0 && items[0].Comment != "" { // on the line of the brace
 			b.WriteString("  " + strings.TrimRight(items[0].Comment, " \t\r"))
 			items = items[1:]
 		}
-		formatItems(&inside, items, depth+1)
+		formatItems(&body, items, depth+1)
 		b.WriteString("\n")
-		b.Write(inside.Bytes())
+		b.Write(body.Bytes())
 		b.WriteString(strings.Repeat("  ", depth) + "}")
 	}
 	b.WriteString("\n")
 }
 
-// spell writes a figure of the inner form with its unit, in the largest that leaves it whole and reads back exactly.
-func spell(k kind, v float64) string {
+// formatQuantity writes a number in the base unit of its kind with a unit: for times and sizes the largest that gives a
+// whole number (for seconds, also a short decimal). The text reads back as exactly the same number.
+func formatQuantity(k kind, v float64) string {
 	plain := func(v float64) string { return strconv.FormatFloat(v, 'f', -1, 64) }
 	switch k {
-	case aTime:
-		for _, u := range []unit{units[aTime][3], units[aTime][2], units[aTime][1]} {
-			n := v / scale("1", u)
-			if text := plain(n); n >= 1 && (n == math.Trunc(n) || u.name == "s" && len(text) <= 4) && scale(text, u) == v {
+	case kindTime:
+		for _, u := range []unit{units[kindTime][3], units[kindTime][2], units[kindTime][1]} {
+			n := v / toBaseUnit("1", u)
+			if text := plain(n); n >= 1 && (n == math.Trunc(n) || u.name == "s" && len(text) <= 4) && toBaseUnit(text, u) == v {
 				return text + u.name
 			}
 		}
 		return plain(v) + "ms"
-	case aSize:
-		for _, u := range []unit{units[aSize][3], units[aSize][2], units[aSize][1]} {
-			if n := v / u.times; n >= 1 && n == math.Trunc(n) {
+	case kindSize:
+		for _, u := range []unit{units[kindSize][3], units[kindSize][2], units[kindSize][1]} {
+			if n := v / u.factor; n >= 1 && n == math.Trunc(n) {
 				return plain(n) + u.name
 			}
 		}
 		return plain(v) + "B"
-	case aShare:
-		// The point is moved in the text: times 100, a float may round to what does not read back.
-		whole, rest, _ := strings.Cut(plain(v), ".")
-		rest += "00"
-		if whole = strings.TrimLeft(whole+rest[:2], "0"); whole == "" {
+	case kindShare:
+		// The decimal point is moved in the text: multiplying by 100 may round to a number that does not read back exactly.
+		whole, fraction, _ := strings.Cut(plain(v), ".")
+		fraction += "00"
+		if whole = strings.TrimLeft(whole+fraction[:2], "0"); whole == "" {
 			whole = "0"
 		}
-		if rest = strings.TrimRight(rest[2:], "0"); rest != "" {
-			whole += "." + rest
+		if fraction = strings.TrimRight(fraction[2:], "0"); fraction != "" {
+			whole += "." + fraction
 		}
 		return whole + "%"
-	case aRate:
+	case kindRate:
 		return plain(v) + "/s"
 	}
 	return plain(v)
 }
 
-// Decompile writes settings in the language, losing nothing: compiled, they are the same settings.
+// Decompile writes settings in the language. Compiling the result gives the same settings.
 func Decompile(s *settings.Settings) []byte {
 	var b bytes.Buffer
-	write(&b, s.ProtoReflect(), top, 0)
+	writeFields(&b, s.ProtoReflect(), rootSchema, 0)
 	return b.Bytes()
 }
 
-func write(b *bytes.Buffer, m protoreflect.Message, l *level, depth int) {
+// writeFields writes the fields of a message that are set, in the order of the schema.
+func writeFields(b *bytes.Buffer, m protoreflect.Message, schema *blockSchema, depth int) {
 	indent := strings.Repeat("  ", depth)
-	for _, name := range l.names {
-		s := l.by[name]
+	for _, name := range schema.names {
+		s := schema.byName[name]
 		if !m.Has(s.field) {
 			continue
 		}
 		v := m.Get(s.field)
 		switch {
-		case s.kind != aBlock && s.field.IsList():
+		case s.kind != kindBlock && s.field.IsList():
 			b.WriteString(indent + name)
 			for i := range v.List().Len() {
-				b.WriteString(" " + figure(s, v.List().Get(i)))
+				b.WriteString(" " + formatValue(s, v.List().Get(i)))
 			}
 			b.WriteString("\n")
-		case s.kind != aBlock:
-			fmt.Fprintf(b, "%s%s %s\n", indent, name, figure(s, v))
+		case s.kind != kindBlock:
+			fmt.Fprintf(b, "%s%s %s\n", indent, name, formatValue(s, v))
 		case s.field.IsList():
 			for i := range v.List().Len() {
 				writeBlock(b, s, v.List().Get(i).Message(), depth)
 			}
-		case proto.Size(v.Message().Interface()) > 0: // an empty one says nothing
+		case proto.Size(v.Message().Interface()) > 0: // an empty block means the same as none
 			writeBlock(b, s, v.Message(), depth)
 		}
 	}
 }
 
+// writeBlock writes a message as a block or, where its setting has line elements, on one line.
 func writeBlock(b *bytes.Buffer, s *setting, m protoreflect.Message, depth int) {
 	indent := strings.Repeat("  ", depth)
-	l := levels[s.field.Message().FullName()]
-	if s.line != nil {
+	schema := schemas[s.field.Message().FullName()]
+	if s.lineElements != nil {
 		b.WriteString(indent + s.name)
-		for _, p := range s.line {
-			if p.word != "" {
-				b.WriteString(" " + p.word)
-			} else if !p.may || m.Has(p.field) {
-				b.WriteString(" " + figure(&setting{kind: kindOf(l.message, p.field), field: p.field}, m.Get(p.field)))
+		for _, p := range s.lineElements {
+			if p.keyword != "" {
+				b.WriteString(" " + p.keyword)
+			} else if !p.optional || m.Has(p.field) {
+				b.WriteString(" " + formatValue(&setting{kind: kindOf(schema.message, p.field), field: p.field}, m.Get(p.field)))
 			}
 		}
 		b.WriteString("\n")
 		return
 	}
 	b.WriteString(indent + s.name)
-	if s.label != nil {
-		b.WriteString(" " + figure(&setting{kind: kindOf(l.message, s.label), field: s.label}, m.Get(s.label)))
+	if s.labelField != nil {
+		b.WriteString(" " + formatValue(&setting{kind: kindOf(schema.message, s.labelField), field: s.labelField}, m.Get(s.labelField)))
 	}
 	b.WriteString(" {\n")
-	rest := *l
-	if s.label != nil { // the label is not said twice
-		rest.names = nil
-		for _, n := range l.names {
-			if l.by[n].field != s.label {
-				rest.names = append(rest.names, n)
+	unlabeled := *schema
+	if s.labelField != nil { // the label is not written a second time in the block
+		unlabeled.names = nil
+		for _, n := range schema.names {
+			if schema.byName[n].field != s.labelField {
+				unlabeled.names = append(unlabeled.names, n)
 			}
 		}
 	}
-	write(b, m, &rest, depth+1)
+	writeFields(b, m, &unlabeled, depth+1)
 	b.WriteString(indent + "}\n")
 }
 
-// figure writes one value as it is read.
-func figure(s *setting, v protoreflect.Value) string {
+// formatValue writes one value as the compiler reads it.
+func formatValue(s *setting, v protoreflect.Value) string {
 	switch s.kind {
-	case aText:
+	case kindText:
 		return quote(v.String())
-	case aFlag:
+	case kindFlag:
 		if v.Bool() {
 			return "on"
 		}
 		return "off"
-	case aWord:
+	case kindEnum:
 		return strings.ReplaceAll(strings.ToLower(string(s.field.Enum().Values().ByNumber(v.Enum()).Name())), "_", "-")
 	}
 	switch s.field.Kind() {
 	case protoreflect.Uint32Kind, protoreflect.Uint64Kind:
-		if s.kind == aCount || v.Uint() > 1<<53 {
+		if s.kind == kindCount || v.Uint() > 1<<53 { // a float64 holds integers exactly up to 1<<53
 			text := strconv.FormatUint(v.Uint(), 10)
-			if s.kind == aSize {
+			if s.kind == kindSize {
 				text += "B"
 			}
 			return text
 		}
-		return spell(s.kind, float64(v.Uint()))
+		return formatQuantity(s.kind, float64(v.Uint()))
 	}
-	return spell(s.kind, v.Float())
+	return formatQuantity(s.kind, v.Float())
 }
