--- a/cmd/arrowcleat/day.go
+++ b/cmd/arrowcleat/day.go
@@ -187,7 +187,7 @@
 			}
 			defer r.Close()
 			out, err := record.Replay(r, func(h balance.Host, start *record.Entry) divide.Module {
-				return balance.New(h, start.Settings.ModuleOf(int(start.No)), start.Seed)
+				return balance.New(h, start.Settings.InstanceSettings(int(start.No)), start.Seed)
 			})
 			if err != nil {
 				return badInput{fmt.Errorf("%s: %w", args[0], err)}
--- a/cmd/arrowcleat/lang.go
+++ b/cmd/arrowcleat/lang.go
@@ -35,7 +35,7 @@
 	for _, e := range all {
 		var p settings.Problem
 		if errors.As(e, &p) {
-			found = append(found, &lang.Diagnostic{File: path, Line: p.Line, Column: 1, Code: p.Code, What: strings.TrimPrefix(p.Path+": "+p.What, ": ")})
+			found = append(found, &lang.Diagnostic{File: path, Line: p.Line, Column: 1, Code: p.Code, What: strings.TrimPrefix(p.Path+": "+p.Message, ": ")})
 		}
 	}
 	return nil, found
--- a/cmd/arrowcleat/serve.go
+++ b/cmd/arrowcleat/serve.go
@@ -31,7 +31,7 @@
 	if set == nil {
 		return nil, badInput{joined(found)}
 	}
-	set.Rebase(filepath.Dir(path))
+	set.ResolvePaths(filepath.Dir(path))
 	return set, nil
 }
 
@@ -113,7 +113,7 @@
 		}
 		return
 	}
-	set.Rebase(filepath.Dir(path))
+	set.ResolvePaths(filepath.Dir(path))
 	changes, err := m.Reload(set, level)
 	if err != nil {
 		log.Error("settings not taken", "err", err)
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -64,7 +64,7 @@
 			t.Fatal(err)
 		}
 		got, err := record.Replay(r, func(h balance.Host, s *record.Entry) divide.Module {
-			return balance.New(h, s.Settings.ModuleOf(int(s.No)), s.Seed)
+			return balance.New(h, s.Settings.InstanceSettings(int(s.No)), s.Seed)
 		})
 		r.Close()
 		if err != nil || got.Different != "" || got.Events < 50 {
--- a/internal/front/request.go
+++ b/internal/front/request.go
@@ -129,7 +129,7 @@
 	if budgetMs <= 0 {
 		return c.reject(503, "no time left when it had arrived", x.requiredClose())
 	}
-	x.pool, x.operation = s.Settings.Place(params.Operation)
+	x.pool, x.operation = s.Settings.LocateOperation(params.Operation)
 	c.exchange.Store(x)
 	defer func() {
 		c.exchange.Store(nil)
@@ -146,7 +146,7 @@
 	x.answerByMs = x.deadlineMs + s.CurrentSettings().Times.AnswerMs/2
 	core := 0
 	if len(s.Loops) > 1 {
-		if s.Settings.RolloutOf(x.pool).ForwardOnly {
+		if s.Settings.PoolRollout(x.pool).ForwardOnly {
 			x.placementKey = x.key
 		}
 		if x.placementKey == "" && s.headerNames.idempotencyKey != "" {
--- a/internal/front/terms.go
+++ b/internal/front/terms.go
@@ -53,7 +53,7 @@
 		return s.Protocol.ParseRequest(h)
 	}
 	path, _, _ := strings.Cut(h.Target, "?")
-	index := s.CurrentSettings().Find(c.listener, h.Method, path)
+	index := s.CurrentSettings().FindOperation(c.listener, h.Method, path)
 	if index < 0 || h.Method == "CONNECT" {
 		return params, NewRejection(404, "no operation matches "+h.Method+" "+path)
 	}
--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -279,7 +279,7 @@
 // near words the likely fix for a name that is not known.
 func (c *compiler) near(name string, known []string, otherwise string) string {
 	slices.Sort(known)
-	if best := settings.Nearest(name, known); best != "" {
+	if best := settings.ClosestName(name, known); best != "" {
 		return "did you mean " + best + "?"
 	}
 	return otherwise
@@ -604,7 +604,7 @@
 func (c *compiler) meaning() {
 	for _, p := range settings.Check(c.out) {
 		at := c.place(p.Path)
-		what, fix, _ := strings.Cut(p.What, "; ")
+		what, fix, _ := strings.Cut(p.Message, "; ")
 		name := spoken(p.Path)
 		switch last := name[strings.LastIndex(name, " ")+1:]; { // the fix in the words of the language
 		case what == "missing" && at.in != nil && c.written(p.Path): // written as 0
@@ -714,7 +714,7 @@
 				spell(aTime, o.MemoryMs), spell(aTime, o.LimitMs)), "what fails after that can't be sent again")
 		}
 	}
-	for i, of := range c.out.Pools() {
+	for i, of := range c.out.PoolSettings() {
 		at := "rollout"
 		if len(c.out.Pool) > 0 && c.out.Pool[i].Rollout != nil {
 			at = fmt.Sprintf("pool[%d].rollout", i)
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	tap := NewTap(w, silent{}, set(t), 0, 7, nil)
-	tap.Before(balance.New(tap, set(t).Module(), 7))
+	tap.Before(balance.New(tap, set(t).ModuleSettings(), 7))
 	tap.NodesListed(true, []balance.Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}})
 	tap.InvocationArrived("a", 0, 0, "k", 500, 0, false, false)
 	tap.DispatchEnded("a", 0, 1, balance.Failed, 3, false, map[string]float64{"busy": 0.5, "rate": 2})
@@ -58,7 +58,7 @@
 
 func replay(b []byte, seed uint64) (Outcome, error) {
 	return Replay(NewReader(bytes.NewReader(b)), func(h balance.Host, s *Entry) divide.Module {
-		return balance.New(h, s.Settings.ModuleOf(int(s.No)), s.Seed+seed)
+		return balance.New(h, s.Settings.InstanceSettings(int(s.No)), s.Seed+seed)
 	})
 }
 
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -188,7 +188,7 @@
 	if hooks.Transport != nil {
 		moduleSettings = hooks.Transport.ModuleSettings
 	} else {
-		moduleSettings = w.settings.ModuleOf(w.instance)
+		moduleSettings = w.settings.InstanceSettings(w.instance)
 	}
 	seed += uint64(w.instance) << 32
 	w.core.Start(func(h balance.Host) marshal.Module {
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -79,7 +79,7 @@
 		seed = rand.Uint64()
 	}
 	cores := make([][]*marshal.Core, len(m.Loops))
-	for i, poolSettings := range set.Pools() {
+	for i, poolSettings := range set.PoolSettings() {
 		p := &nodePool{m: m, number: i, blockedVer: -1, settings: poolSettings,
 			list: newNodeList(poolSettings.Roster.File, hooks.Clock), listChanged: make(chan struct{}, 1), firstList: make(chan struct{})}
 		if hooks.WriteFile != nil {
@@ -90,7 +90,7 @@
 			prefix, log = prefix+strconv.Itoa(i)+"-", log.With("pool", set.Pool[i].Name)
 		}
 		if len(m.Loops) > 1 {
-			p.account = divide.NewAccount(hooks.Clock.Now, poolSettings.Module(), len(m.Loops))
+			p.account = divide.NewAccount(hooks.Clock.Now, poolSettings.ModuleSettings(), len(m.Loops))
 		}
 		for j, l := range m.Loops {
 			w, prefix, log := &worker{nodePool: p, instance: j, loop: l}, prefix, log
--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -22,15 +22,15 @@
 
 // Problem is one thing wrong with a file of settings.
 type Problem struct {
-	File string
-	Line int    // 0: of the file as a whole
-	Path string // of the setting: operation[1].slo_ms; empty for what could not be read at all
-	Code string // stable: docs/language.md lists them
-	What string // without the path
+	File    string
+	Line    int    // 0: of the file as a whole
+	Path    string // of the setting: operation[1].slo_ms; empty for what could not be read at all
+	Code    string // stable: docs/language.md lists them
+	Message string // without the path
 }
 
 func (p Problem) Error() string {
-	what := p.What
+	what := p.Message
 	if p.Path != "" {
 		what = strings.TrimSuffix(p.Path, "[0]") + ": " + what
 	}
@@ -44,18 +44,18 @@
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, Problem{File: path, What: "can't be read: " + errors.Unwrap(err).Error()}
+		return nil, Problem{File: path, Message: "can't be read: " + errors.Unwrap(err).Error()}
 	}
 	s, err := Parse(path, text)
 	if err != nil {
 		return nil, err
 	}
-	s.Rebase(filepath.Dir(path))
+	s.ResolvePaths(filepath.Dir(path))
 	return s, nil
 }
 
-// Rebase lets relative file names start from a folder.
-func (x *Settings) Rebase(dir string) {
+// ResolvePaths lets relative file names start from a folder.
+func (x *Settings) ResolvePaths(dir string) {
 	names := []*string{&x.Roster.File, &x.Record.File}
 	for _, p := range x.Pool {
 		if p.Roster != nil {
@@ -113,18 +113,18 @@
 // syntax words an error of the text format, with the name that is nearest where one is not known.
 func syntax(name string, err error) error {
 	text := strings.NewReplacer("proto:", "", "\u00a0", " ").Replace(err.Error())
-	p := Problem{File: name, What: strings.TrimSpace(text)}
+	p := Problem{File: name, Message: strings.TrimSpace(text)}
 	if m := place.FindStringSubmatch(text); m != nil {
 		p.Line, _ = strconv.Atoi(m[1])
-		p.What = strings.TrimSpace(strings.Replace(p.What[strings.Index(p.What, m[0])+len(m[0]):], ":", "", 1))
+		p.Message = strings.TrimSpace(strings.Replace(p.Message[strings.Index(p.Message, m[0])+len(m[0]):], ":", "", 1))
 	}
 	if m := unknown.FindStringSubmatch(text); m != nil {
-		p.What = "no setting is called " + m[1] + nearest(m[1], names((&Settings{}).ProtoReflect().Descriptor()))
+		p.Message = "no setting is called " + m[1] + nearest(m[1], names((&Settings{}).ProtoReflect().Descriptor()))
 	} else if strings.Contains(text, "invalid value for enum") {
 		word := strings.TrimSpace(text[strings.LastIndex(text, ":")+1:])
-		p.What += nearest(word, []string{"IDEMPOTENT", "FINGERPRINTED", "SIDE_EFFECTING"})
+		p.Message += nearest(word, []string{"IDEMPOTENT", "FINGERPRINTED", "SIDE_EFFECTING"})
 	} else if strings.Contains(text, "unexpected EOF") {
-		p.What = "the file ends inside a block: a closing } is missing"
+		p.Message = "the file ends inside a block: a closing } is missing"
 	}
 	return p
 }
@@ -142,14 +142,14 @@
 
 // nearest words the known name that is most like one not known.
 func nearest(word string, known []string) string {
-	if best := Nearest(word, known); best != "" {
+	if best := ClosestName(word, known); best != "" {
 		return "; did you mean " + best + "?"
 	}
 	return ""
 }
 
-// Nearest is the known name that is most like one not known, or empty where none is like it.
-func Nearest(word string, known []string) string {
+// ClosestName is the known name that is most like one not known, or empty where none is like it.
+func ClosestName(word string, known []string) string {
 	best, least := "", 1+len(word)/2
 	for _, k := range known {
 		if d := levenshtein.ComputeDistance(strings.ToLower(word), strings.ToLower(k)); d < least {
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -7,8 +7,8 @@
 	"arrowcleat/balance"
 )
 
-// Module is what the decision module gets: its plain map of names and values.
-func (x *Settings) Module() balance.Settings {
+// ModuleSettings is what the decision module gets: its plain map of names and values.
+func (x *Settings) ModuleSettings() balance.Settings {
 	s := balance.Settings{
 		"marshals":                  float64(x.Instance.Marshals),
 		"number":                    float64(x.Instance.Number),
@@ -67,9 +67,9 @@
 // Cores is the number of the module's instances.
 func (x *Settings) Cores() int { return max(1, int(x.Instance.Cores)) }
 
-// ModuleOf is what one of several instances gets.
-func (x *Settings) ModuleOf(instance int) balance.Settings {
-	s := x.Module()
+// InstanceSettings is what one of several instances gets.
+func (x *Settings) InstanceSettings(instance int) balance.Settings {
+	s := x.ModuleSettings()
 	if n := x.Cores(); n > 1 {
 		s["instance"], s["instances"] = float64(instance), float64(n)
 	}
@@ -86,8 +86,8 @@
 	return -1
 }
 
-// Find finds the operation of a request by the name of the listener that it came to, or -1. The first that matches counts.
-func (x *Settings) Find(listener, method, path string) int {
+// FindOperation finds the operation of a request by the name of the listener that it came to, or -1. The first that matches counts.
+func (x *Settings) FindOperation(listener, method, path string) int {
 	for i, o := range x.Operation {
 		if len(o.Listener) > 0 && !slices.Contains(o.Listener, listener) {
 			continue
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// Pools gives for each pool the settings of the instance that serves it: those of the whole, with the pool's own blocks
+// PoolSettings gives for each pool the settings of the instance that serves it: those of the whole, with the pool's own blocks
 // in place and only the operations that go there. Without pools there is one, the whole.
-func (x *Settings) Pools() []*Settings {
+func (x *Settings) PoolSettings() []*Settings {
 	if len(x.Pool) == 0 {
 		return []*Settings{x}
 	}
@@ -33,8 +33,8 @@
 	return all
 }
 
-// RolloutOf is the rollout of a pool: its own, or that of the whole.
-func (x *Settings) RolloutOf(pool int) *Rollout {
+// PoolRollout is the rollout of a pool: its own, or that of the whole.
+func (x *Settings) PoolRollout(pool int) *Rollout {
 	if len(x.Pool) == 0 {
 		return x.Rollout
 	}
@@ -48,8 +48,8 @@
 	return whole
 }
 
-// Place finds the pool of an operation, and which of the pool's operations it is.
-func (x *Settings) Place(op int) (pool, local int) {
+// LocateOperation finds the pool of an operation, and which of the pool's operations it is.
+func (x *Settings) LocateOperation(op int) (pool, local int) {
 	if len(x.Pool) == 0 {
 		return 0, op
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -92,7 +92,7 @@
 	}
 	for call, want := range map[string]int{"GET /look/1": 0, "POST /look/1": -1, "GET /look": -1, "PUT /book": 1, "GET /book/1": -1} {
 		method, path, _ := strings.Cut(call, " ")
-		if got := s.Find(MainListener, method, path); got != want {
+		if got := s.FindOperation(MainListener, method, path); got != want {
 			t.Errorf("%s is operation %d, not %d", call, got, want)
 		}
 	}
