--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -96,7 +96,7 @@
 			if m.Method != "" && m.Method != method {
 				continue
 			}
-			if before, star := strings.CutSuffix(m.Path, "*"); star && strings.HasPrefix(path, before) || m.Path == path {
+			if prefix, wildcard := strings.CutSuffix(m.Path, "*"); wildcard && strings.HasPrefix(path, prefix) || m.Path == path {
 				return i
 			}
 		}
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -20,12 +20,12 @@
 				s.Operation = append(s.Operation, o)
 			}
 		}
-		s.Rules, s.Rollout, s.Conveyor = own(p.Rules, s.Rules), own(p.Rollout, s.Rollout), own(p.Conveyor, s.Conveyor)
-		s.Prices = own(p.Prices, s.Prices)
-		if s.Roster = own(p.Roster, s.Roster); p.Roster == nil && s.Roster.File != "" {
+		s.Rules, s.Rollout, s.Conveyor = orDefault(p.Rules, s.Rules), orDefault(p.Rollout, s.Rollout), orDefault(p.Conveyor, s.Conveyor)
+		s.Prices = orDefault(p.Prices, s.Prices)
+		if s.Roster = orDefault(p.Roster, s.Roster); p.Roster == nil && s.Roster.File != "" {
 			s.Roster.File += "." + p.Name // two pools don't share a list
 		}
-		if s.Record = own(p.Record, s.Record); p.Record == nil && s.Record.File != "" {
+		if s.Record = orDefault(p.Record, s.Record); p.Record == nil && s.Record.File != "" {
 			s.Record.File += "." + p.Name
 		}
 		all = append(all, s)
@@ -38,14 +38,14 @@
 	if len(x.Pool) == 0 {
 		return x.Rollout
 	}
-	return own(x.Pool[pool].Rollout, x.Rollout)
+	return orDefault(x.Pool[pool].Rollout, x.Rollout)
 }
 
-func own[T any](mine, whole *T) *T {
-	if mine != nil {
-		return mine
+func orDefault[T any](own, def *T) *T {
+	if own != nil {
+		return own
 	}
-	return whole
+	return def
 }
 
 // LocateOperation finds the pool of an operation, and which of the pool's operations it is.
@@ -66,22 +66,22 @@
 	return pool, local
 }
 
-// given is a block that was written, or nil.
-func given[T any](had bool, block *T) *T {
-	if had {
+// ifWritten is a block that was written, or nil.
+func ifWritten[T any](written bool, block *T) *T {
+	if written {
 		return block
 	}
 	return nil
 }
 
-// pools checks each pool with the blocks that it has of its own or from the whole.
-func (c *checker) pools() {
+// checkPools checks each pool with the blocks that it has of its own or from the whole.
+func (c *checker) checkPools() {
 	s := c.s
 	if len(s.Pool) == 0 {
-		c.ground("", s.Roster, s.Conveyor, s.Rules, s.Rollout)
+		c.checkOverridable("", s.Roster, s.Conveyor, s.Rules, s.Rollout)
 		for i, o := range s.Operation {
 			if o.Pool != "" {
-				c.say("AC307", fmt.Sprintf("operation[%d].pool", i), "no pool is called %s; describe it: pool { name: %q roster { ... } }", o.Pool, o.Pool)
+				c.report("AC307", fmt.Sprintf("operation[%d].pool", i), "no pool is called %s; describe it: pool { name: %q roster { ... } }", o.Pool, o.Pool)
 			}
 		}
 		return
@@ -90,64 +90,64 @@
 	for i, p := range s.Pool {
 		at := fmt.Sprintf("pool[%d].", i)
 		if p.Name == "" {
-			c.say("AC301", at+"name", "missing")
+			c.report("AC301", at+"name", "missing")
 		}
 		if slices.Contains(names, p.Name) {
-			c.say("AC306", at+"name", "another pool is called %s too", p.Name)
+			c.report("AC306", at+"name", "another pool is called %s too", p.Name)
 		}
 		names = append(names, p.Name)
 		for _, b := range []struct {
 			name string
 			own  bool
 		}{{"roster", p.Roster != nil}, {"rules", p.Rules != nil}, {"rollout", p.Rollout != nil}} {
-			if !b.own && !c.had[b.name] {
-				c.say("AC301", at+b.name, "the block is missing, here and at the top: write %s { ... }", b.name)
+			if !b.own && !c.written[b.name] {
+				c.report("AC301", at+b.name, "the block is missing, here and at the top: write %s { ... }", b.name)
 			}
 		}
-		c.ground(at, p.Roster, p.Conveyor, p.Rules, p.Rollout)
+		c.checkOverridable(at, p.Roster, p.Conveyor, p.Rules, p.Rollout)
 	}
 	// What pools take from the whole is checked once, where it stands.
-	c.ground("", given(c.had["roster"], s.Roster), given(c.had["conveyor"], s.Conveyor), given(c.had["rules"], s.Rules),
-		given(c.had["rollout"], s.Rollout))
-	used, sure := map[string]bool{}, true
+	c.checkOverridable("", ifWritten(c.written["roster"], s.Roster), ifWritten(c.written["conveyor"], s.Conveyor), ifWritten(c.written["rules"], s.Rules),
+		ifWritten(c.written["rollout"], s.Rollout))
+	used, allAssigned := map[string]bool{}, true
 	for i, o := range s.Operation {
 		at := fmt.Sprintf("operation[%d].pool", i)
 		used[o.Pool] = true
 		if o.Pool == "" {
-			sure = false
-			c.say("AC301", at, "missing; there are several pools: which one does it go to?")
+			allAssigned = false
+			c.report("AC301", at, "missing; there are several pools: which one does it go to?")
 			continue
 		}
 		if !slices.Contains(names, o.Pool) {
-			sure = false
-			c.say("AC307", at, "no pool is called %s%s", o.Pool, nearest(o.Pool, names))
+			allAssigned = false
+			c.report("AC307", at, "no pool is called %s%s", o.Pool, suggestion(o.Pool, names))
 		}
 	}
 	for i, n := range names {
-		if sure && !used[n] && n != "" {
-			c.say("AC404", fmt.Sprintf("pool[%d].name", i), "no operation goes to the pool %s; remove it, or name it in an operation", n)
+		if allAssigned && !used[n] && n != "" {
+			c.report("AC404", fmt.Sprintf("pool[%d].name", i), "no operation goes to the pool %s; remove it, or name it in an operation", n)
 		}
 	}
 }
 
-// listeners checks the further addresses and who is kept to them.
-func (c *checker) listeners() {
+// checkListeners checks the further addresses and who is kept to them.
+func (c *checker) checkListeners() {
 	names := []string{MainListener}
 	for i, l := range c.s.Listener {
 		at := fmt.Sprintf("listener[%d].", i)
 		if l.Name == "" {
-			c.say("AC301", at+"name", "missing")
+			c.report("AC301", at+"name", "missing")
 		}
 		if slices.Contains(names, l.Name) {
-			c.say("AC306", at+"name", "another listener is called %s too", l.Name)
+			c.report("AC306", at+"name", "another listener is called %s too", l.Name)
 		}
 		names = append(names, l.Name)
-		c.address(at+"address", l.Address)
+		c.checkAddress(at+"address", l.Address)
 	}
 	for i, o := range c.s.Operation {
 		for j, n := range o.Listener {
 			if !slices.Contains(names, n) {
-				c.say("AC307", fmt.Sprintf("operation[%d].listener[%d]", i, j), "no listener is called %s%s", n, nearest(n, names))
+				c.report("AC307", fmt.Sprintf("operation[%d].listener[%d]", i, j), "no listener is called %s%s", n, suggestion(n, names))
 			}
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-const good = `instance { number: 0 marshals: 2 zone: "here" }
+const validText = `instance { number: 0 marshals: 2 zone: "here" }
 listen { invocations: "127.0.0.1:0" peers: "127.0.0.1:0" }
 zone: "here"
 operation { name: "look" repeat: IDEMPOTENT slo_ms: 200 limit_ms: 600 match { method: "GET" path: "/look/*" } }
@@ -21,7 +21,7 @@
 
 // One mistake gives one line, with file, line and likely fix.
 func TestMistakes(t *testing.T) {
-	if _, err := Parse("f", []byte(good)); err != nil {
+	if _, err := Parse("f", []byte(validText)); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct{ old, new, want string }{
@@ -51,8 +51,8 @@
 		{"stage { part: 1 cap: 1 } }", "stage { part: 1 cap: 1 }", "f: the file ends inside a block: a closing } is missing"},
 		{"queue: 10 ", "queue: 10 probes: true ", `f:6: limits.probe_path: "" is no path; a node answers a probe at, for example, "/healthz"`},
 	} {
-		text := strings.Replace(good, c.old, c.new, 1)
-		if text == good {
+		text := strings.Replace(validText, c.old, c.new, 1)
+		if text == validText {
 			t.Fatalf("%q is not in the text", c.old)
 		}
 		_, err := Parse("f", []byte(text))
@@ -69,7 +69,7 @@
 
 // What is written is read as the same; reading never panics, and an error names its file.
 func FuzzParse(f *testing.F) {
-	f.Add(good)
+	f.Add(validText)
 	f.Add("operation { match { } }")
 	f.Fuzz(func(t *testing.T, text string) {
 		s, err := Parse("f", []byte(text))
@@ -86,7 +86,7 @@
 }
 
 func TestFind(t *testing.T) {
-	s, err := Parse("f", []byte(good))
+	s, err := Parse("f", []byte(validText))
 	if err != nil {
 		t.Fatal(err)
 	}
