--- a/cmd/arrowcleat/day.go
+++ b/cmd/arrowcleat/day.go
@@ -22,8 +22,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// errBroken is the end of a day or an audit that found a rule broken.
-var errBroken = errors.New("rules were broken")
+// errRulesBroken is the end of a day or an audit that found a rule broken.
+var errRulesBroken = errors.New("rules were broken")
 
 func dayCommand() *cobra.Command {
 	var file, like, trouble, dir, planted, level string
@@ -80,7 +80,7 @@
 				}
 			}
 			var l slog.LevelVar
-			o.Log = logger(os.Stderr, &settings.Log{Level: level, Form: "text"}, &l)
+			o.Log = newLogger(os.Stderr, &settings.Log{Level: level, Form: "text"}, &l)
 			if !asJSON && !quiet {
 				o.Say = func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }
 			}
@@ -97,10 +97,10 @@
 				}
 				fmt.Fprintln(c.OutOrStdout(), string(b))
 			} else {
-				printDay(c, plan, out)
+				printOutcome(c, plan, out)
 			}
 			if !out.Clean() {
-				return errBroken
+				return errRulesBroken
 			}
 			return nil
 		},
@@ -125,7 +125,7 @@
 	return c
 }
 
-func printDay(c *cobra.Command, plan *settings.Day, out *day.Outcome) {
+func printOutcome(c *cobra.Command, plan *settings.Day, out *day.Outcome) {
 	w := c.OutOrStdout()
 	fmt.Fprintf(w, "\nseed %d\n", out.Seed)
 	for _, b := range out.Builds {
@@ -163,7 +163,7 @@
 				r.Table(c.OutOrStdout())
 			}
 			if !r.Clean() {
-				return errBroken
+				return errRulesBroken
 			}
 			return nil
 		},
--- a/cmd/arrowcleat/lang.go
+++ b/cmd/arrowcleat/lang.go
@@ -14,8 +14,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// read reads settings in the language, or in protobuf text format by its ending.
-func read(path string) (*settings.Settings, []*lang.Diagnostic) {
+// readSettings reads settings in the language, or in protobuf text format by its ending.
+func readSettings(path string) (*settings.Settings, []*lang.Diagnostic) {
 	if !strings.HasSuffix(path, ".txtpb") && !strings.HasSuffix(path, ".textproto") {
 		return lang.Load(path, os.ReadFile)
 	}
@@ -41,7 +41,7 @@
 	return nil, found
 }
 
-func joined(found []*lang.Diagnostic) error {
+func joinErrors(found []*lang.Diagnostic) error {
 	var all []error
 	for _, d := range found {
 		if !d.Warning {
@@ -51,7 +51,7 @@
 	return errors.Join(all...)
 }
 
-func someFiles(c *cobra.Command, args []string) error {
+func atLeastOneFile(c *cobra.Command, args []string) error {
 	if len(args) == 0 {
 		return badInput{fmt.Errorf("%s takes one file or more", c.CommandPath())}
 	}
@@ -70,12 +70,12 @@
 			if config != "" {
 				args = append(args, config)
 			}
-			if err := someFiles(c, args); err != nil {
+			if err := atLeastOneFile(c, args); err != nil {
 				return err
 			}
 			wrong := false
 			for _, path := range args {
-				set, found := read(path)
+				set, found := readSettings(path)
 				wrong = wrong || set == nil
 				if asJSON {
 					if found == nil {
@@ -108,7 +108,7 @@
 	c := &cobra.Command{
 		Use:   "fmt FILE...",
 		Short: "Format files in the language; what they mean is untouched",
-		Args:  someFiles,
+		Args:  atLeastOneFile,
 		RunE: func(c *cobra.Command, args []string) error {
 			differs := false
 			for _, path := range args {
@@ -160,9 +160,9 @@
 		RunE: func(c *cobra.Command, args []string) error {
 			var both [2]*settings.Settings
 			for i, path := range args {
-				set, found := read(path)
+				set, found := readSettings(path)
 				if set == nil {
-					return badInput{joined(found)}
+					return badInput{joinErrors(found)}
 				}
 				both[i] = set
 			}
@@ -197,7 +197,7 @@
 		Short: "Write settings as protobuf text format",
 		Args:  oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
-			set, err := load(args[0])
+			set, err := loadSettings(args[0])
 			if err != nil {
 				return err
 			}
@@ -213,7 +213,7 @@
 		Short: "Write settings in the language",
 		Args:  oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
-			set, err := load(args[0])
+			set, err := loadSettings(args[0])
 			if err != nil {
 				return err
 			}
--- a/cmd/arrowcleat/main.go
+++ b/cmd/arrowcleat/main.go
@@ -22,7 +22,7 @@
 // The exit codes, as the help and docs/running.md say them.
 const (
 	exitFailed   = 1 // it ran and something was wrong: a rule broken, a panic, a difference
-	exitSettings = 2 // the command line or a file is wrong; nothing was started
+	exitBadInput = 2 // the command line or a file is wrong; nothing was started
 )
 
 // badInput is an error of the command line or a file.
@@ -31,19 +31,19 @@
 func (b badInput) Unwrap() error { return b.error }
 
 func main() {
-	err := root().Execute()
+	err := rootCommand().Execute()
 	if err == nil {
 		return
 	}
 	fmt.Fprintln(os.Stderr, err)
 	var bad badInput
 	if errors.As(err, &bad) {
-		os.Exit(exitSettings)
+		os.Exit(exitBadInput)
 	}
 	os.Exit(exitFailed)
 }
 
-func root() *cobra.Command {
+func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "arrowcleat",
 		Short: "Try new builds of a service on live traffic",
@@ -57,7 +57,7 @@
 	}
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return badInput{err} })
 	c.AddCommand(serveCommand(), checkCommand(), fmtCommand(), diffCommand(), compileCommand(), decompileCommand(),
-		explainCommand(), syntaxCommand(), standinCommand(), dayCommand(), auditCommand(), platformCommand(), soakCommand(), underFaultsCommand(),
+		explainCommand(), syntaxCommand(), standinCommand(), dayCommand(), auditCommand(), platformCommand(), soakCommand(), faultsCommand(),
 		replayCommand(), measureCommand(), versionCommand())
 	return c
 }
@@ -97,8 +97,8 @@
 	return nil
 }
 
-// logger makes the log that settings ask for; its level can be changed while it runs.
-func logger(out io.Writer, l *settings.Log, level *slog.LevelVar) *slog.Logger {
+// newLogger makes the log that settings ask for; its level can be changed while it runs.
+func newLogger(out io.Writer, l *settings.Log, level *slog.LevelVar) *slog.Logger {
 	level.UnmarshalText([]byte(l.Level)) // checked with the settings
 	options := &slog.HandlerOptions{Level: level}
 	if l.Form == "json" {
@@ -107,19 +107,19 @@
 	return slog.New(slog.NewTextHandler(out, options))
 }
 
-// flushWithin is how long a process that ends waits for its last log lines to be written.
-const flushWithin = 100 * time.Millisecond
+// flushTimeout is how long a process that ends waits for its last log lines to be written.
+const flushTimeout = 100 * time.Millisecond
 
-// serviceLog is the log of a process in service, on standard error: it neither waits for whoever reads it nor ends with them. flush has the
+// newServiceLog is the log of a process in service, on standard error: it neither waits for whoever reads it nor ends with them. flush has the
 // lines so far written.
-func serviceLog(l *settings.Log, level *slog.LevelVar) (log *slog.Logger, flush func()) {
+func newServiceLog(l *settings.Log, level *slog.LevelVar) (log *slog.Logger, flush func()) {
 	signal.Ignore(syscall.SIGPIPE) // else a line that nobody can read any more ends the process
 	out := logsink.New(os.Stderr)
-	return logger(out, l, level), func() { out.Flush(flushWithin) }
+	return newLogger(out, l, level), func() { out.Flush(flushTimeout) }
 }
 
-// signals gives what operators send: TERM and INT to stop, USR1 for more of the log, USR2 for less.
-func signals(level *slog.LevelVar, log *slog.Logger) (stop chan os.Signal, done func()) {
+// handleSignals gives what operators send: TERM and INT to stop, USR1 for more of the log, USR2 for less.
+func handleSignals(level *slog.LevelVar, log *slog.Logger) (stop chan os.Signal, done func()) {
 	stop, levels := make(chan os.Signal, 2), make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	signal.Notify(levels, syscall.SIGUSR1, syscall.SIGUSR2)
--- a/cmd/arrowcleat/measure.go
+++ b/cmd/arrowcleat/measure.go
@@ -11,8 +11,8 @@
 	"arrowcleat/internal/measure"
 )
 
-// measureCores measures on one core after the other.
-func measureCores() *cobra.Command {
+// measureCoresCommand measures on one core after the other.
+func measureCoresCommand() *cobra.Command {
 	o := measure.Options{Clients: 64, Rate: 2000}
 	seconds, counts := 4.0, []int{1, 2, 4, 8}
 	c := &cobra.Command{
@@ -96,7 +96,7 @@
 	f.Float64Var(&seconds, "seconds", seconds, "of each loop")
 	f.IntVar(&o.Idle, "idle", o.Idle, "connections whose memory is weighed")
 	f.IntVar(&o.Procs, "procs", o.Procs, "GOMAXPROCS of what is measured")
-	c.AddCommand(measureCores(), &cobra.Command{Use: "proxy ADDRESS...", Hidden: true, Short: "The reverse proxy that is measured against",
+	c.AddCommand(measureCoresCommand(), &cobra.Command{Use: "proxy ADDRESS...", Hidden: true, Short: "The reverse proxy that is measured against",
 		RunE: func(c *cobra.Command, args []string) error { return measure.Proxy(args, os.Stdin, os.Stdout) }})
 	return c
 }
--- a/cmd/arrowcleat/platform.go
+++ b/cmd/arrowcleat/platform.go
@@ -39,7 +39,7 @@
 			if config == "" {
 				return badInput{errors.New("neither --config nor GW_CONFIG names a configuration")}
 			}
-			return runOnPlatform(config, level, serve.Hooks{})
+			return runPlatformMarshal(config, level, serve.Hooks{})
 		},
 	}
 	c.Flags().StringVar(&config, "config", "", "file of the configuration; GW_CONFIG where it is left out")
@@ -47,7 +47,7 @@
 	return c
 }
 
-func runOnPlatform(path, level string, hooks serve.Hooks) error {
+func runPlatformMarshal(path, level string, hooks serve.Hooks) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	// Each of these ends a process that does not take it: before there is a log whose level they change, and in its last moments.
@@ -58,25 +58,25 @@
 		return badInput{err}
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
-	debug.SetMemoryLimit(int64(c.MemoryMB*memoryPart) << 20)
+	debug.SetMemoryLimit(int64(c.MemoryMB*heapLimitShare) << 20)
 	var at slog.LevelVar
 	if err := at.UnmarshalText([]byte(level)); err != nil {
 		return badInput{fmt.Errorf("--log: %q is no level", level)}
 	}
 	c.Set.Log.Level = level
-	log, flush := serviceLog(c.Set.Log, &at)
+	log, flush := newServiceLog(c.Set.Log, &at)
 	defer flush()
 	for _, text := range c.Differs {
 		log.Warn("the environment differs", "what", text)
 	}
-	stop, done := signals(&at, log)
+	stop, done := handleSignals(&at, log)
 	defer done()
 	m, err := platform.StartWith(c, log, hooks)
 	if err != nil {
 		return badInput{err}
 	}
-	r := &platformRun{m: m, path: path, log: log, level: &at}
-	r.follow(hup, stop)
+	r := &platformRun{marshal: m, path: path, log: log, level: &at}
+	r.handleEvents(hup, stop)
 	err = m.End()
 	var p *loop.Panic
 	if errors.As(err, &p) {
@@ -88,35 +88,35 @@
 
 // platformRun is a marshal in service, and what its signals do to it.
 type platformRun struct {
-	m     *platform.Marshal
-	path  string // of the configuration
-	log   *slog.Logger
-	level *slog.LevelVar
-	again <-chan time.Time // when a configuration that could not be read for a moment is read again; nil: not
+	marshal *platform.Marshal
+	path    string // of the configuration
+	log     *slog.Logger
+	level   *slog.LevelVar
+	retry   <-chan time.Time // when a configuration that could not be read for a moment is read again; nil: not
 }
 
 const (
-	viewEvery = time.Second
-	// rereadEvery is between two tries to read a configuration where the system can't for a moment: the addresses that it names are
+	stateLogInterval = time.Second
+	// rereadInterval is between two tries to read a configuration where the system can't for a moment: the addresses that it names are
 	// due, whatever the cause.
-	rereadEvery = 20 * time.Millisecond
+	rereadInterval = 20 * time.Millisecond
 )
 
-// follow does what signals ask for until the marshal has ended. Also while it drains it takes configurations: the addresses before close.
-func (r *platformRun) follow(hup, stop <-chan os.Signal) {
-	views := time.NewTicker(viewEvery)
+// handleEvents does what signals ask for until the marshal has ended. Also while it drains it takes configurations: the addresses before close.
+func (r *platformRun) handleEvents(hup, stop <-chan os.Signal) {
+	views := time.NewTicker(stateLogInterval)
 	defer views.Stop()
-	ended, drained := r.m.Ended(), make(chan struct{})
+	ended, drained := r.marshal.Ended(), make(chan struct{})
 	var hurry chan struct{}
 	for {
 		select {
 		case <-views.C:
 			if r.level.Level() <= slog.LevelDebug {
-				r.m.Say()
+				r.marshal.Say()
 			}
 		case <-hup:
 			r.reload(true)
-		case <-r.again:
+		case <-r.retry:
 			r.reload(false)
 		case s := <-stop:
 			if hurry != nil { // the second one
@@ -124,10 +124,10 @@
 				stop = nil
 				continue
 			}
-			r.log.Warn("draining", "signal", s.String(), "open", r.m.Front.OpenInvocations())
+			r.log.Warn("draining", "signal", s.String(), "open", r.marshal.Front.OpenInvocations())
 			ended, hurry = nil, make(chan struct{})
 			go func(hurry <-chan struct{}) {
-				r.m.Drain(hurry) // End gives its error again
+				r.marshal.Drain(hurry) // End gives its error again
 				close(drained)
 			}(hurry)
 		case <-ended:
@@ -140,18 +140,18 @@
 
 // reload takes the addresses of the configuration as it is now. first is for the try that the signal asked for: only that one complains.
 func (r *platformRun) reload(first bool) {
-	r.again = nil
+	r.retry = nil
 	next, err := platform.Read(r.path, os.Getenv)
 	switch {
 	case err == nil:
-		r.m.Move(next)
+		r.marshal.Move(next)
 		r.log.Warn("configuration taken", "discovery", next.Discovery, "release_api", next.API)
 		return
 	case first:
 		r.log.Error("configuration not taken", "err", err)
 	}
 	if unreadable(err) {
-		r.again = time.After(rereadEvery)
+		r.retry = time.After(rereadInterval)
 	}
 }
 
@@ -161,5 +161,5 @@
 	return errors.As(err, &path) && !errors.Is(err, fs.ErrNotExist)
 }
 
-// memoryPart is the part of the memory limit under which the collector keeps the heap.
-const memoryPart = 0.6
+// heapLimitShare is the part of the memory limit under which the collector keeps the heap.
+const heapLimitShare = 0.6
--- a/cmd/arrowcleat/platform_test.go
+++ b/cmd/arrowcleat/platform_test.go
@@ -26,17 +26,17 @@
 
 // TestMain is the program itself where the environment says so.
 func TestMain(m *testing.M) {
-	if fault := os.Getenv(planted); fault != "" {
-		os.Exit(runPlanted(fault))
+	if fault := os.Getenv(faultVariable); fault != "" {
+		os.Exit(runWithFault(fault))
 	}
-	if os.Getenv(asProgram) != "" {
+	if os.Getenv(programVariable) != "" {
 		main()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-const configuration = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
+const configTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"release_api":{"address":%q,
 "news":{"Revision":7,"Wave":1,"State":"live","MaxShare":1,"AgeMs":90000}},
 "settings":{"balancers":1,"me":0,"locality":0,"zones":["here"],"discovery":"automatic",
@@ -45,8 +45,8 @@
 "request-classes":[{"name":"look","aim-s":0.4,"deadline-s":1.5,"repeat":"free"},
 {"name":"book","aim-s":0.4,"deadline-s":1.5,"repeat":"guarded","group":"zone","window-s":8.0}]}}`
 
-// follow is a server whose answers never end, and counts who asked.
-func follow(t *testing.T, line string) (address string, asked *atomic.Int64) {
+// streamServer is a server whose answers never end, and counts who asked.
+func streamServer(t *testing.T, line string) (address string, asked *atomic.Int64) {
 	asked = &atomic.Int64{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		asked.Add(1)
@@ -58,9 +58,9 @@
 	return s.Listener.Addr().String(), asked
 }
 
-// asking is a client that asks again and again until the marshal takes no connection, as the platform's do: what crosses the
+// requestUntilClosed is a client that asks again and again until the marshal takes no connection, as the platform's do: what crosses the
 // close of a kept connection is sent once more. It gives what went wrong.
-func asking(address string, number int, answered *atomic.Int64) error {
+func requestUntilClosed(address string, number int, answered *atomic.Int64) error {
 	var c net.Conn
 	var b *bufio.Reader
 	defer func() {
@@ -109,12 +109,12 @@
 	}
 }
 
-// program is the program as a process, with its log and its configuration.
-type program struct {
+// process is the process as a process, with its log and its configuration.
+type process struct {
 	*exec.Cmd
-	t             *testing.T
-	log           processLog
-	file, address string
+	t                   *testing.T
+	log                 processLog
+	configFile, address string
 }
 
 // processLog is what a process has logged so far; it may be read while the process runs.
@@ -135,29 +135,29 @@
 	return l.text.String()
 }
 
-// run starts a marshal and waits until it serves.
-func run(t *testing.T, configured func(address string) string) *program {
+// startMarshal starts a marshal and waits until it serves.
+func startMarshal(t *testing.T, configured func(address string) string) *process {
 	t.Helper()
-	return runAs(t, exec.Command(os.Args[0], "platform"), configured)
+	return startCommand(t, exec.Command(os.Args[0], "platform"), configured)
 }
 
-// runAs does so by a command of its own.
-func runAs(t *testing.T, command *exec.Cmd, configured func(address string) string) *program {
+// startCommand does so by a command of its own.
+func startCommand(t *testing.T, command *exec.Cmd, configured func(address string) string) *process {
 	t.Helper()
 	own, err := loopback.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(own.Release)
-	p := &program{Cmd: command, t: t, address: own.At(loopback.RequestPort), file: filepath.Join(t.TempDir(), "config.json")}
-	p.write(configured(p.address))
-	p.Env = append(os.Environ(), asProgram+"=1", "GW_CONFIG="+p.file)
+	p := &process{Cmd: command, t: t, address: own.At(loopback.RequestPort), configFile: filepath.Join(t.TempDir(), "config.json")}
+	p.writeConfig(configured(p.address))
+	p.Env = append(os.Environ(), programVariable+"=1", "GW_CONFIG="+p.configFile)
 	p.Stderr = &p.log
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.Process.Kill() })
-	p.until("it serves", func() bool {
+	p.waitFor("it serves", func() bool {
 		r, err := http.Get("http://" + p.address + "/healthz")
 		if err == nil {
 			r.Body.Close()
@@ -168,14 +168,14 @@
 	return p
 }
 
-func (p *program) write(text string) {
+func (p *process) writeConfig(text string) {
 	p.t.Helper()
-	if err := os.WriteFile(p.file, []byte(text), 0o644); err != nil {
+	if err := os.WriteFile(p.configFile, []byte(text), 0o644); err != nil {
 		p.t.Fatal(err)
 	}
 }
 
-func (p *program) until(what string, is func() bool) {
+func (p *process) waitFor(what string, is func() bool) {
 	p.t.Helper()
 	for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
 		if time.Now().After(end) {
@@ -187,17 +187,17 @@
 }
 
 // Clients that ask and leave while the process stands still are noticed before anything is sent on for them.
-func TestClientsLeaveWhileItStandsStill(t *testing.T) {
+func TestClientsLeaveWhileProcessIsStopped(t *testing.T) {
 	var got atomic.Int64
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		got.Add(1)
 		io.WriteString(w, "fine")
 	}))
 	defer node.Close()
-	list, _ := follow(t, fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`,
+	list, _ := streamServer(t, fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`,
 		node.Listener.Addr()))
-	api, _ := follow(t, "{}\n")
-	p := run(t, func(address string) string { return fmt.Sprintf(configuration, address, list, api) })
+	api, _ := streamServer(t, "{}\n")
+	p := startMarshal(t, func(address string) string { return fmt.Sprintf(configTemplate, address, list, api) })
 	for round := range 20 {
 		p.Process.Signal(syscall.SIGSTOP)
 		for i := range 5 {
@@ -212,12 +212,12 @@
 		p.Process.Signal(syscall.SIGCONT)
 		time.Sleep(20 * time.Millisecond)
 	}
-	p.until("all is over", func() bool { c := got.Load(); time.Sleep(20 * time.Millisecond); return got.Load() == c })
+	p.waitFor("all is over", func() bool { c := got.Load(); time.Sleep(20 * time.Millisecond); return got.Load() == c })
 	if n := got.Load(); n > 0 {
 		t.Errorf("%d of 100 requests of clients that had left reached the node", n)
 	}
 	asked := 0
-	p.until("it serves on", func() bool { // after so many that left it may refuse some
+	p.waitFor("it serves on", func() bool { // after so many that left it may refuse some
 		asked++
 		q, _ := http.NewRequest("GET", "http://"+p.address+"/look", nil)
 		q.Header = http.Header{"X-Trace-Id": {fmt.Sprint(asked)}, "X-Qos": {"look"}}
@@ -241,11 +241,11 @@
 	const descriptors, silent = 48, 60
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 	defer node.Close()
-	list, _ := follow(t, fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`,
+	list, _ := streamServer(t, fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`,
 		node.Listener.Addr()))
-	api, _ := follow(t, "{}\n")
+	api, _ := streamServer(t, "{}\n")
 	limited := exec.Command("/bin/sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0" platform`, descriptors), os.Args[0])
-	p := runAs(t, limited, func(address string) string { return fmt.Sprintf(configuration, address, list, api) })
+	p := startCommand(t, limited, func(address string) string { return fmt.Sprintf(configTemplate, address, list, api) })
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", p.address)
 		if err != nil {
@@ -305,10 +305,10 @@
 func TestSecondTermWhileConnectionsCome(t *testing.T) {
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 	defer node.Close()
-	list, _ := follow(t, fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`,
+	list, _ := streamServer(t, fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`,
 		node.Listener.Addr()))
-	api, _ := follow(t, "{}\n")
-	p := run(t, func(address string) string { return fmt.Sprintf(configuration, address, list, api) })
+	api, _ := streamServer(t, "{}\n")
+	p := startMarshal(t, func(address string) string { return fmt.Sprintf(configTemplate, address, list, api) })
 	var told atomic.Int64
 	var wg sync.WaitGroup
 	for i := range 16 {
@@ -356,17 +356,17 @@
 	var lists [3]string
 	var asked [3]*atomic.Int64
 	for i := range lists {
-		lists[i], asked[i] = follow(t, list)
+		lists[i], asked[i] = streamServer(t, list)
 	}
-	api, _ := follow(t, "{}\n")
-	p := run(t, func(address string) string { return fmt.Sprintf(configuration, address, lists[0], api) })
-	good := func(i int) string { return fmt.Sprintf(configuration, p.address, lists[i], api) }
-	address, write, until := p.address, p.write, p.until
+	api, _ := streamServer(t, "{}\n")
+	p := startMarshal(t, func(address string) string { return fmt.Sprintf(configTemplate, address, lists[0], api) })
+	good := func(i int) string { return fmt.Sprintf(configTemplate, p.address, lists[i], api) }
+	address, write, until := p.address, p.writeConfig, p.waitFor
 	var wg sync.WaitGroup
 	var answered atomic.Int64
 	for i := range 8 {
 		wg.Go(func() {
-			if err := asking(address, i, &answered); err != nil {
+			if err := requestUntilClosed(address, i, &answered); err != nil {
 				t.Error(err)
 			}
 		})
@@ -380,7 +380,7 @@
 		p.Process.Signal(syscall.SIGHUP)
 		more()
 	}
-	os.Remove(p.file)
+	os.Remove(p.configFile)
 	p.Process.Signal(syscall.SIGHUP)
 	more()
 	if asked[1].Load() > 0 {
@@ -406,7 +406,7 @@
 
 // HUP comes while the marshal drains: discovery moves, and the marshal went on with the address before, which closes. HUP comes while the
 // file can't be read: the configuration was forgotten.
-func TestReloadInBadMoments(t *testing.T) {
+func TestReloadWhileDrainingOrUnreadable(t *testing.T) {
 	hangs := make(chan struct{})
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { <-hangs }))
 	defer node.Close()
@@ -415,21 +415,21 @@
 	var lists [3]string
 	var asked [3]*atomic.Int64
 	for i := range lists {
-		lists[i], asked[i] = follow(t, hosts)
+		lists[i], asked[i] = streamServer(t, hosts)
 	}
-	api, _ := follow(t, "{}\n")
-	p := run(t, func(address string) string { return fmt.Sprintf(configuration, address, lists[0], api) })
-	if err := errors.Join(os.Remove(p.file), os.Mkdir(p.file, 0o755)); err != nil { // a folder can be opened and not be read: EISDIR
+	api, _ := streamServer(t, "{}\n")
+	p := startMarshal(t, func(address string) string { return fmt.Sprintf(configTemplate, address, lists[0], api) })
+	if err := errors.Join(os.Remove(p.configFile), os.Mkdir(p.configFile, 0o755)); err != nil { // a folder can be opened and not be read: EISDIR
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	p.until("it says so", func() bool { return strings.Contains(p.log.String(), "configuration not taken") })
-	next := p.file + ".next"
-	if err := errors.Join(os.WriteFile(next, []byte(fmt.Sprintf(configuration, p.address, lists[1], api)), 0o644), os.Remove(p.file),
-		os.Rename(next, p.file)); err != nil {
+	p.waitFor("it says so", func() bool { return strings.Contains(p.log.String(), "configuration not taken") })
+	next := p.configFile + ".next"
+	if err := errors.Join(os.WriteFile(next, []byte(fmt.Sprintf(configTemplate, p.address, lists[1], api)), 0o644), os.Remove(p.configFile),
+		os.Rename(next, p.configFile)); err != nil {
 		t.Fatal(err)
 	}
-	p.until("the configuration is taken once it can be read", func() bool { return asked[1].Load() > 0 })
+	p.waitFor("the configuration is taken once it can be read", func() bool { return asked[1].Load() > 0 })
 	c, err := net.Dial("tcp", p.address) // a request that holds up the end
 	if err != nil {
 		t.Fatal(err)
@@ -437,10 +437,10 @@
 	defer c.Close()
 	fmt.Fprint(c, "GET /look HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nX-Qos: look\r\n\r\n")
 	p.Process.Signal(syscall.SIGTERM)
-	p.until("it drains", func() bool { return strings.Contains(p.log.String(), "draining") })
-	p.write(fmt.Sprintf(configuration, p.address, lists[2], api))
+	p.waitFor("it drains", func() bool { return strings.Contains(p.log.String(), "draining") })
+	p.writeConfig(fmt.Sprintf(configTemplate, p.address, lists[2], api))
 	p.Process.Signal(syscall.SIGHUP)
-	p.until("the configuration is taken while it drains", func() bool { return asked[2].Load() > 0 })
+	p.waitFor("the configuration is taken while it drains", func() bool { return asked[2].Load() > 0 })
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
@@ -457,9 +457,9 @@
 		t.Run(name, func(t *testing.T) {
 			node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 			defer node.Close()
-			list, _ := follow(t, fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`,
+			list, _ := streamServer(t, fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`,
 				node.Listener.Addr()))
-			api, _ := follow(t, "{}\n")
+			api, _ := streamServer(t, "{}\n")
 			reader, writer, err := os.Pipe()
 			if err != nil {
 				t.Fatal(err)
@@ -470,7 +470,7 @@
 			}
 			command := exec.Command("/bin/sh", "-c", `exec "$0" platform --log debug 2>&3`, os.Args[0])
 			command.ExtraFiles = []*os.File{writer}
-			p := runAs(t, command, func(address string) string { return fmt.Sprintf(configuration, address, list, api) })
+			p := startCommand(t, command, func(address string) string { return fmt.Sprintf(configTemplate, address, list, api) })
 			writer.Close()
 			if gone {
 				reader.Close()
--- a/cmd/arrowcleat/serve.go
+++ b/cmd/arrowcleat/serve.go
@@ -17,19 +17,19 @@
 	"arrowcleat/internal/settings"
 )
 
-// load reads settings in either form and prints what is wrong.
-func load(path string) (*settings.Settings, error) {
+// loadSettings reads settings in either form and prints what is wrong.
+func loadSettings(path string) (*settings.Settings, error) {
 	if path == "" {
 		return nil, badInput{errors.New("--config FILE is missing: which settings?")}
 	}
-	set, found := read(path)
+	set, found := readSettings(path)
 	for _, d := range found {
 		if d.Warning {
 			fmt.Fprintln(os.Stderr, d)
 		}
 	}
 	if set == nil {
-		return nil, badInput{joined(found)}
+		return nil, badInput{joinErrors(found)}
 	}
 	set.ResolvePaths(filepath.Dir(path))
 	return set, nil
@@ -49,7 +49,7 @@
 		Example: "  arrowcleat serve --config marshal.cleat",
 		Args:    noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			set, err := load(config)
+			set, err := loadSettings(config)
 			if err != nil {
 				return err
 			}
@@ -62,9 +62,9 @@
 
 func runMarshal(set *settings.Settings, path string) error {
 	var level slog.LevelVar
-	log, flush := serviceLog(set.Log, &level)
+	log, flush := newServiceLog(set.Log, &level)
 	defer flush()
-	stop, done := signals(&level, log)
+	stop, done := handleSignals(&level, log)
 	defer done()
 	m, err := serve.Start(set, log, serve.Hooks{})
 	if err != nil {
@@ -76,7 +76,7 @@
 	defer func() { signal.Stop(hup); close(hup) }()
 	go func() {
 		for range hup {
-			reload(m, path, &level, log)
+			reloadSettings(m, path, &level, log)
 		}
 	}()
 	select {
@@ -104,9 +104,9 @@
 	return err
 }
 
-// reload takes the settings' file again, all of it or nothing.
-func reload(m *serve.Marshal, path string, level *slog.LevelVar, log *slog.Logger) {
-	set, found := read(path)
+// reloadSettings takes the settings' file again, all of it or nothing.
+func reloadSettings(m *serve.Marshal, path string, level *slog.LevelVar, log *slog.Logger) {
+	set, found := readSettings(path)
 	if set == nil {
 		for _, d := range found {
 			log.Error("settings not taken", "what", d.Error())
--- a/cmd/arrowcleat/soak.go
+++ b/cmd/arrowcleat/soak.go
@@ -16,8 +16,8 @@
 	"arrowcleat/internal/soak"
 )
 
-// runsAtOnce leaves each run two processors: what it checks is bound to times.
-var runsAtOnce = max(1, runtime.NumCPU()/2)
+// maxParallelRuns leaves each run two processors: what it checks is bound to times.
+var maxParallelRuns = max(1, runtime.NumCPU()/2)
 
 func soakCommand() *cobra.Command {
 	var seed uint64
@@ -45,7 +45,7 @@
 					return err
 				}
 			}
-			return soakAll(c.OutOrStdout(), soak.Options{Dir: dir, Program: []string{program, underFaults}}, seed, runs)
+			return runSoaks(c.OutOrStdout(), soak.Options{Dir: dir, Program: []string{program, faultsCommandName}}, seed, runs)
 		},
 	}
 	c.Flags().Uint64Var(&seed, "seed", 1, "the first run's")
@@ -55,14 +55,14 @@
 	return c
 }
 
-// underFaults is the command by which the soak starts a marshal.
-const underFaults = "platform-under-faults"
+// faultsCommandName is the command by which the soak starts a marshal.
+const faultsCommandName = "platform-under-faults"
 
-// underFaultsCommand is platform on a machine with faults, where the environment tells their seed.
-func underFaultsCommand() *cobra.Command {
+// faultsCommand is platform on a machine with faults, where the environment tells their seed.
+func faultsCommand() *cobra.Command {
 	var level string
 	c := &cobra.Command{
-		Use:    underFaults,
+		Use:    faultsCommandName,
 		Short:  "Run the platform's marshal on a machine with seeded faults; for the soak",
 		Hidden: true,
 		Args:   noArgs,
@@ -75,31 +75,31 @@
 				}
 				hooks = faults.NewMachine(seed).Hooks()
 			}
-			return runOnPlatform(os.Getenv("GW_CONFIG"), level, hooks)
+			return runPlatformMarshal(os.Getenv("GW_CONFIG"), level, hooks)
 		},
 	}
 	c.Flags().StringVar(&level, "log", "info", "as of platform")
 	return c
 }
 
-// soakAll plays runs, some at once, and prints each, and what was checked in all.
-func soakAll(out io.Writer, o soak.Options, seed uint64, runs int) error {
+// runSoaks plays runs, some at once, and prints each, and what was checked in all.
+func runSoaks(out io.Writer, o soak.Options, seed uint64, runs int) error {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	broken, requests, checked := 0, 0, map[string]int{}
-	room := make(chan struct{}, runsAtOnce)
+	failed, requests, checked := 0, 0, map[string]int{}
+	slots := make(chan struct{}, maxParallelRuns)
 	for i := range runs {
 		one := o
 		one.Plan = soak.Draw(seed + uint64(i))
 		one.Dir = filepath.Join(o.Dir, fmt.Sprint(one.Plan.Seed))
-		room <- struct{}{}
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-room }()
-			outcome, err := playSoak(one)
+			defer func() { <-slots }()
+			outcome, err := runSoak(one)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				broken++
+				failed++
 				fmt.Fprintf(out, "seed %d: %v\n", one.Plan.Seed, err)
 				return
 			}
@@ -108,20 +108,20 @@
 				checked[rule] += n
 			}
 			if !outcome.Clean() {
-				broken++
+				failed++
 			}
 			outcome.Print(out)
 		})
 	}
 	wg.Wait()
-	fmt.Fprintf(out, "%d runs, %d requests taken, checked %v; %d runs with findings; logs in %s\n", runs, requests, checked, broken, o.Dir)
-	if broken > 0 {
-		return errBroken
+	fmt.Fprintf(out, "%d runs, %d requests taken, checked %v; %d runs with findings; logs in %s\n", runs, requests, checked, failed, o.Dir)
+	if failed > 0 {
+		return errRulesBroken
 	}
 	return nil
 }
 
-func playSoak(o soak.Options) (*soak.Outcome, error) {
+func runSoak(o soak.Options) (*soak.Outcome, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
--- a/cmd/arrowcleat/soak_test.go
+++ b/cmd/arrowcleat/soak_test.go
@@ -20,33 +20,33 @@
 	"arrowcleat/internal/soak"
 )
 
-// asProgram and planted say in the environment that this binary is the program, and with which fault.
+// programVariable and faultVariable say in the environment that this binary is the program, and with which fault.
 const (
-	asProgram = "ARROWCLEAT_AS_PROGRAM"
-	planted   = "ARROWCLEAT_PLANT"
-	// exitAtOnce keeps a program built with the race detector from sleeping for a second before it ends, as it does by default.
-	exitAtOnce = "GORACE=atexit_sleep_ms=0"
+	programVariable = "ARROWCLEAT_AS_PROGRAM"
+	faultVariable   = "ARROWCLEAT_PLANT"
+	// noExitDelay keeps a program built with the race detector from sleeping for a second before it ends, as it does by default.
+	noExitDelay = "GORACE=atexit_sleep_ms=0"
 )
 
-// leak is a file that nobody closes.
-var leak *os.File
+// leakedFile is a file that nobody closes.
+var leakedFile *os.File
 
-// runPlanted runs the platform's marshal with a fault, and gives its exit code.
-func runPlanted(fault string) int {
+// runWithFault runs the platform's marshal with a fault, and gives its exit code.
+func runWithFault(fault string) int {
 	hooks, err := plant.Hooks(fault)
 	if err != nil { // one of those below
 		hooks = serve.Hooks{}
 	}
-	var terms func(*front.Server)
+	var configure func(*front.Server)
 	switch fault {
 	case "budget":
-		terms = func(s *front.Server) { s.Faults.InflateTimeLeft = true }
+		configure = func(s *front.Server) { s.Faults.InflateTimeLeft = true }
 	case "discards":
-		terms = func(s *front.Server) { s.Faults.DiscardUnread = true }
+		configure = func(s *front.Server) { s.Faults.DiscardUnread = true }
 	case "gone":
-		terms = func(s *front.Server) { s.Faults.IgnoreClientGone = true }
+		configure = func(s *front.Server) { s.Faults.IgnoreClientGone = true }
 	case "strangers":
-		terms = func(s *front.Server) {
+		configure = func(s *front.Server) {
 			s.Protocol.FirstRequestTimeoutMs = 0
 			s.Settings.Times.HeaderMs, s.Settings.Times.IdleMs = 60000, 60000
 		}
@@ -57,23 +57,23 @@
 	case "crash":
 		time.AfterFunc(500*time.Millisecond, func() { os.Exit(2) })
 	case "left over":
-		time.AfterFunc(1300*time.Millisecond, func() { leak, _ = os.Open(os.DevNull) })
+		time.AfterFunc(1300*time.Millisecond, func() { leakedFile, _ = os.Open(os.DevNull) })
 	case "close": // it ends at TERM without answering what is open
 		term := make(chan os.Signal, 1)
 		signal.Notify(term, syscall.SIGTERM)
 		go func() { <-term; os.Exit(0) }()
 	}
-	if terms != nil {
-		hooks.ConfigureFront = terms
+	if configure != nil {
+		hooks.ConfigureFront = configure
 	}
-	if err := runOnPlatform(os.Getenv("GW_CONFIG"), slog.LevelDebug.String(), hooks); err != nil {
+	if err := runPlatformMarshal(os.Getenv("GW_CONFIG"), slog.LevelDebug.String(), hooks); err != nil {
 		return 1
 	}
 	return 0
 }
 
-// keptFolder is a temporary folder that stays where the test fails, so that its logs can be read.
-func keptFolder(t *testing.T) string {
+// logFolder is a temporary folder that stays where the test fails, so that its logs can be read.
+func logFolder(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "arrowcleat-"+strings.ReplaceAll(t.Name(), "/", "-")+"-")
 	if err != nil {
@@ -95,7 +95,7 @@
 		t.Skip("plays for some twenty seconds")
 	}
 	var out bytes.Buffer
-	err := soakAll(&out, soak.Options{Dir: keptFolder(t), Program: []string{os.Args[0], underFaults}, Env: []string{asProgram + "=1", exitAtOnce}}, 1, 24)
+	err := runSoaks(&out, soak.Options{Dir: logFolder(t), Program: []string{os.Args[0], faultsCommandName}, Env: []string{programVariable + "=1", noExitDelay}}, 1, 24)
 	t.Log(out.String())
 	if err != nil {
 		t.Error(err)
@@ -140,8 +140,8 @@
 				p.Caps, p.Free, p.Window = []float64{0.05, 1}, 0, time.Second
 				p.Lives[0][0].Load = 4 * time.Second
 			}
-			o, err := soak.Run(soak.Options{Plan: p, Dir: keptFolder(t), Program: []string{os.Args[0], "platform"},
-				Env: []string{asProgram + "=1", exitAtOnce, fmt.Sprintf("%s=%s", planted, fault)}})
+			o, err := soak.Run(soak.Options{Plan: p, Dir: logFolder(t), Program: []string{os.Args[0], "platform"},
+				Env: []string{programVariable + "=1", noExitDelay, fmt.Sprintf("%s=%s", faultVariable, fault)}})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/cmd/arrowcleat/standin.go
+++ b/cmd/arrowcleat/standin.go
@@ -25,13 +25,13 @@
 		Long: `standin runs, as a process of its own, a small stand-in for what a marshal works among. It prints the address that
 it listens on, and ends when its standard input does or on TERM.`,
 	}
-	c.AddCommand(standinOne("node", "a node: takes invocations, does their work, takes trouble from standard input", runNode),
-		standinOne("roster", "a roster that tells the nodes of its file", runRoster),
-		standinOne("conveyor", "a conveyor that offers the builds of its file", runConveyor))
+	c.AddCommand(standinSubcommand("node", "a node: takes invocations, does their work, takes trouble from standard input", runNode),
+		standinSubcommand("roster", "a roster that tells the nodes of its file", runRegistry),
+		standinSubcommand("conveyor", "a conveyor that offers the builds of its file", runRolloutService))
 	return c
 }
 
-func standinOne(name, short string, run func(*settings.Standin, *record.Writer) error) *cobra.Command {
+func standinSubcommand(name, short string, run func(*settings.Standin, *record.Writer) error) *cobra.Command {
 	var config string
 	c := &cobra.Command{
 		Use:   name + " --config FILE",
@@ -66,19 +66,19 @@
 	return c
 }
 
-func seen(w *record.Writer) func(*record.Seen) {
+func recordSeen(w *record.Writer) func(*record.Seen) {
 	if w == nil {
 		return nil
 	}
 	return func(s *record.Seen) { w.Write(s) }
 }
 
-// untilTold waits for TERM or the end of standard input, of which each line is heard.
-func untilTold(hear func() error) error {
+// waitForStop waits for TERM or the end of standard input, of which each line is heard.
+func waitForStop(handleInput func() error) error {
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	defer signal.Stop(stop)
-	go func() { ended <- hear() }()
+	go func() { ended <- handleInput() }()
 	select {
 	case <-stop:
 		return nil
@@ -89,17 +89,17 @@
 
 func runNode(set *settings.Standin, w *record.Writer) error {
 	n := standin.FromSettings(set)
-	n.Seen = seen(w)
+	n.Seen = recordSeen(w)
 	if err := n.Start(set.Address); err != nil {
 		return badInput{err}
 	}
 	fmt.Println(n.Address())
 	defer n.Kill()
-	return untilTold(func() error { return n.Commands(os.Stdin) })
+	return waitForStop(func() error { return n.Commands(os.Stdin) })
 }
 
-func runRoster(set *settings.Standin, w *record.Writer) error {
-	r := &standin.Roster{Seen: seen(w)}
+func runRegistry(set *settings.Standin, w *record.Writer) error {
+	r := &standin.Roster{Seen: recordSeen(w)}
 	if err := r.Start(set.Address); err != nil {
 		return badInput{err}
 	}
@@ -112,7 +112,7 @@
 		r.Set(line, time.Duration(line.Up*float64(time.Millisecond)))
 	}
 	fmt.Println(r.Address())
-	return untilTold(func() error {
+	return waitForStop(func() error {
 		return standin.Lines(os.Stdin, func(text string) error {
 			line, err := control.ParseLine(text)
 			if err == nil {
@@ -123,8 +123,8 @@
 	})
 }
 
-func runConveyor(set *settings.Standin, w *record.Writer) error {
-	c := &standin.Conveyor{Rollout: set.Rollout, Every: 2 * time.Second, Seen: seen(w),
+func runRolloutService(set *settings.Standin, w *record.Writer) error {
+	c := &standin.Conveyor{Rollout: set.Rollout, Every: 2 * time.Second, Seen: recordSeen(w),
 		Fleet: func(int, float64) func() bool { return func() bool { return true } }, Back: func(int) {}}
 	if set.Rollout == nil || len(set.Rollout.Stage) == 0 {
 		return badInput{errors.New("rollout.stage is missing: which stages?")}
@@ -134,7 +134,7 @@
 	}
 	defer c.Close()
 	fmt.Println(c.Address())
-	return untilTold(func() error {
+	return waitForStop(func() error {
 		err := standin.Lines(os.Stdin, func(text string) error {
 			var ver int
 			if _, err := fmt.Sscanf(text, "offer %d", &ver); err != nil {
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -11,13 +11,13 @@
 // event reads the fields of one object; a field that is missing or of a wrong type is a fault.
 type event struct{ gjson.Result }
 
-func (e event) must(name string, t gjson.Type, what string) gjson.Result {
+func (e event) required(name string, t gjson.Type, what string) gjson.Result {
 	v := e.Get(name)
 	if !v.Exists() || v.Type == gjson.Null {
-		panic(fault("field " + name + ": missing"))
+		panic(inputError("field " + name + ": missing"))
 	}
 	if v.Type != t {
-		panic(fault("field " + name + ": not " + what))
+		panic(inputError("field " + name + ": not " + what))
 	}
 	return v
 }
@@ -27,38 +27,38 @@
 	return v.Exists() && v.Type != gjson.Null
 }
 
-func (e event) text(name string) string { return e.must(name, gjson.String, "a string").Str }
-func (e event) num(name string) float64 { return e.must(name, gjson.Number, "a number").Num }
+func (e event) text(name string) string { return e.required(name, gjson.String, "a string").Str }
+func (e event) num(name string) float64 { return e.required(name, gjson.Number, "a number").Num }
 func (e event) ms(name string) float64  { return e.num(name) * 1000 }
 
 func (e event) int64(name string) int64 {
-	v, err := strconv.ParseInt(e.must(name, gjson.Number, "a whole number").Raw, 10, 64)
+	v, err := strconv.ParseInt(e.required(name, gjson.Number, "a whole number").Raw, 10, 64)
 	if err != nil {
-		panic(fault("field " + name + ": not a whole number"))
+		panic(inputError("field " + name + ": not a whole number"))
 	}
 	return v
 }
 
 func (e event) seed(name string) uint64 {
-	raw := e.must(name, gjson.Number, "a whole number").Raw
+	raw := e.required(name, gjson.Number, "a whole number").Raw
 	if v, err := strconv.ParseUint(raw, 10, 64); err == nil {
 		return v
 	}
 	return uint64(e.int64(name))
 }
 
-func (e event) whole(name string) int {
-	v := e.must(name, gjson.Number, "a whole number")
+func (e event) integer(name string) int {
+	v := e.required(name, gjson.Number, "a whole number")
 	if n := int(v.Num); float64(n) == v.Num {
 		return n
 	}
-	panic(fault("field " + name + ": not a whole number"))
+	panic(inputError("field " + name + ": not a whole number"))
 }
 
 func (e event) node() uint32 {
-	v, err := strconv.ParseUint(e.must("node", gjson.Number, "a number").Raw, 10, 32)
+	v, err := strconv.ParseUint(e.required("node", gjson.Number, "a number").Raw, 10, 32)
 	if err != nil {
-		panic(fault("field node: not a number below 2^32"))
+		panic(inputError("field node: not a number below 2^32"))
 	}
 	return uint32(v)
 }
@@ -66,36 +66,36 @@
 func (e event) bool(name string) bool {
 	v := e.Get(name)
 	if !v.Exists() || v.Type == gjson.Null {
-		panic(fault("field " + name + ": missing"))
+		panic(inputError("field " + name + ": missing"))
 	}
 	if !v.IsBool() {
-		panic(fault("field " + name + ": not true or false"))
+		panic(inputError("field " + name + ": not true or false"))
 	}
 	return v.Type == gjson.True
 }
 
 func (e event) list(name string) gjson.Result {
-	v := e.must(name, gjson.JSON, "a list")
+	v := e.required(name, gjson.JSON, "a list")
 	if !v.IsArray() {
-		panic(fault("field " + name + ": not a list"))
+		panic(inputError("field " + name + ": not a list"))
 	}
 	return v
 }
 
 func (e event) object(name string) gjson.Result {
-	v := e.must(name, gjson.JSON, "an object")
+	v := e.required(name, gjson.JSON, "an object")
 	if !v.IsObject() {
-		panic(fault("field " + name + ": not an object"))
+		panic(inputError("field " + name + ": not an object"))
 	}
 	return v
 }
 
 // The opt readers take an absent or null field as nothing told.
-func (e event) optWhole(name string) int {
+func (e event) optInteger(name string) int {
 	if !e.has(name) {
 		return 0
 	}
-	return e.whole(name)
+	return e.integer(name)
 }
 
 func (e event) optText(name string) string {
@@ -117,17 +117,17 @@
 func (e event) optBool(name string) bool { return e.has(name) && e.bool(name) }
 
 // The wire's names of what a node reports.
-var values = map[string]string{"concurrent": "held", "depth": "waiting", "load_share": "busy",
+var reportNames = map[string]string{"concurrent": "held", "depth": "waiting", "load_share": "busy",
 	"mean_ms": "service-ms", "tps": "rate", "err_ps": "errors"}
 
-// load is a node's report under the names of this project; values that are not known are skipped.
-func (e event) load() map[string]float64 {
+// loadReport is a node's report under the names of this project; values that are not known are skipped.
+func (e event) loadReport() map[string]float64 {
 	if !e.has("feedback") {
 		return nil
 	}
 	report := map[string]float64{}
 	e.object("feedback").ForEach(func(k, v gjson.Result) bool {
-		if ours, known := values[k.Str]; known && v.Type == gjson.Number {
+		if ours, known := reportNames[k.Str]; known && v.Type == gjson.Number {
 			report[ours] = v.Num
 		}
 		return true
@@ -135,15 +135,15 @@
 	return report
 }
 
-var endings = map[string]balance.Outcome{"Ok": balance.Succeeded, "Failed": balance.Failed,
+var outcomes = map[string]balance.Outcome{"Ok": balance.Succeeded, "Failed": balance.Failed,
 	"QueueFull": balance.Rejected, "TimedOut": balance.TimedOut, "ConnectError": balance.ConnectFailed,
 	"ResetByPeer": balance.ConnectionReset, "Canceled": balance.Canceled, "Ignored": balance.Ignored}
 
-func (e event) ending() balance.Outcome {
+func (e event) outcome() balance.Outcome {
 	word := e.text("ending")
-	v, known := endings[word]
+	v, known := outcomes[word]
 	if !known {
-		panic(fault("field ending: unknown word " + strconv.Quote(word)))
+		panic(inputError("field ending: unknown word " + strconv.Quote(word)))
 	}
 	return v
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -17,7 +17,7 @@
 // Serve reads batches from in and writes one reply for each to out, until in ends.
 func Serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	w := &wire{instances: map[int]*instance{}}
+	w := &session{instances: map[int]*instance{}}
 	for {
 		line, err := r.ReadSlice('\n')
 		if err == bufio.ErrBufferFull { // a longer batch: take a copy and read on
@@ -32,7 +32,7 @@
 		if err != nil && err != io.EOF {
 			return err
 		}
-		if err := w.batch(string(line)); err != nil {
+		if err := w.handleBatch(string(line)); err != nil {
 			return err
 		}
 		if _, err := out.Write(w.out); err != nil {
@@ -41,23 +41,23 @@
 	}
 }
 
-// wire is the state of one process: its instances and the rosters they refer to.
-type wire struct {
-	now       float64
+// session is the state of one process: its instances and the rosters they refer to.
+type session struct {
+	nowMs     float64
 	out       []byte
 	first     bool
-	rosters   [16][]balance.Node
+	nodeLists [16][]balance.Node
 	instances map[int]*instance
 }
 
-// fault is a plain message about what came in malformed.
-type fault string
+// inputError is a plain message about what came in malformed.
+type inputError string
 
-func (w *wire) batch(line string) (err error) {
+func (w *session) handleBatch(line string) (err error) {
 	kind := "batch"
 	defer func() {
 		if p := recover(); p != nil {
-			f, bad := p.(fault)
+			f, bad := p.(inputError)
 			if !bad {
 				panic(p)
 			}
@@ -71,123 +71,123 @@
 	if !b.IsObject() {
 		return fmt.Errorf("batch: not an object: %.80q", line)
 	}
-	w.now = b.ms("now-s")
+	w.nowMs = b.ms("now-s")
 	w.out, w.first = append(w.out[:0], `{"output":[`...), true
 	b.list("happened").ForEach(func(_, v gjson.Result) bool {
 		kind = "event"
 		if !v.IsObject() {
-			panic(fault("not an object"))
+			panic(inputError("not an object"))
 		}
 		e := event{v}
 		kind = e.text("type")
-		w.event(kind, e)
+		w.handleEvent(kind, e)
 		return true
 	})
 	w.out = append(w.out, "]}\n"...)
 	return nil
 }
 
-func (w *wire) event(kind string, e event) {
+func (w *session) handleEvent(kind string, e event) {
 	if kind == "roster" {
-		w.roster(e)
+		w.setNodeList(e)
 		return
 	}
-	who := e.whole("who")
+	who := e.integer("who")
 	if kind == "spawn" {
-		host := &instance{wire: w, who: who}
+		host := &instance{session: w, id: who}
 		w.instances[who] = host
-		host.guard(func() {
-			host.b = balance.New(host, brief.Settings(e.object("config")), e.seed("nonce64"))
+		host.recoverPanics(func() {
+			host.balancer = balance.New(host, brief.Settings(e.object("config")), e.seed("nonce64"))
 		})
 		return
 	}
 	i, started := w.instances[who]
-	if !known[kind] {
-		panic(fault("unknown message"))
+	if !instanceEvents[kind] {
+		panic(inputError("unknown message"))
 	}
 	if !started {
-		panic(fault("field who: no such instance was started"))
+		panic(inputError("field who: no such instance was started"))
 	}
 	if i == nil {
 		return // it was killed
 	}
-	i.guard(func() { i.event(kind, e) })
+	i.recoverPanics(func() { i.deliver(kind, e) })
 }
 
-var known = map[string]bool{"topology": true, "new-request": true, "established": true, "wake": true,
+var instanceEvents = map[string]bool{"topology": true, "new-request": true, "established": true, "wake": true,
 	"probe-done": true, "peer-data": true, "crash-now": true, "attempt-end": true, "lapsed": true,
 	"stage": true, "metrics": true, "reported-wrong": true}
 
-func (i *instance) event(kind string, e event) {
+func (i *instance) deliver(kind string, e event) {
 	switch kind {
 	case "new-request":
-		i.b.InvocationArrived(e.text("ref"), e.whole("lane"), e.optWhole("team"), e.optText("subject"), e.ms("budget-s"),
+		i.balancer.InvocationArrived(e.text("ref"), e.integer("lane"), e.optInteger("team"), e.optText("subject"), e.ms("budget-s"),
 			e.optMS("cost-s"), e.optBool("is-retry"), e.optBool("write"))
 	case "attempt-end":
-		i.b.DispatchEnded(e.text("ref"), e.whole("send-no"), e.node(), e.ending(), e.optMS("cost-time-s"),
-			e.bool("no-more"), e.load())
+		i.balancer.DispatchEnded(e.text("ref"), e.integer("send-no"), e.node(), e.outcome(), e.optMS("cost-time-s"),
+			e.bool("no-more"), e.loadReport())
 	case "wake":
-		i.b.TimerFired(e.int64("handle"))
+		i.balancer.TimerFired(e.int64("handle"))
 	case "lapsed":
-		i.b.ClientTimedOut(e.text("ref"))
+		i.balancer.ClientTimedOut(e.text("ref"))
 	case "established":
-		i.b.ResponseStarted(e.text("ref"), e.whole("send-no"), e.node(), e.optMS("cost-time-s"))
+		i.balancer.ResponseStarted(e.text("ref"), e.integer("send-no"), e.node(), e.optMS("cost-time-s"))
 	case "topology":
 		form := e.text("form")
 		switch form {
 		case "error":
-			i.b.NodeListFailed()
+			i.balancer.NodeListFailed()
 		case "diff", "snapshot", "disk":
-			table := e.whole("table")
-			if table < 0 || table >= len(i.wire.rosters) {
-				panic(fault("field table: no such roster"))
+			table := e.integer("table")
+			if table < 0 || table >= len(i.session.nodeLists) {
+				panic(inputError("field table: no such roster"))
 			}
-			i.b.NodesListed(form != "diff", i.wire.rosters[table])
+			i.balancer.NodesListed(form != "diff", i.session.nodeLists[table])
 		default:
-			panic(fault("field form: unknown word " + strconv.Quote(form)))
+			panic(inputError("field form: unknown word " + strconv.Quote(form)))
 		}
 	case "stage":
-		ending := e.ending()
-		reply := e.whole("code") == 1
+		ending := e.outcome()
+		reply := e.integer("code") == 1
 		if ending != balance.Succeeded {
-			i.b.VoteFailed(ending)
+			i.balancer.VoteFailed(ending)
 			return
 		}
-		phase := e.whole("standing")
+		phase := e.integer("standing")
 		if phase < 0 || phase > 3 {
-			panic(fault("field standing: out of range"))
+			panic(inputError("field standing: out of range"))
 		}
-		i.b.StageUpdate(e.whole("release"), e.whole("ring"), balance.Phase(phase), e.num("limit-share"),
+		i.balancer.StageUpdate(e.integer("release"), e.integer("ring"), balance.Phase(phase), e.num("limit-share"),
 			e.optMS("old-s"), reply)
 	case "metrics":
-		i.b.BuildStats(e.whole("release"), e.whole("lane"), e.whole("samples"), e.whole("errors"),
+		i.balancer.BuildStats(e.integer("release"), e.integer("lane"), e.integer("samples"), e.integer("errors"),
 			e.optMS("cost-time-s"), e.optMS("old-s"))
 	case "reported-wrong":
-		i.b.WrongAnswer(e.node(), e.whole("lane"), e.optMS("old-s"))
+		i.balancer.WrongAnswer(e.node(), e.integer("lane"), e.optMS("old-s"))
 	case "probe-done":
-		i.b.ProbeEnded(e.node(), e.ending(), e.optMS("cost-time-s"), e.load())
+		i.balancer.ProbeEnded(e.node(), e.outcome(), e.optMS("cost-time-s"), e.loadReport())
 	case "peer-data":
-		i.b.PeerMessage(e.whole("from"), e.text("content"))
+		i.balancer.PeerMessage(e.integer("from"), e.text("content"))
 	case "crash-now":
-		i.wire.instances[i.who] = nil
+		i.session.instances[i.id] = nil
 	default:
-		panic(fault("unknown message"))
+		panic(inputError("unknown message"))
 	}
 }
 
-func (w *wire) roster(e event) {
-	table := e.whole("table")
-	if table < 0 || table >= len(w.rosters) {
-		panic(fault("field table: out of range"))
+func (w *session) setNodeList(e event) {
+	table := e.integer("table")
+	if table < 0 || table >= len(w.nodeLists) {
+		panic(inputError("field table: out of range"))
 	}
 	var nodes []balance.Node
 	e.list("members-list").ForEach(func(_, v gjson.Result) bool {
 		if !v.IsObject() {
-			panic(fault("field members-list: an entry is not an object"))
+			panic(inputError("field members-list: an entry is not an object"))
 		}
 		m := event{v}
-		n := balance.Node{ID: m.node(), Ver: m.whole("build"), Zone: m.optWhole("dc"),
-			Model: m.optWhole("generation-hw"), Cell: m.optWhole("pack"), Size: m.optNum("rating", 1),
+		n := balance.Node{ID: m.node(), Ver: m.integer("build"), Zone: m.optInteger("dc"),
+			Model: m.optInteger("generation-hw"), Cell: m.optInteger("pack"), Size: m.optNum("rating", 1),
 			Started: m.optMS("start-time-s")}
 		switch word := m.text("health"); word {
 		case "SERVING":
@@ -196,148 +196,148 @@
 		case "DELETED":
 			n.Health = balance.Gone
 		default:
-			panic(fault("field health: unknown word " + strconv.Quote(word)))
+			panic(inputError("field health: unknown word " + strconv.Quote(word)))
 		}
 		nodes = append(nodes, n)
 		return true
 	})
-	w.rosters[table] = nodes
+	w.nodeLists[table] = nodes
 }
 
 // instance is the Host of one Balancer.
 type instance struct {
-	wire *wire
-	who  int
-	b    *balance.Balancer
+	session  *session
+	id       int
+	balancer *balance.Balancer
 }
 
-// guard turns a panic of the module into a bail-out; a fault of the wire goes on to the caller.
-func (i *instance) guard(f func()) {
+// recoverPanics turns a panic of the module into a bail-out; a fault of the wire goes on to the caller.
+func (i *instance) recoverPanics(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
-			if bad, ok := p.(fault); ok {
+			if bad, ok := p.(inputError); ok {
 				panic(bad)
 			}
-			i.act("bail-out")
-			i.text("text", fmt.Sprint(p))
-			i.end()
+			i.beginAction("bail-out")
+			i.appendText("text", fmt.Sprint(p))
+			i.endAction()
 		}
 	}()
 	f()
 }
 
-func (i *instance) act(kind string) {
-	if !i.wire.first {
-		i.wire.out = append(i.wire.out, ',')
+func (i *instance) beginAction(kind string) {
+	if !i.session.first {
+		i.session.out = append(i.session.out, ',')
 	}
-	i.wire.first = false
-	i.wire.out = append(i.wire.out, `{"type":"`...)
-	i.wire.out = append(i.wire.out, kind...)
-	i.wire.out = append(i.wire.out, '"')
-	i.int("who", int64(i.who))
+	i.session.first = false
+	i.session.out = append(i.session.out, `{"type":"`...)
+	i.session.out = append(i.session.out, kind...)
+	i.session.out = append(i.session.out, '"')
+	i.appendInt("who", int64(i.id))
 }
 
-func (i *instance) name(name string) {
-	i.wire.out = append(i.wire.out, ',', '"')
-	i.wire.out = append(i.wire.out, name...)
-	i.wire.out = append(i.wire.out, '"', ':')
+func (i *instance) appendName(name string) {
+	i.session.out = append(i.session.out, ',', '"')
+	i.session.out = append(i.session.out, name...)
+	i.session.out = append(i.session.out, '"', ':')
 }
 
-func (i *instance) int(name string, v int64) {
-	i.name(name)
-	i.wire.out = strconv.AppendInt(i.wire.out, v, 10)
+func (i *instance) appendInt(name string, v int64) {
+	i.appendName(name)
+	i.session.out = strconv.AppendInt(i.session.out, v, 10)
 }
 
-func (i *instance) seconds(name string, ms float64) {
-	i.name(name)
-	i.wire.out = strconv.AppendFloat(i.wire.out, ms/1000, 'f', -1, 64)
+func (i *instance) appendSeconds(name string, ms float64) {
+	i.appendName(name)
+	i.session.out = strconv.AppendFloat(i.session.out, ms/1000, 'f', -1, 64)
 }
 
-func (i *instance) text(name, v string) {
-	i.name(name)
-	i.wire.out = gjson.AppendJSONString(i.wire.out, v)
+func (i *instance) appendText(name, v string) {
+	i.appendName(name)
+	i.session.out = gjson.AppendJSONString(i.session.out, v)
 }
 
-func (i *instance) end() { i.wire.out = append(i.wire.out, '}') }
+func (i *instance) endAction() { i.session.out = append(i.session.out, '}') }
 
 // Now and the methods below make an instance a balance.Host.
-func (i *instance) Now() float64 { return i.wire.now }
+func (i *instance) Now() float64 { return i.session.nowMs }
 
 func (i *instance) Dispatch(inv string, node uint32, timeLimit float64) {
-	i.act("relay")
-	i.text("ref", inv)
-	i.seconds("allow-for-s", timeLimit)
-	i.int("node", int64(node))
-	i.end()
+	i.beginAction("relay")
+	i.appendText("ref", inv)
+	i.appendSeconds("allow-for-s", timeLimit)
+	i.appendInt("node", int64(node))
+	i.endAction()
 }
 
 func (i *instance) Cancel(inv string, dispatch int) {
-	i.act("abandon")
-	i.text("ref", inv)
-	i.int("send-no", int64(dispatch))
-	i.end()
+	i.beginAction("abandon")
+	i.appendText("ref", inv)
+	i.appendInt("send-no", int64(dispatch))
+	i.endAction()
 }
 
 func (i *instance) Throttle(inv string, comeBack float64) {
-	i.act("push-back")
-	i.text("ref", inv)
-	i.seconds("stay-away-s", comeBack)
-	i.end()
+	i.beginAction("push-back")
+	i.appendText("ref", inv)
+	i.appendSeconds("stay-away-s", comeBack)
+	i.endAction()
 }
 
 func (i *instance) Terminate(inv string) {
-	i.act("respond-error")
-	i.text("ref", inv)
-	i.end()
+	i.beginAction("respond-error")
+	i.appendText("ref", inv)
+	i.endAction()
 }
 
 func (i *instance) Probe(node uint32) {
-	i.act("ping")
-	i.int("node", int64(node))
-	i.end()
+	i.beginAction("ping")
+	i.appendInt("node", int64(node))
+	i.endAction()
 }
 
 func (i *instance) FetchNodes() {
-	i.act("pull")
-	i.end()
+	i.beginAction("pull")
+	i.endAction()
 }
 
 func (i *instance) WatchNodes(on bool) {
-	i.act("keep-informed")
-	i.name("active")
-	i.wire.out = strconv.AppendBool(i.wire.out, on)
-	i.end()
+	i.beginAction("keep-informed")
+	i.appendName("active")
+	i.session.out = strconv.AppendBool(i.session.out, on)
+	i.endAction()
 }
 
 func (i *instance) Vote(ver, stage int, verdict balance.Verdict) {
-	i.act("cast-vote")
-	i.int("code", int64(verdict))
-	i.int("ring", int64(stage))
-	i.int("release", int64(ver))
-	i.end()
+	i.beginAction("cast-vote")
+	i.appendInt("code", int64(verdict))
+	i.appendInt("ring", int64(stage))
+	i.appendInt("release", int64(ver))
+	i.endAction()
 }
 
 func (i *instance) SetTimer(after float64, handle int64) {
-	i.act("timer")
-	i.seconds("delay-s", after)
-	i.int("handle", handle)
-	i.end()
+	i.beginAction("timer")
+	i.appendSeconds("delay-s", after)
+	i.appendInt("handle", handle)
+	i.endAction()
 }
 
 func (i *instance) SendToPeer(peer int, text string) {
-	i.act("write-peer")
+	i.beginAction("write-peer")
 	if peer == balance.AllPeers {
-		i.name("dst")
-		i.wire.out = append(i.wire.out, "null"...)
+		i.appendName("dst")
+		i.session.out = append(i.session.out, "null"...)
 	} else {
-		i.int("dst", int64(peer))
+		i.appendInt("dst", int64(peer))
 	}
-	i.text("content", text)
-	i.end()
+	i.appendText("content", text)
+	i.endAction()
 }
 
 func (i *instance) Log(text string) {
-	i.act("journal-line")
-	i.text("text", text)
-	i.end()
+	i.beginAction("journal-line")
+	i.appendText("text", text)
+	i.endAction()
 }
