--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -1,5 +1,5 @@
-// Package settings is a marshal's settings: their schema, how they are read and checked, and the plain map that
-// the decision module gets. docs/settings.md says what each is for.
+// Package settings defines the settings of a marshal: it reads and checks them, and converts them to the map that the
+// decision module takes. docs/settings.md describes each setting.
 package settings
 
 import (
@@ -20,27 +20,29 @@
 	"google.golang.org/protobuf/reflect/protoreflect"
 )
 
-// Problem is one thing wrong with a file of settings.
+// Problem is one error in a settings file.
 type Problem struct {
 	File    string
-	Line    int    // 0: of the file as a whole
-	Path    string // of the setting: operation[1].slo_ms; empty for what could not be read at all
-	Code    string // stable: docs/language.md lists them
-	Message string // without the path
+	Line    int    // 0 if the problem concerns the whole file
+	Path    string // path of the setting, such as operation[1].slo_ms; empty if the file could not be parsed
+	Code    string // stable code; docs/language.md lists them
+	Message string // does not include the path
 }
 
+// Error returns file, line, path and message in one line.
 func (p Problem) Error() string {
-	what := p.Message
+	text := p.Message
 	if p.Path != "" {
-		what = strings.TrimSuffix(p.Path, "[0]") + ": " + what
+		text = strings.TrimSuffix(p.Path, "[0]") + ": " + text
 	}
 	if p.Line == 0 {
-		return p.File + ": " + what
+		return p.File + ": " + text
 	}
-	return fmt.Sprintf("%s:%d: %s", p.File, p.Line, what)
+	return fmt.Sprintf("%s:%d: %s", p.File, p.Line, text)
 }
 
-// Load reads and checks a file. The error joins one Problem for each thing found wrong, in the file's order.
+// Load reads and checks a file in protobuf text format and resolves the file names in it. The error joins one Problem
+// for each error found, in the order of lines.
 func Load(path string) (*Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -54,7 +56,7 @@
 	return s, nil
 }
 
-// ResolvePaths lets relative file names start from a folder.
+// ResolvePaths makes relative file names in the settings relative to dir.
 func (x *Settings) ResolvePaths(dir string) {
 	names := []*string{&x.Roster.File, &x.Record.File}
 	for _, p := range x.Pool {
@@ -72,7 +74,7 @@
 	}
 }
 
-// Parse reads and checks settings; name stands for the file in what is found wrong.
+// Parse reads and checks settings in protobuf text format; name is the file name used in problems.
 func Parse(name string, text []byte) (*Settings, error) {
 	s := &Settings{}
 	if err := (prototext.UnmarshalOptions{}).Unmarshal(text, s); err != nil {
@@ -88,19 +90,19 @@
 	return s, errors.Join(errs...)
 }
 
-// Check finds what is missing, absurd or leads nowhere in settings that came from anywhere, and fills in what may be
-// left out.
+// Check fills in defaults and returns what is missing, out of range or refers to something undefined. The settings may
+// come from any source; their problems have no file and no line.
 func Check(s *Settings) []Problem {
 	c := &checker{s: s, written: map[string]bool{}}
 	c.check()
 	return c.problems
 }
 
-// Text writes settings as they are read.
+// Text returns the settings in the format that Parse reads.
 func (x *Settings) Text() []byte {
 	b, err := prototext.MarshalOptions{Multiline: true}.Marshal(x)
 	if err != nil {
-		panic(err) // a message of ours that can't be written
+		panic(err) // only a message of an invalid type can't be written
 	}
 	return b
 }
@@ -110,7 +112,8 @@
 	unknownFieldPattern = regexp.MustCompile(`unknown field: (\S+)`)
 )
 
-// syntaxProblem words an error of the text format, with the name that is nearest where one is not known.
+// syntaxProblem converts an error of the prototext parser to a Problem, and suggests the closest known name for an
+// unknown field or enum value.
 func syntaxProblem(name string, err error) error {
 	text := strings.NewReplacer("proto:", "", "\u00a0", " ").Replace(err.Error())
 	p := Problem{File: name, Message: strings.TrimSpace(text)}
@@ -129,6 +132,7 @@
 	return p
 }
 
+// fieldNames returns the names of all fields of a message type and of the types of its fields.
 func fieldNames(d protoreflect.MessageDescriptor) (all []string) {
 	for i := range d.Fields().Len() {
 		f := d.Fields().Get(i)
@@ -140,31 +144,32 @@
 	return all
 }
 
-// suggestion words the known name that is most like one not known.
+// suggestion returns the text that suggests the known name closest to word, or an empty string if there is none.
 func suggestion(word string, known []string) string {
-	if best := ClosestName(word, known); best != "" {
-		return "; did you mean " + best + "?"
+	if name := ClosestName(word, known); name != "" {
+		return "; did you mean " + name + "?"
 	}
 	return ""
 }
 
-// ClosestName is the known name that is most like one not known, or empty where none is like it.
+// ClosestName returns the known name with the smallest edit distance to word, ignoring case, or an empty string if none
+// is within half of the length of word.
 func ClosestName(word string, known []string) string {
 	closest, bestDistance := "", 1+len(word)/2
-	for _, k := range known {
-		if d := levenshtein.ComputeDistance(strings.ToLower(word), strings.ToLower(k)); d < bestDistance {
-			closest, bestDistance = k, d
+	for _, name := range known {
+		if d := levenshtein.ComputeDistance(strings.ToLower(word), strings.ToLower(name)); d < bestDistance {
+			closest, bestDistance = name, d
 		}
 	}
 	return closest
 }
 
-// fieldLines finds on which line of a text format each field stands, by its path: operation[1].slo_ms.
+// fieldLines returns the line of each field in a protobuf text, by path, such as operation[1].slo_ms[0].
 func fieldLines(text string) map[string]int {
 	lineOf := map[string]int{}
 	type block struct {
 		path  string
-		count map[string]int
+		count map[string]int // fields so far, by name
 	}
 	stack := []block{{count: map[string]int{}}}
 	line, current := 1, ""
@@ -200,10 +205,10 @@
 			}
 			rest := strings.TrimLeft(text[i:], " \t")
 			if rest != "" && strings.IndexByte(":{<", rest[0]) >= 0 {
-				top := stack[len(stack)-1]
+				parent := stack[len(stack)-1]
 				name := text[start:i]
-				current = fmt.Sprintf("%s%s[%d]", pathPrefix(top.path), name, top.count[name])
-				top.count[name]++
+				current = fmt.Sprintf("%s%s[%d]", pathPrefix(parent.path), name, parent.count[name])
+				parent.count[name]++
 				lineOf[current] = line
 			}
 		default:
@@ -213,6 +218,7 @@
 	return lineOf
 }
 
+// pathPrefix returns what precedes the name of a field in a block of this path.
 func pathPrefix(path string) string {
 	if path == "" {
 		return ""
@@ -220,25 +226,26 @@
 	return path + "."
 }
 
-// checker finds what is missing, absurd or leads nowhere.
+// checker collects the problems of one settings file.
 type checker struct {
 	file     string
-	lines    map[string]int
+	lines    map[string]int // line of each field, by path
 	s        *Settings
-	written  map[string]bool // blocks that were written at the top
-	missing  []string        // blocks that are missing: one message is enough for each
+	written  map[string]bool // top-level blocks that the file contains
+	missing  []string        // missing blocks; problems inside them are not reported
 	problems []Problem
 }
 
-// report notes a problem at a path such as operation[1].slo_ms; where that is not written, at what it stands in.
-func (c *checker) report(code, path, format string, a ...any) {
+// report adds a problem at a path such as operation[1].slo_ms.
+func (c *checker) report(code, path, format string, args ...any) {
 	block, _, _ := strings.Cut(path, ".")
 	if slices.Contains(c.missing, block) {
 		return
 	}
-	c.problems = append(c.problems, Problem{c.file, c.lineOf(path), path, code, fmt.Sprintf(format, a...)})
+	c.problems = append(c.problems, Problem{c.file, c.lineOf(path), path, code, fmt.Sprintf(format, args...)})
 }
 
+// lineOf returns the line of a path or, if the setting is not written, of the closest enclosing block; 0 if there is none.
 func (c *checker) lineOf(path string) int {
 	parts := strings.Split(path, ".")
 	for i := range parts {
@@ -247,14 +254,14 @@
 		}
 	}
 	for n := len(parts); n > 0; n-- {
-		if at, ok := c.lines[strings.Join(parts[:n], ".")]; ok {
-			return at
+		if line, ok := c.lines[strings.Join(parts[:n], ".")]; ok {
+			return line
 		}
 	}
 	return 0
 }
 
-// checkRange wants a number of a block to be between two bounds.
+// checkRange reports a number that is missing (0) or outside of its bounds, which are valid values themselves.
 func (c *checker) checkRange(path string, v, lowest, highest float64, unit string) {
 	if v >= lowest && v <= highest {
 		return
@@ -263,48 +270,52 @@
 	if v == 0 {
 		c.report("AC301", path, "missing; give it a value from %s to %s", format(lowest), format(highest))
 	} else if math.IsNaN(v) || v < lowest {
-		c.report("AC302", path, "%s is too little; the least is %s", format(v), format(lowest))
+		c.report("AC302", path, "%s is too small; the minimum is %s", format(v), format(lowest))
 	} else {
-		c.report("AC303", path, "%s is too much; the most is %s", format(v), format(highest))
+		c.report("AC303", path, "%s is too large; the maximum is %s", format(v), format(highest))
 	}
 }
 
-func (c *checker) checkAddress(path, a string) {
-	if a == "" {
+// checkAddress reports an address that is not host:port with a host and a valid port.
+func (c *checker) checkAddress(path, address string) {
+	if address == "" {
 		c.report("AC301", path, `missing; give host and port, such as "127.0.0.1:7000"`)
-	} else if host, port, err := net.SplitHostPort(a); err != nil {
-		c.report("AC305", path, "%q is no host:port", a)
+	} else if host, port, err := net.SplitHostPort(address); err != nil {
+		c.report("AC305", path, "%q is not of the form host:port", address)
 	} else if n, err := strconv.Atoi(port); err != nil || n < 0 || n > 65535 {
 		c.report("AC305", path, "port %q is not a number from 0 to 65535", port)
 	} else if host == "" {
-		c.report("AC305", path, "%q names no host; for this machine alone write 127.0.0.1:%s", a, port)
+		c.report("AC305", path, "%q has no host; for this machine only, write 127.0.0.1:%s", address, port)
 	}
 }
 
-func (c *checker) checkWord(path, v string, known ...string) {
-	if !slices.Contains(known, v) {
-		c.report("AC304", path, "%q is none of %s%s", v, strings.Join(known, ", "), suggestion(v, known))
+// checkWord reports a value that is not one of the known words.
+func (c *checker) checkWord(path, word string, known ...string) {
+	if !slices.Contains(known, word) {
+		c.report("AC304", path, "%q is not one of %s%s", word, strings.Join(known, ", "), suggestion(word, known))
 	}
 }
 
+// dayMs is the upper bound of all times.
 const dayMs = 24 * 3600 * 1000.0
 
+// check fills in defaults and missing blocks, and checks all settings.
 func (c *checker) check() {
 	s := c.s
 	fillDefaults(s)
 	c.addMissingBlocks()
 	c.checkRange("instance.marshals", float64(s.Instance.Marshals), 1, 100000, "")
-	if s.Instance.Cores != 0 { // left out is 1
+	if s.Instance.Cores != 0 { // 0 means 1
 		c.checkRange("instance.cores", float64(s.Instance.Cores), 1, 64, "")
 	}
 	if s.Instance.Number >= s.Instance.Marshals && s.Instance.Marshals > 0 {
-		c.report("AC307", "instance.number", "%d is not among %d marshals, which count from 0", s.Instance.Number, s.Instance.Marshals)
+		c.report("AC307", "instance.number", "%d is out of range: %d marshals are numbered from 0", s.Instance.Number, s.Instance.Marshals)
 	}
 	c.checkAddress("listen.invocations", s.Listen.Invocations)
 	if len(s.Zone) == 0 {
-		c.report("AC301", "zone", `missing; name the data centres, one at least: zone: "here"`)
+		c.report("AC301", "zone", `missing; name at least one data centre: zone: "here"`)
 	} else if !slices.Contains(s.Zone, s.Instance.Zone) {
-		c.report("AC307", "instance.zone", "%q is no zone of this file%s", s.Instance.Zone, suggestion(s.Instance.Zone, s.Zone))
+		c.report("AC307", "instance.zone", "%q is not a zone of this file%s", s.Instance.Zone, suggestion(s.Instance.Zone, s.Zone))
 	}
 	c.checkOperations()
 	c.checkLimits()
@@ -316,22 +327,23 @@
 	c.checkWord("worth_by", s.WorthBy, "request", "work")
 }
 
-// checkOverridable checks what an instance stands on; a block that is nil stands elsewhere.
-func (c *checker) checkOverridable(at string, roster *Roster, conveyor *Conveyor, r *Rules, rollout *Rollout) {
-	if roster != nil && roster.Address == "" && roster.File == "" {
-		c.report("AC301", at+"roster.address", "missing, and there is no file with a list either")
-	} else if roster != nil && roster.Address != "" {
-		c.checkAddress(at+"roster.address", roster.Address)
-		c.checkRange(at+"roster.reconnect_ms", roster.ReconnectMs, 1, dayMs, " ms")
-		c.checkRange(at+"roster.reconnect_most_ms", roster.ReconnectMostMs, 1, dayMs, " ms")
-	}
-	if conveyor != nil && conveyor.Address != "" {
-		c.checkAddress(at+"conveyor.address", conveyor.Address)
-		c.checkRange(at+"conveyor.reconnect_ms", conveyor.ReconnectMs, 1, dayMs, " ms")
-		c.checkRange(at+"conveyor.reconnect_most_ms", conveyor.ReconnectMostMs, 1, dayMs, " ms")
+// checkOverridable checks the blocks that a pool may have of its own. A nil block is not checked. prefix is empty, or
+// the path of the pool with a dot.
+func (c *checker) checkOverridable(prefix string, registry *Roster, rolloutService *Conveyor, r *Rules, rollout *Rollout) {
+	if registry != nil && registry.Address == "" && registry.File == "" {
+		c.report("AC301", prefix+"roster.address", "missing, and there is no file with a list either")
+	} else if registry != nil && registry.Address != "" {
+		c.checkAddress(prefix+"roster.address", registry.Address)
+		c.checkRange(prefix+"roster.reconnect_ms", registry.ReconnectMs, 1, dayMs, " ms")
+		c.checkRange(prefix+"roster.reconnect_most_ms", registry.ReconnectMostMs, 1, dayMs, " ms")
+	}
+	if rolloutService != nil && rolloutService.Address != "" {
+		c.checkAddress(prefix+"conveyor.address", rolloutService.Address)
+		c.checkRange(prefix+"conveyor.reconnect_ms", rolloutService.ReconnectMs, 1, dayMs, " ms")
+		c.checkRange(prefix+"conveyor.reconnect_most_ms", rolloutService.ReconnectMostMs, 1, dayMs, " ms")
 	}
 	if r != nil {
-		at := at + "rules."
+		at := prefix + "rules."
 		c.checkRange(at+"answer_slack_ms", r.AnswerSlackMs, 0, dayMs, " ms")
 		c.checkRange(at+"grace_ms", r.GraceMs, 1, dayMs, " ms")
 		c.checkRange(at+"cold_from", r.ColdFrom, 0.001, 1, "")
@@ -340,11 +352,11 @@
 		c.checkRange(at+"fall_ms", r.FallMs, 1, dayMs, " ms")
 	}
 	if rollout != nil {
-		c.checkRollout(at+"rollout.", rollout)
+		c.checkRollout(prefix+"rollout.", rollout)
 	}
 }
 
-// addMissingBlocks makes sure that every block is there.
+// addMissingBlocks adds an empty block for each top-level block that is missing, and reports those that are required.
 func (c *checker) addMissingBlocks() {
 	m := c.s.ProtoReflect()
 	fields := m.Descriptor().Fields()
@@ -353,7 +365,7 @@
 		if f.Kind() != protoreflect.MessageKind || f.IsList() {
 			continue
 		}
-		// An empty block says nothing: so does one that was filled in before.
+		// An empty block counts as missing, like one that an earlier check added.
 		c.written[string(f.Name())] = m.Has(f) && proto.Size(m.Get(f).Message().Interface()) > 0
 		if c.written[string(f.Name())] {
 			continue
@@ -361,7 +373,7 @@
 		m.Set(f, protoreflect.ValueOfMessage(m.NewField(f).Message()))
 		switch f.Name() {
 		case "rules", "rollout", "roster":
-			if len(c.s.Pool) > 0 { // each pool may have its own
+			if len(c.s.Pool) > 0 { // checkPools reports it for each pool without its own
 				continue
 			}
 			fallthrough
@@ -372,7 +384,7 @@
 	}
 }
 
-// fillDefaults gives what may be left out its plain meaning; docs/settings.md lists each.
+// fillDefaults sets the defaults of optional settings; docs/settings.md lists them.
 func fillDefaults(s *Settings) {
 	if s.Log == nil {
 		s.Log = &Log{}
@@ -399,33 +411,34 @@
 	}
 }
 
+// checkOperations checks the operations and their matches.
 func (c *checker) checkOperations() {
 	if len(c.s.Operation) == 0 {
-		c.report("AC301", "operation", "missing; describe one at least")
+		c.report("AC301", "operation", "missing; describe at least one")
 	}
-	seen := map[string]int{}
+	lineByName := map[string]int{}
 	for i, o := range c.s.Operation {
 		at := fmt.Sprintf("operation[%d].", i)
 		if o.Name == "" {
 			c.report("AC301", at+"name", "missing")
-		} else if before, twice := seen[o.Name]; twice {
-			c.report("AC306", at+"name", "%q is the name of the operation on line %d too", o.Name, before)
+		} else if line, exists := lineByName[o.Name]; exists {
+			c.report("AC306", at+"name", "%q is also the name of the operation on line %d", o.Name, line)
 		}
-		seen[o.Name] = c.lineOf(at + "name")
+		lineByName[o.Name] = c.lineOf(at + "name")
 		if len(o.Match) == 0 {
-			c.report("AC301", at+"match", `missing; what calls it? match { method: "GET" path: "/..." }`)
+			c.report("AC301", at+"match", `missing; say which requests it takes: match { method: "GET" path: "/..." }`)
 		}
 		for j, m := range o.Match {
 			if !strings.HasPrefix(m.Path, "/") {
 				c.report("AC308", fmt.Sprintf("%smatch[%d].path", at, j), "%q does not begin with /", m.Path)
 			} else if star := strings.IndexByte(m.Path, '*'); star >= 0 && star != len(m.Path)-1 {
-				c.report("AC308", fmt.Sprintf("%smatch[%d].path", at, j), "%q: * stands for the rest, at the end only", m.Path)
+				c.report("AC308", fmt.Sprintf("%smatch[%d].path", at, j), "%q: * is allowed only at the end", m.Path)
 			}
 		}
 		c.checkRange(at+"slo_ms", o.SloMs, 0.1, dayMs, " ms")
 		c.checkRange(at+"limit_ms", o.LimitMs, 0.1, dayMs, " ms")
 		if o.LimitMs > 0 && o.LimitMs < o.SloMs {
-			c.report("AC308", at+"limit_ms", "%g ms is under the SLO time of %g ms", o.LimitMs, o.SloMs)
+			c.report("AC308", at+"limit_ms", "%g ms is below the SLO time of %g ms", o.LimitMs, o.SloMs)
 		}
 		c.checkRange(at+"billed_value", o.BilledValue, 1e-9, 1e9, "")
 		switch o.Repeat {
@@ -442,6 +455,7 @@
 	}
 }
 
+// checkLimits checks the blocks limits and times.
 func (c *checker) checkLimits() {
 	l, t := c.s.Limits, c.s.Times
 	c.checkRange("limits.connections", float64(l.Connections), 1, 1e6, "")
@@ -454,7 +468,7 @@
 	c.checkRange("limits.most_tries", float64(l.MostTries), 1, 100, "")
 	c.checkRange("limits.idle_per_node", float64(l.IdlePerNode), 1, 1e5, "")
 	if l.Probes && !strings.HasPrefix(l.ProbePath, "/") {
-		c.report("AC308", "limits.probe_path", `%q is no path; a node answers a probe at, for example, "/healthz"`, l.ProbePath)
+		c.report("AC308", "limits.probe_path", `%q is not a path; a node answers probes at, for example, "/healthz"`, l.ProbePath)
 	}
 	c.checkRange("times.header_ms", t.HeaderMs, 1, dayMs, " ms")
 	c.checkRange("times.body_ms", t.BodyMs, 1, dayMs, " ms")
@@ -466,21 +480,22 @@
 	c.checkRange("times.answer_ms", t.AnswerMs, 0, dayMs, " ms")
 	for _, o := range c.s.Operation {
 		if o.LimitMs > 0 && t.AnswerMs >= o.LimitMs {
-			c.report("AC308", "times.answer_ms", "%g ms kept for the answer's way leave nothing of the %g ms of %s",
+			c.report("AC308", "times.answer_ms", "%g ms reserved for the answer's way to the client leave nothing of the %g ms of %s",
 				t.AnswerMs, o.LimitMs, o.Name)
 		}
 	}
 }
 
+// checkPeers checks the peers and the addresses of listen for peers and metrics.
 func (c *checker) checkPeers() {
 	seen := map[uint32]bool{c.s.Instance.Number: true}
 	for i, p := range c.s.Peer {
 		at := fmt.Sprintf("peer[%d].", i)
 		c.checkAddress(at+"address", p.Address)
 		if seen[p.Number] {
-			c.report("AC306", at+"number", "%d is this marshal's own number or another peer's", p.Number)
+			c.report("AC306", at+"number", "%d is already the number of this marshal or of another peer", p.Number)
 		} else if p.Number >= c.s.Instance.Marshals {
-			c.report("AC307", at+"number", "%d is not among %d marshals, which count from 0", p.Number, c.s.Instance.Marshals)
+			c.report("AC307", at+"number", "%d is out of range: %d marshals are numbered from 0", p.Number, c.s.Instance.Marshals)
 		}
 		seen[p.Number] = true
 	}
@@ -492,6 +507,7 @@
 	}
 }
 
+// checkRollout checks a rollout block; path ends with a dot.
 func (c *checker) checkRollout(path string, r *Rollout) {
 	c.checkWord(path+"cap_scope", r.CapScope, "all", "each-operation")
 	c.checkWord(path+"gate", r.Gate, "any", "count", "clock")
@@ -500,17 +516,17 @@
 	c.checkRange(path+"vote_timeout_ms", r.VoteTimeoutMs, 1, dayMs, " ms")
 	c.checkRange(path+"votes_per_s", r.VotesPerS, 1e-3, 1e6, "")
 	if r.Allowance < 0 {
-		c.report("AC308", path+"allowance", "%g is under 0", r.Allowance)
+		c.report("AC308", path+"allowance", "%g is negative", r.Allowance)
 	}
 	if len(r.Stage) == 0 {
 		c.report("AC301", path+"stage", "missing; describe the stages in order: stage { part: 0.1 cap: 0.15 }")
 	}
-	for i, g := range r.Stage {
+	for i, stage := range r.Stage {
 		at := path + fmt.Sprintf("stage[%d].", i)
-		c.checkRange(at+"part", g.Part, 1e-6, 1, "")
-		c.checkRange(at+"cap", g.Cap, 1e-6, 1, "")
-		if i > 0 && g.Cap < r.Stage[i-1].Cap {
-			c.report("AC308", at+"cap", "%g is under the %g of the stage before", g.Cap, r.Stage[i-1].Cap)
+		c.checkRange(at+"part", stage.Part, 1e-6, 1, "")
+		c.checkRange(at+"cap", stage.Cap, 1e-6, 1, "")
+		if i > 0 && stage.Cap < r.Stage[i-1].Cap {
+			c.report("AC308", at+"cap", "%g is below the %g of the previous stage", stage.Cap, r.Stage[i-1].Cap)
 		}
 	}
 	if int(r.Shielded) > len(r.Stage) {
@@ -518,5 +534,5 @@
 	}
 }
 
-// Copy is a copy that shares nothing.
+// Copy returns a deep copy.
 func (x *Settings) Copy() *Settings { return proto.Clone(x).(*Settings) }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -19,7 +19,7 @@
   stage { part: 0.5 cap: 0.5 } stage { part: 1 cap: 1 } }
 `
 
-// One mistake gives one line, with file, line and likely fix.
+// TestMistakes checks that a mistake is reported first and in one line, with file, line and likely fix.
 func TestMistakes(t *testing.T) {
 	if _, err := Parse("f", []byte(validText)); err != nil {
 		t.Fatal(err)
@@ -28,38 +28,38 @@
 		{"slo_ms: 200 limit", "slo_sm: 200 limit", "f:4: no setting is called slo_sm; did you mean slo_ms?"},
 		{"IDEMPOTENT", "IDEMPOTNT", "f:4: invalid value for enum type: IDEMPOTNT; did you mean IDEMPOTENT?"},
 		{"repeat: IDEMPOTENT ", "", "f:4: operation[0].repeat: missing; IDEMPOTENT, FINGERPRINTED or, if in doubt, SIDE_EFFECTING"},
-		{"limit_ms: 600 match { path", "limit_ms: 100 match { path", "f:5: operation[1].limit_ms: 100 ms is under the SLO time of 200 ms"},
+		{"limit_ms: 600 match { path", "limit_ms: 100 match { path", "f:5: operation[1].limit_ms: 100 ms is below the SLO time of 200 ms"},
 		{`path: "/book"`, `path: "book"`, `f:5: operation[1].match[0].path: "book" does not begin with /`},
-		{`path: "/look/*"`, `path: "/*/x"`, `f:4: operation[0].match[0].path: "/*/x": * stands for the rest, at the end only`},
-		{`name: "book"`, `name: "look"`, `f:5: operation[1].name: "look" is the name of the operation on line 4 too`},
-		{`group: "zone"`, `group: "zoen"`, `f:5: operation[1].group: "zoen" is none of all, zone, cell; did you mean zone?`},
+		{`path: "/look/*"`, `path: "/*/x"`, `f:4: operation[0].match[0].path: "/*/x": * is allowed only at the end`},
+		{`name: "book"`, `name: "look"`, `f:5: operation[1].name: "look" is also the name of the operation on line 4`},
+		{`group: "zone"`, `group: "zoen"`, `f:5: operation[1].group: "zoen" is not one of all, zone, cell; did you mean zone?`},
 		{`memory_ms: 400 `, "", "f:5: operation[1].memory_ms: missing; give it a value from 1 ms to 86400000 ms"},
-		{`marshals: 2 zone: "here"`, `marshals: 2 zone: "hree"`, `f:1: instance.zone: "hree" is no zone of this file; did you mean here?`},
-		{"number: 0 marshals: 2", "number: 2 marshals: 2", "f:1: instance.number: 2 is not among 2 marshals, which count from 0"},
-		{"number: 1 address", "number: 0 address", "f:9: peer[0].number: 0 is this marshal's own number or another peer's"},
-		{`invocations: "127.0.0.1:0"`, `invocations: ":80"`, `f:2: listen.invocations: ":80" names no host; for this machine alone write 127.0.0.1:80`},
-		{`"127.0.0.1:1"`, `"127.0.0.1"`, `f:8: roster.address: "127.0.0.1" is no host:port`},
+		{`marshals: 2 zone: "here"`, `marshals: 2 zone: "hree"`, `f:1: instance.zone: "hree" is not a zone of this file; did you mean here?`},
+		{"number: 0 marshals: 2", "number: 2 marshals: 2", "f:1: instance.number: 2 is out of range: 2 marshals are numbered from 0"},
+		{"number: 1 address", "number: 0 address", "f:9: peer[0].number: 0 is already the number of this marshal or of another peer"},
+		{`invocations: "127.0.0.1:0"`, `invocations: ":80"`, `f:2: listen.invocations: ":80" has no host; for this machine only, write 127.0.0.1:80`},
+		{`"127.0.0.1:1"`, `"127.0.0.1"`, `f:8: roster.address: "127.0.0.1" is not of the form host:port`},
 		{`name: "book"`, `listener: "mian" name: "book"`, "f:5: operation[1].listener: no listener is called mian; did you mean main?"},
 		{"reconnect_ms: 1 ", "", "f:8: roster.reconnect_ms: missing; give it a value from 1 ms to 86400000 ms"},
 		{`name: "book"`, `pool: "x" name: "book"`, `f:5: operation[1].pool: no pool is called x; describe it: pool { name: "x" roster { ... } }`},
-		{"grace_ms: 200 ", "grace_ms: 1e12 ", "f:10: rules.grace_ms: 1000000000000 ms is too much; the most is 86400000 ms"},
-		{"cold_from: 0.5", "cold_from: -1", "f:10: rules.cold_from: -1 is too little; the least is 0.001"},
-		{"part: 1 cap: 1", "part: 1 cap: 0.2", "f:12: rollout.stage[1].cap: 0.2 is under the 0.5 of the stage before"},
-		{`gate: "any"`, `gate: "anny"`, `f:11: rollout.gate: "anny" is none of any, count, clock; did you mean any?`},
-		{"answer_ms: 10", "answer_ms: 700", "f:7: times.answer_ms: 700 ms kept for the answer's way leave nothing of the 600 ms of look"},
+		{"grace_ms: 200 ", "grace_ms: 1e12 ", "f:10: rules.grace_ms: 1000000000000 ms is too large; the maximum is 86400000 ms"},
+		{"cold_from: 0.5", "cold_from: -1", "f:10: rules.cold_from: -1 is too small; the minimum is 0.001"},
+		{"part: 1 cap: 1", "part: 1 cap: 0.2", "f:12: rollout.stage[1].cap: 0.2 is below the 0.5 of the previous stage"},
+		{`gate: "any"`, `gate: "anny"`, `f:11: rollout.gate: "anny" is not one of any, count, clock; did you mean any?`},
+		{"answer_ms: 10", "answer_ms: 700", "f:7: times.answer_ms: 700 ms reserved for the answer's way to the client leave nothing of the 600 ms of look"},
 		{"rules { answer", "# rules { answer", "f: rules: the block is missing: write rules { ... }"},
 		{"stage { part: 1 cap: 1 } }", "stage { part: 1 cap: 1 }", "f: the file ends inside a block: a closing } is missing"},
-		{"queue: 10 ", "queue: 10 probes: true ", `f:6: limits.probe_path: "" is no path; a node answers a probe at, for example, "/healthz"`},
+		{"queue: 10 ", "queue: 10 probes: true ", `f:6: limits.probe_path: "" is not a path; a node answers probes at, for example, "/healthz"`},
 	} {
 		text := strings.Replace(validText, c.old, c.new, 1)
 		if text == validText {
-			t.Fatalf("%q is not in the text", c.old)
+			t.Fatalf("%q is not in validText", c.old)
 		}
 		_, err := Parse("f", []byte(text))
 		if err == nil {
-			t.Errorf("%q for %q: no error", c.new, c.old)
+			t.Errorf("%q instead of %q: no error", c.new, c.old)
 		} else if got, _, _ := strings.Cut(err.Error(), "\n"); got != c.want {
-			t.Errorf("%q for %q:\n%s\nnot\n%s", c.new, c.old, err, c.want)
+			t.Errorf("%q instead of %q:\ngot  %s\nwant %s", c.new, c.old, err, c.want)
 		}
 	}
 	if _, err := Load("nowhere.txtpb"); err == nil || err.Error() != "nowhere.txtpb: can't be read: no such file or directory" {
@@ -67,7 +67,7 @@
 	}
 }
 
-// What is written is read as the same; reading never panics, and an error names its file.
+// FuzzParse checks that Parse reads back what Text writes, that it never panics, and that errors name the file.
 func FuzzParse(f *testing.F) {
 	f.Add(validText)
 	f.Add("operation { match { } }")
@@ -85,15 +85,16 @@
 	})
 }
 
+// TestFind checks which operation a request matches.
 func TestFind(t *testing.T) {
 	s, err := Parse("f", []byte(validText))
 	if err != nil {
 		t.Fatal(err)
 	}
-	for call, want := range map[string]int{"GET /look/1": 0, "POST /look/1": -1, "GET /look": -1, "PUT /book": 1, "GET /book/1": -1} {
-		method, path, _ := strings.Cut(call, " ")
+	for request, want := range map[string]int{"GET /look/1": 0, "POST /look/1": -1, "GET /look": -1, "PUT /book": 1, "GET /book/1": -1} {
+		method, path, _ := strings.Cut(request, " ")
 		if got := s.FindOperation(MainListener, method, path); got != want {
-			t.Errorf("%s is operation %d, not %d", call, got, want)
+			t.Errorf("%s: got operation %d, want %d", request, got, want)
 		}
 	}
 }
