--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -7,7 +7,7 @@
 	"arrowcleat/balance"
 )
 
-// ModuleSettings is what the decision module gets: its plain map of names and values.
+// ModuleSettings returns the settings of the decision module.
 func (x *Settings) ModuleSettings() balance.Settings {
 	s := balance.Settings{
 		"marshals":                  float64(x.Instance.Marshals),
@@ -46,8 +46,8 @@
 		s["discovery"] = "subscribe"
 	}
 	var caps, parts []float64
-	for _, g := range x.Rollout.Stage {
-		caps, parts = append(caps, g.Cap), append(parts, g.Part)
+	for _, stage := range x.Rollout.Stage {
+		caps, parts = append(caps, stage.Cap), append(parts, stage.Part)
 	}
 	s["rollout.most-shares"], s["rollout.stage-share"] = caps, parts
 	var ops, tenants []balance.Settings
@@ -64,10 +64,10 @@
 	return s
 }
 
-// Cores is the number of the module's instances.
+// Cores returns the number of instances of the decision module.
 func (x *Settings) Cores() int { return max(1, int(x.Instance.Cores)) }
 
-// InstanceSettings is what one of several instances gets.
+// InstanceSettings returns the settings of one instance of the decision module.
 func (x *Settings) InstanceSettings(instance int) balance.Settings {
 	s := x.ModuleSettings()
 	if n := x.Cores(); n > 1 {
@@ -76,7 +76,7 @@
 	return s
 }
 
-// ZoneIndex is a zone's number in the order of the file, or -1.
+// ZoneIndex returns the index of a zone in the order of the file, or -1.
 func (x *Settings) ZoneIndex(name string) int {
 	for i, z := range x.Zone {
 		if z == name {
@@ -86,7 +86,8 @@
 	return -1
 }
 
-// FindOperation finds the operation of a request by the name of the listener that it came to, or -1. The first that matches counts.
+// FindOperation returns the index of the first operation that matches a request, or -1. listener is the name of the
+// listener that received the request.
 func (x *Settings) FindOperation(listener, method, path string) int {
 	for i, o := range x.Operation {
 		if len(o.Listener) > 0 && !slices.Contains(o.Listener, listener) {
@@ -104,7 +105,7 @@
 	return -1
 }
 
-// TenantIndex is a tenant's number in the order of the file, or 0.
+// TenantIndex returns the index of a tenant in the order of the file, or 0 for an unknown one.
 func (x *Settings) TenantIndex(name string) int {
 	for i, t := range x.Tenant {
 		if t.Name == name {
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// PoolSettings gives for each pool the settings of the instance that serves it: those of the whole, with the pool's own blocks
-// in place and only the operations that go there. Without pools there is one, the whole.
+// PoolSettings returns, for each pool, the settings of the module instance that serves it: a copy of x with the blocks
+// of the pool in place of the top-level ones and only the operations of the pool. Without pools it returns x alone.
 func (x *Settings) PoolSettings() []*Settings {
 	if len(x.Pool) == 0 {
 		return []*Settings{x}
@@ -23,7 +23,7 @@
 		s.Rules, s.Rollout, s.Conveyor = orDefault(p.Rules, s.Rules), orDefault(p.Rollout, s.Rollout), orDefault(p.Conveyor, s.Conveyor)
 		s.Prices = orDefault(p.Prices, s.Prices)
 		if s.Roster = orDefault(p.Roster, s.Roster); p.Roster == nil && s.Roster.File != "" {
-			s.Roster.File += "." + p.Name // two pools don't share a list
+			s.Roster.File += "." + p.Name // pools don't share a saved list
 		}
 		if s.Record = orDefault(p.Record, s.Record); p.Record == nil && s.Record.File != "" {
 			s.Record.File += "." + p.Name
@@ -33,7 +33,7 @@
 	return all
 }
 
-// PoolRollout is the rollout of a pool: its own, or that of the whole.
+// PoolRollout returns the rollout block of a pool: its own or the top-level one.
 func (x *Settings) PoolRollout(pool int) *Rollout {
 	if len(x.Pool) == 0 {
 		return x.Rollout
@@ -41,6 +41,7 @@
 	return orDefault(x.Pool[pool].Rollout, x.Rollout)
 }
 
+// orDefault returns own, or def if own is nil.
 func orDefault[T any](own, def *T) *T {
 	if own != nil {
 		return own
@@ -48,7 +49,7 @@
 	return def
 }
 
-// LocateOperation finds the pool of an operation, and which of the pool's operations it is.
+// LocateOperation returns the index of the pool that serves operation op, and the operation's index within that pool.
 func (x *Settings) LocateOperation(op int) (pool, local int) {
 	if len(x.Pool) == 0 {
 		return 0, op
@@ -66,7 +67,7 @@
 	return pool, local
 }
 
-// ifWritten is a block that was written, or nil.
+// ifWritten returns the block if the file contains it, else nil.
 func ifWritten[T any](written bool, block *T) *T {
 	if written {
 		return block
@@ -74,7 +75,7 @@
 	return nil
 }
 
-// checkPools checks each pool with the blocks that it has of its own or from the whole.
+// checkPools checks the pools, their own blocks, the top-level blocks that pools share, and the pool of each operation.
 func (c *checker) checkPools() {
 	s := c.s
 	if len(s.Pool) == 0 {
@@ -88,25 +89,25 @@
 	}
 	names := []string{}
 	for i, p := range s.Pool {
-		at := fmt.Sprintf("pool[%d].", i)
+		prefix := fmt.Sprintf("pool[%d].", i)
 		if p.Name == "" {
-			c.report("AC301", at+"name", "missing")
+			c.report("AC301", prefix+"name", "missing")
 		}
 		if slices.Contains(names, p.Name) {
-			c.report("AC306", at+"name", "another pool is called %s too", p.Name)
+			c.report("AC306", prefix+"name", "another pool is also called %s", p.Name)
 		}
 		names = append(names, p.Name)
-		for _, b := range []struct {
+		for _, block := range []struct {
 			name string
 			own  bool
 		}{{"roster", p.Roster != nil}, {"rules", p.Rules != nil}, {"rollout", p.Rollout != nil}} {
-			if !b.own && !c.written[b.name] {
-				c.report("AC301", at+b.name, "the block is missing, here and at the top: write %s { ... }", b.name)
+			if !block.own && !c.written[block.name] {
+				c.report("AC301", prefix+block.name, "the block is missing, here and at the top: write %s { ... }", block.name)
 			}
 		}
-		c.checkOverridable(at, p.Roster, p.Conveyor, p.Rules, p.Rollout)
+		c.checkOverridable(prefix, p.Roster, p.Conveyor, p.Rules, p.Rollout)
 	}
-	// What pools take from the whole is checked once, where it stands.
+	// The top-level blocks that pools share are checked once.
 	c.checkOverridable("", ifWritten(c.written["roster"], s.Roster), ifWritten(c.written["conveyor"], s.Conveyor), ifWritten(c.written["rules"], s.Rules),
 		ifWritten(c.written["rollout"], s.Rollout))
 	used, allAssigned := map[string]bool{}, true
@@ -115,7 +116,7 @@
 		used[o.Pool] = true
 		if o.Pool == "" {
 			allAssigned = false
-			c.report("AC301", at, "missing; there are several pools: which one does it go to?")
+			c.report("AC301", at, "missing; name one of the pools")
 			continue
 		}
 		if !slices.Contains(names, o.Pool) {
@@ -123,14 +124,14 @@
 			c.report("AC307", at, "no pool is called %s%s", o.Pool, suggestion(o.Pool, names))
 		}
 	}
-	for i, n := range names {
-		if allAssigned && !used[n] && n != "" {
-			c.report("AC404", fmt.Sprintf("pool[%d].name", i), "no operation goes to the pool %s; remove it, or name it in an operation", n)
+	for i, name := range names {
+		if allAssigned && !used[name] && name != "" {
+			c.report("AC404", fmt.Sprintf("pool[%d].name", i), "no operation goes to the pool %s; remove it, or name it in an operation", name)
 		}
 	}
 }
 
-// checkListeners checks the further addresses and who is kept to them.
+// checkListeners checks the additional listeners and the listeners that operations name.
 func (c *checker) checkListeners() {
 	names := []string{MainListener}
 	for i, l := range c.s.Listener {
@@ -139,19 +140,19 @@
 			c.report("AC301", at+"name", "missing")
 		}
 		if slices.Contains(names, l.Name) {
-			c.report("AC306", at+"name", "another listener is called %s too", l.Name)
+			c.report("AC306", at+"name", "another listener is also called %s", l.Name)
 		}
 		names = append(names, l.Name)
 		c.checkAddress(at+"address", l.Address)
 	}
 	for i, o := range c.s.Operation {
-		for j, n := range o.Listener {
-			if !slices.Contains(names, n) {
-				c.report("AC307", fmt.Sprintf("operation[%d].listener[%d]", i, j), "no listener is called %s%s", n, suggestion(n, names))
+		for j, name := range o.Listener {
+			if !slices.Contains(names, name) {
+				c.report("AC307", fmt.Sprintf("operation[%d].listener[%d]", i, j), "no listener is called %s%s", name, suggestion(name, names))
 			}
 		}
 	}
 }
 
-// MainListener is what the address of listen.invocations is called.
+// MainListener is the name of the listener at listen.invocations.
 const MainListener = "main"
