--- a/cmd/adapter/main.go
+++ b/cmd/adapter/main.go
@@ -1,4 +1,4 @@
-// Command adapter runs the decision module against the simulator, on standard input and output.
+// Command adapter connects the decision module to the simulator through standard input and output.
 package main
 
 import (
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	debug.SetGCPercent(400) // short-lived garbage, little memory: fewer collections
+	debug.SetGCPercent(400) // much short-lived garbage in a small heap: collect less often
 	if err := simwire.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "adapter:", err)
 		os.Exit(1)
--- a/internal/simwire/read.go
+++ b/internal/simwire/read.go
@@ -8,20 +8,23 @@
 	"arrowcleat/balance"
 )
 
-// event reads the fields of one object; a field that is missing or of a wrong type is a fault.
+// event reads the fields of one JSON object. Its readers panic with an inputError if a field is missing or of a wrong
+// type.
 type event struct{ gjson.Result }
 
-func (e event) required(name string, t gjson.Type, what string) gjson.Result {
+// required returns a field of type t; expected describes the type in the error.
+func (e event) required(name string, t gjson.Type, expected string) gjson.Result {
 	v := e.Get(name)
 	if !v.Exists() || v.Type == gjson.Null {
 		panic(inputError("field " + name + ": missing"))
 	}
 	if v.Type != t {
-		panic(inputError("field " + name + ": not " + what))
+		panic(inputError("field " + name + ": not " + expected))
 	}
 	return v
 }
 
+// has reports whether a field is present and not null.
 func (e event) has(name string) bool {
 	v := e.Get(name)
 	return v.Exists() && v.Type != gjson.Null
@@ -29,7 +32,9 @@
 
 func (e event) text(name string) string { return e.required(name, gjson.String, "a string").Str }
 func (e event) num(name string) float64 { return e.required(name, gjson.Number, "a number").Num }
-func (e event) ms(name string) float64  { return e.num(name) * 1000 }
+
+// ms returns a field in seconds as ms.
+func (e event) ms(name string) float64 { return e.num(name) * 1000 }
 
 func (e event) int64(name string) int64 {
 	v, err := strconv.ParseInt(e.required(name, gjson.Number, "a whole number").Raw, 10, 64)
@@ -39,6 +44,7 @@
 	return v
 }
 
+// seed returns a field with any 64-bit value, signed or not.
 func (e event) seed(name string) uint64 {
 	raw := e.required(name, gjson.Number, "a whole number").Raw
 	if v, err := strconv.ParseUint(raw, 10, 64); err == nil {
@@ -90,7 +96,7 @@
 	return v
 }
 
-// The opt readers take an absent or null field as nothing told.
+// optInteger and the other opt readers return a default for an absent or null field.
 func (e event) optInteger(name string) int {
 	if !e.has(name) {
 		return 0
@@ -116,25 +122,26 @@
 
 func (e event) optBool(name string) bool { return e.has(name) && e.bool(name) }
 
-// The wire's names of what a node reports.
+// reportNames maps the protocol's names of the values of a load report to those of balance.
 var reportNames = map[string]string{"concurrent": "held", "depth": "waiting", "load_share": "busy",
 	"mean_ms": "service-ms", "tps": "rate", "err_ps": "errors"}
 
-// loadReport is a node's report under the names of this project; values that are not known are skipped.
+// loadReport returns a node's load report under the names that balance uses, without unknown values; nil if there is none.
 func (e event) loadReport() map[string]float64 {
 	if !e.has("feedback") {
 		return nil
 	}
 	report := map[string]float64{}
 	e.object("feedback").ForEach(func(k, v gjson.Result) bool {
-		if ours, known := reportNames[k.Str]; known && v.Type == gjson.Number {
-			report[ours] = v.Num
+		if name, known := reportNames[k.Str]; known && v.Type == gjson.Number {
+			report[name] = v.Num
 		}
 		return true
 	})
 	return report
 }
 
+// outcomes maps the protocol's words for how a call ended.
 var outcomes = map[string]balance.Outcome{"Ok": balance.Succeeded, "Failed": balance.Failed,
 	"QueueFull": balance.Rejected, "TimedOut": balance.TimedOut, "ConnectError": balance.ConnectFailed,
 	"ResetByPeer": balance.ConnectionReset, "Canceled": balance.Canceled, "Ignored": balance.Ignored}
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package simwire speaks the simulator's wire for any number of instances: it decodes an event and calls
-// the instance's Balancer, and encodes what the Balancer asks of its Host. It decides nothing.
+// Package simwire implements the simulator's protocol for any number of instances. It decodes events into calls of an
+// instance's Balancer, and encodes the Balancer's calls of its Host. It makes no decisions.
 package simwire
 
 import (
@@ -14,13 +14,13 @@
 	"arrowcleat/internal/brief"
 )
 
-// Serve reads batches from in and writes one reply for each to out, until in ends.
+// Serve reads batches of events, one a line, from in and writes one reply for each to out, until in ends.
 func Serve(in io.Reader, out io.Writer) error {
 	r := bufio.NewReaderSize(in, 1<<20)
-	w := &session{instances: map[int]*instance{}}
+	s := &session{instances: map[int]*instance{}}
 	for {
 		line, err := r.ReadSlice('\n')
-		if err == bufio.ErrBufferFull { // a longer batch: take a copy and read on
+		if err == bufio.ErrBufferFull { // a batch larger than the buffer
 			var rest []byte
 			line = append([]byte(nil), line...)
 			rest, err = r.ReadBytes('\n')
@@ -32,92 +32,96 @@
 		if err != nil && err != io.EOF {
 			return err
 		}
-		if err := w.handleBatch(string(line)); err != nil {
+		if err := s.handleBatch(string(line)); err != nil {
 			return err
 		}
-		if _, err := out.Write(w.out); err != nil {
+		if _, err := out.Write(s.out); err != nil {
 			return err
 		}
 	}
 }
 
-// session is the state of one process: its instances and the rosters they refer to.
+// session is the state of one process: its instances and the node lists that events refer to.
 type session struct {
 	nowMs     float64
-	out       []byte
-	first     bool
+	out       []byte // reply to the current batch
+	first     bool   // no action in out yet
 	nodeLists [16][]balance.Node
-	instances map[int]*instance
+	instances map[int]*instance // by number; nil for one that has crashed
 }
 
-// inputError is a plain message about what came in malformed.
+// inputError describes malformed input. Readers panic with it; handleBatch returns it as an error.
 type inputError string
 
-func (w *session) handleBatch(line string) (err error) {
+// handleBatch handles the events of one batch and leaves the reply in s.out.
+func (s *session) handleBatch(line string) (err error) {
 	kind := "batch"
 	defer func() {
 		if p := recover(); p != nil {
-			f, bad := p.(inputError)
-			if !bad {
+			bad, ok := p.(inputError)
+			if !ok {
 				panic(p)
 			}
-			err = fmt.Errorf("%s: %s", kind, string(f))
+			err = fmt.Errorf("%s: %s", kind, string(bad))
 		}
 	}()
 	if !gjson.Valid(line) {
 		return fmt.Errorf("batch: not valid JSON: %.80q", line)
 	}
-	b := event{gjson.Parse(line)}
-	if !b.IsObject() {
+	batch := event{gjson.Parse(line)}
+	if !batch.IsObject() {
 		return fmt.Errorf("batch: not an object: %.80q", line)
 	}
-	w.nowMs = b.ms("now-s")
-	w.out, w.first = append(w.out[:0], `{"output":[`...), true
-	b.list("happened").ForEach(func(_, v gjson.Result) bool {
+	s.nowMs = batch.ms("now-s")
+	s.out, s.first = append(s.out[:0], `{"output":[`...), true
+	batch.list("happened").ForEach(func(_, v gjson.Result) bool {
 		kind = "event"
 		if !v.IsObject() {
 			panic(inputError("not an object"))
 		}
 		e := event{v}
 		kind = e.text("type")
-		w.handleEvent(kind, e)
+		s.handleEvent(kind, e)
 		return true
 	})
-	w.out = append(w.out, "]}\n"...)
+	s.out = append(s.out, "]}\n"...)
 	return nil
 }
 
-func (w *session) handleEvent(kind string, e event) {
+// handleEvent handles a node list, starts an instance, or passes an event to the instance that it names.
+func (s *session) handleEvent(kind string, e event) {
 	if kind == "roster" {
-		w.setNodeList(e)
+		s.setNodeList(e)
 		return
 	}
-	who := e.integer("who")
+	id := e.integer("who")
 	if kind == "spawn" {
-		host := &instance{session: w, id: who}
-		w.instances[who] = host
+		host := &instance{session: s, id: id}
+		s.instances[id] = host
 		host.recoverPanics(func() {
 			host.balancer = balance.New(host, brief.Settings(e.object("config")), e.seed("nonce64"))
 		})
 		return
 	}
-	i, started := w.instances[who]
+	i, started := s.instances[id]
 	if !instanceEvents[kind] {
-		panic(inputError("unknown message"))
+		panic(inputError("unknown event type"))
 	}
 	if !started {
-		panic(inputError("field who: no such instance was started"))
+		panic(inputError("field who: no such instance"))
 	}
 	if i == nil {
-		return // it was killed
+		return // it has crashed
 	}
 	i.recoverPanics(func() { i.deliver(kind, e) })
 }
 
+// instanceEvents are the types of events that instances handle.
 var instanceEvents = map[string]bool{"topology": true, "new-request": true, "established": true, "wake": true,
 	"probe-done": true, "peer-data": true, "crash-now": true, "attempt-end": true, "lapsed": true,
 	"stage": true, "metrics": true, "reported-wrong": true}
 
+// deliver calls the method of the Balancer for an event.
 func (i *instance) deliver(kind string, e event) {
 	switch kind {
 	case "new-request":
@@ -140,17 +144,17 @@
 		case "diff", "snapshot", "disk":
 			table := e.integer("table")
 			if table < 0 || table >= len(i.session.nodeLists) {
-				panic(inputError("field table: no such roster"))
+				panic(inputError("field table: no such node list"))
 			}
 			i.balancer.NodesListed(form != "diff", i.session.nodeLists[table])
 		default:
 			panic(inputError("field form: unknown word " + strconv.Quote(form)))
 		}
 	case "stage":
-		ending := e.outcome()
+		outcome := e.outcome()
 		reply := e.integer("code") == 1
-		if ending != balance.Succeeded {
-			i.balancer.VoteFailed(ending)
+		if outcome != balance.Succeeded {
+			i.balancer.VoteFailed(outcome)
 			return
 		}
 		phase := e.integer("standing")
@@ -171,13 +175,14 @@
 	case "crash-now":
 		i.session.instances[i.id] = nil
 	default:
-		panic(inputError("unknown message"))
+		panic(inputError("unknown event type"))
 	}
 }
 
-func (w *session) setNodeList(e event) {
+// setNodeList stores a node list under its table number, for later topology events.
+func (s *session) setNodeList(e event) {
 	table := e.integer("table")
-	if table < 0 || table >= len(w.nodeLists) {
+	if table < 0 || table >= len(s.nodeLists) {
 		panic(inputError("field table: out of range"))
 	}
 	var nodes []balance.Node
@@ -185,11 +190,11 @@
 		if !v.IsObject() {
 			panic(inputError("field members-list: an entry is not an object"))
 		}
-		m := event{v}
-		n := balance.Node{ID: m.node(), Ver: m.integer("build"), Zone: m.optInteger("dc"),
-			Model: m.optInteger("generation-hw"), Cell: m.optInteger("pack"), Size: m.optNum("rating", 1),
-			Started: m.optMS("start-time-s")}
-		switch word := m.text("health"); word {
+		entry := event{v}
+		n := balance.Node{ID: entry.node(), Ver: entry.integer("build"), Zone: entry.optInteger("dc"),
+			Model: entry.optInteger("generation-hw"), Cell: entry.optInteger("pack"), Size: entry.optNum("rating", 1),
+			Started: entry.optMS("start-time-s")}
+		switch word := entry.text("health"); word {
 		case "SERVING":
 		case "DRAINING":
 			n.Health = balance.Draining
@@ -201,7 +206,7 @@
 		nodes = append(nodes, n)
 		return true
 	})
-	w.nodeLists[table] = nodes
+	s.nodeLists[table] = nodes
 }
 
 // instance is the Host of one Balancer.
@@ -211,7 +216,7 @@
 	balancer *balance.Balancer
 }
 
-// recoverPanics turns a panic of the module into a bail-out; a fault of the wire goes on to the caller.
+// recoverPanics calls f and reports a panic of the module to the simulator. An inputError is passed on to the caller.
 func (i *instance) recoverPanics(f func()) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -226,6 +231,7 @@
 	f()
 }
 
+// beginAction starts an object in the reply's list of actions.
 func (i *instance) beginAction(kind string) {
 	if !i.session.first {
 		i.session.out = append(i.session.out, ',')
@@ -237,6 +243,7 @@
 	i.appendInt("who", int64(i.id))
 }
 
+// appendName appends the name of a field; its value follows.
 func (i *instance) appendName(name string) {
 	i.session.out = append(i.session.out, ',', '"')
 	i.session.out = append(i.session.out, name...)
@@ -258,50 +265,58 @@
 	i.session.out = gjson.AppendJSONString(i.session.out, v)
 }
 
+// endAction ends the object that beginAction started.
 func (i *instance) endAction() { i.session.out = append(i.session.out, '}') }
 
-// Now and the methods below make an instance a balance.Host.
+// Now returns the time of the current batch in ms. It and the methods below implement balance.Host.
 func (i *instance) Now() float64 { return i.session.nowMs }
 
-func (i *instance) Dispatch(inv string, node uint32, timeLimit float64) {
+// Dispatch implements balance.Host.
+func (i *instance) Dispatch(inv string, node uint32, timeLimitMs float64) {
 	i.beginAction("relay")
 	i.appendText("ref", inv)
-	i.appendSeconds("allow-for-s", timeLimit)
+	i.appendSeconds("allow-for-s", timeLimitMs)
 	i.appendInt("node", int64(node))
 	i.endAction()
 }
 
-func (i *instance) Cancel(inv string, dispatch int) {
+// Cancel implements balance.Host.
+func (i *instance) Cancel(inv string, attempt int) {
 	i.beginAction("abandon")
 	i.appendText("ref", inv)
-	i.appendInt("send-no", int64(dispatch))
+	i.appendInt("send-no", int64(attempt))
 	i.endAction()
 }
 
-func (i *instance) Throttle(inv string, comeBack float64) {
+// Throttle implements balance.Host.
+func (i *instance) Throttle(inv string, retryAfterMs float64) {
 	i.beginAction("push-back")
 	i.appendText("ref", inv)
-	i.appendSeconds("stay-away-s", comeBack)
+	i.appendSeconds("stay-away-s", retryAfterMs)
 	i.endAction()
 }
 
+// Terminate implements balance.Host.
 func (i *instance) Terminate(inv string) {
 	i.beginAction("respond-error")
 	i.appendText("ref", inv)
 	i.endAction()
 }
 
+// Probe implements balance.Host.
 func (i *instance) Probe(node uint32) {
 	i.beginAction("ping")
 	i.appendInt("node", int64(node))
 	i.endAction()
 }
 
+// FetchNodes implements balance.Host.
 func (i *instance) FetchNodes() {
 	i.beginAction("pull")
 	i.endAction()
 }
 
+// WatchNodes implements balance.Host.
 func (i *instance) WatchNodes(on bool) {
 	i.beginAction("keep-informed")
 	i.appendName("active")
@@ -309,6 +324,7 @@
 	i.endAction()
 }
 
+// Vote implements balance.Host.
 func (i *instance) Vote(ver, stage int, verdict balance.Verdict) {
 	i.beginAction("cast-vote")
 	i.appendInt("code", int64(verdict))
@@ -317,13 +333,15 @@
 	i.endAction()
 }
 
-func (i *instance) SetTimer(after float64, handle int64) {
+// SetTimer implements balance.Host.
+func (i *instance) SetTimer(afterMs float64, handle int64) {
 	i.beginAction("timer")
-	i.appendSeconds("delay-s", after)
+	i.appendSeconds("delay-s", afterMs)
 	i.appendInt("handle", handle)
 	i.endAction()
 }
 
+// SendToPeer implements balance.Host.
 func (i *instance) SendToPeer(peer int, text string) {
 	i.beginAction("write-peer")
 	if peer == balance.AllPeers {
@@ -336,6 +354,7 @@
 	i.endAction()
 }
 
+// Log implements balance.Host.
 func (i *instance) Log(text string) {
 	i.beginAction("journal-line")
 	i.appendText("text", text)
