--- a/cmd/arrowcleat/main.go
+++ b/cmd/arrowcleat/main.go
@@ -1,4 +1,5 @@
-// Command arrowcleat is the release controller: the marshal, stand-ins to try it among, and what checks a day.
+// Command arrowcleat is the release controller: it runs marshals, stand-ins for the services around them, and fault
+// scenarios that check the rules.
 package main
 
 import (
@@ -19,15 +20,16 @@
 	"arrowcleat/internal/settings"
 )
 
-// The exit codes, as the help and docs/running.md say them.
+// Exit codes, as the help and docs/running.md describe them.
 const (
-	exitFailed   = 1 // it ran and something was wrong: a rule broken, a panic, a difference
-	exitBadInput = 2 // the command line or a file is wrong; nothing was started
+	exitFailed   = 1 // it ran and failed: a rule was broken, a module panicked, a replay differed
+	exitBadInput = 2 // the command line or a file is invalid; nothing was started
 )
 
-// badInput is an error of the command line or a file.
+// badInput is an error in the command line or in a file.
 type badInput struct{ error }
 
+// Unwrap returns the error itself.
 func (b badInput) Unwrap() error { return b.error }
 
 func main() {
@@ -43,15 +45,16 @@
 	os.Exit(exitFailed)
 }
 
+// rootCommand returns the command with all sub-commands.
 func rootCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "arrowcleat",
 		Short: "Try new builds of a service on live traffic",
-		Long: `arrowcleat routes invocations to the nodes of a service, gives a build on trial its share of them, and votes it on
-or back by what it sees.
+		Long: `arrowcleat routes invocations to the nodes of a service, sends a share of them to the trial build, and votes to
+advance it or to roll it back, depending on what it observes.
 
-Exit codes: 0 all went well; 1 it ran and something was wrong (a rule broken, a module that panicked, a replay
-that differs); 2 the command line or a file is wrong and nothing was started.`,
+Exit codes: 0 success; 1 it ran and failed (a rule was broken, a module panicked, a replay differed); 2 the command
+line or a file is invalid and nothing was started.`,
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -65,7 +68,7 @@
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
-		Short: "Say which version this is",
+		Short: "Print the version",
 		Args:  noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			version := "unknown"
@@ -83,6 +86,7 @@
 	}
 }
 
+// noArgs rejects all arguments.
 func noArgs(c *cobra.Command, args []string) error {
 	if err := cobra.NoArgs(c, args); err != nil {
 		return badInput{err}
@@ -90,6 +94,7 @@
 	return nil
 }
 
+// oneFile requires exactly one argument.
 func oneFile(c *cobra.Command, args []string) error {
 	if len(args) != 1 {
 		return badInput{fmt.Errorf("%s takes one file or folder, not %d", c.CommandPath(), len(args))}
@@ -97,9 +102,9 @@
 	return nil
 }
 
-// newLogger makes the log that settings ask for; its level can be changed while it runs.
+// newLogger returns a logger with the form and level of the settings. Its level can be changed later through level.
 func newLogger(out io.Writer, l *settings.Log, level *slog.LevelVar) *slog.Logger {
-	level.UnmarshalText([]byte(l.Level)) // checked with the settings
+	level.UnmarshalText([]byte(l.Level)) // the settings have been checked
 	options := &slog.HandlerOptions{Level: level}
 	if l.Form == "json" {
 		return slog.New(slog.NewJSONHandler(out, options))
@@ -107,18 +112,18 @@
 	return slog.New(slog.NewTextHandler(out, options))
 }
 
-// flushTimeout is how long a process that ends waits for its last log lines to be written.
+// flushTimeout is how long a process waits at its end for the last log lines to be written.
 const flushTimeout = 100 * time.Millisecond
 
-// newServiceLog is the log of a process in service, on standard error: it neither waits for whoever reads it nor ends with them. flush has the
-// lines so far written.
+// newServiceLog returns a logger on standard error for a process in service. It does not block if nobody reads the log,
+// and the process does not end if the reader does. flush writes the lines logged so far.
 func newServiceLog(l *settings.Log, level *slog.LevelVar) (log *slog.Logger, flush func()) {
-	signal.Ignore(syscall.SIGPIPE) // else a line that nobody can read any more ends the process
+	signal.Ignore(syscall.SIGPIPE) // otherwise writing to a closed pipe ends the process
 	out := logsink.New(os.Stderr)
 	return newLogger(out, l, level), func() { out.Flush(flushTimeout) }
 }
 
-// handleSignals gives what operators send: TERM and INT to stop, USR1 for more of the log, USR2 for less.
+// handleSignals returns a channel that receives TERM and INT. USR1 makes the log more verbose, USR2 less. done ends both.
 func handleSignals(level *slog.LevelVar, log *slog.Logger) (stop chan os.Signal, done func()) {
 	stop, levels := make(chan os.Signal, 2), make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
