--- a/cmd/arrowcleat/day.go
+++ b/cmd/arrowcleat/day.go
@@ -22,27 +22,28 @@
 	"arrowcleat/internal/settings"
 )
 
-// errRulesBroken is the end of a day or an audit that found a rule broken.
+// errRulesBroken is the error of a scenario or an audit that found a broken rule.
 var errRulesBroken = errors.New("rules were broken")
 
+// dayCommand returns the command that runs a fault scenario and checks the rules.
 func dayCommand() *cobra.Command {
-	var file, like, trouble, dir, planted, level string
+	var file, like, trouble, dir, fault, level string
 	var seed uint64
 	var cores, nodes, marshals uint32
 	var rate float64
 	var asJSON, processes, rec, quiet bool
 	c := &cobra.Command{
 		Use:   "day",
-		Short: "Play a scripted bad day on loopback sockets and audit it",
-		Long: `day starts stand-in nodes, a roster, a conveyor, several marshals and clients on loopback addresses, plays a
-script of troubles, and then checks the rules from what clients, nodes, roster and conveyor saw on their sockets.
-With no arguments it plays the day that is built in, in under 30 seconds.
+		Short: "Run a fault scenario on loopback sockets and check the rules",
+		Long: `day starts stand-in nodes, a service registry, a rollout service, several marshals and clients on loopback
+addresses, injects faults by a script, and then checks the rules against what clients, nodes, registry and rollout
+service observed on their sockets. Without arguments it runs the built-in scenario, in under 30 seconds.
 
-Exit code 0: no rule was broken, and every invocation taken got exactly one final answer. 1: one was, or not.`,
+Exit code 0: no rule was broken, and every accepted invocation got exactly one final answer. 1: otherwise.`,
 		Example: `  arrowcleat day
   arrowcleat day --trouble slow_link --seed 7
   arrowcleat day --json --seed 3
-  arrowcleat day --plant drain        # a marshal with this fault: must be found, exit code 1`,
+  arrowcleat day --plant drain        # injects this fault into the marshals: must be detected, exit code 1`,
 		Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			plan := day.Default()
@@ -64,7 +65,7 @@
 			if err := day.Resize(plan, nodes, marshals, rate); err != nil {
 				return badInput{err}
 			}
-			if _, err := plant.Hooks(planted); err != nil {
+			if _, err := plant.Hooks(fault); err != nil {
 				return badInput{err}
 			}
 			if dir == "" {
@@ -73,14 +74,14 @@
 				}
 				defer os.RemoveAll(dir)
 			}
-			o := day.Options{Plan: plan, Seed: seed, Dir: dir, Plant: planted, Record: rec}
+			o := day.Options{Plan: plan, Seed: seed, Dir: dir, Plant: fault, Record: rec}
 			if processes {
 				if o.Binary, err = os.Executable(); err != nil {
 					return err
 				}
 			}
-			var l slog.LevelVar
-			o.Log = newLogger(os.Stderr, &settings.Log{Level: level, Form: "text"}, &l)
+			var levelVar slog.LevelVar
+			o.Log = newLogger(os.Stderr, &settings.Log{Level: level, Form: "text"}, &levelVar)
 			if !asJSON && !quiet {
 				o.Say = func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }
 			}
@@ -106,47 +107,49 @@
 		},
 	}
 	f := c.Flags()
-	f.StringVar(&file, "plan", "", "file of a day, protobuf text format (docs/days.md)")
-	f.StringVar(&like, "like", "", "file of a day that the bench drew or found: plays its troubles at a size for this machine")
-	f.StringVar(&trouble, "trouble", "", "play only this trouble: "+strings.Join(day.Kinds(), ", "))
-	f.Uint64Var(&seed, "seed", 1, "of all that is random")
-	f.Uint32Var(&cores, "cores", 0, "instances of the module in each marshal (left out: as the day says)")
-	f.Uint32Var(&nodes, "nodes", 0, "stand-in nodes, in place of the day's")
-	f.Uint32Var(&marshals, "marshals", 0, "marshals, in place of the day's")
-	f.Float64Var(&rate, "rate", 0, "invocations a second, in place of the day's")
-	f.StringVar(&dir, "dir", "", "folder to keep the records in (left out: they are removed)")
-	f.StringVar(&planted, "plant", "", "plant a fault in the marshals: "+strings.Join(plant.Faults(), ", "))
-	f.StringVar(&level, "log", "error", "level of the marshals' log: debug, info, warn, error")
+	f.StringVar(&file, "plan", "", "file with a scenario, protobuf text format (docs/days.md)")
+	f.StringVar(&like, "like", "", "file with a scenario that the bench generated: runs its faults at a size for this machine")
+	f.StringVar(&trouble, "trouble", "", "inject only this fault: "+strings.Join(day.Kinds(), ", "))
+	f.Uint64Var(&seed, "seed", 1, "seed of all random choices")
+	f.Uint32Var(&cores, "cores", 0, "module instances in each marshal (default: as in the scenario)")
+	f.Uint32Var(&nodes, "nodes", 0, "number of stand-in nodes (default: as in the scenario)")
+	f.Uint32Var(&marshals, "marshals", 0, "number of marshals (default: as in the scenario)")
+	f.Float64Var(&rate, "rate", 0, "invocations per second (default: as in the scenario)")
+	f.StringVar(&dir, "dir", "", "folder to keep the records in (default: a temporary folder, removed at the end)")
+	f.StringVar(&fault, "plant", "", "fault to inject into the marshals: "+strings.Join(plant.Faults(), ", "))
+	f.StringVar(&level, "log", "error", "log level of the marshals: debug, info, warn, error")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object and nothing else")
-	f.BoolVar(&processes, "processes", false, "run each marshal and node as a process of its own")
-	f.BoolVar(&rec, "record", false, "let each marshal record what its module is told and asks for, into --dir")
-	f.BoolVar(&quiet, "quiet", false, "do not tell what happens while it happens")
+	f.BoolVar(&processes, "processes", false, "run each marshal and node in its own process")
+	f.BoolVar(&rec, "record", false, "record the events and calls of each marshal's module in --dir")
+	f.BoolVar(&quiet, "quiet", false, "do not print events as they happen")
 	c.MarkFlagsMutuallyExclusive("plan", "like", "trouble")
 	return c
 }
 
+// printOutcome prints the builds, the response times by operation and the checked rules.
 func printOutcome(c *cobra.Command, plan *settings.Day, out *day.Outcome) {
 	w := c.OutOrStdout()
 	fmt.Fprintf(w, "\nseed %d\n", out.Seed)
 	for _, b := range out.Builds {
 		fmt.Fprintln(w, b)
 	}
-	fmt.Fprintf(w, "\n%-14s %9s %9s %9s   ms until the answer of what succeeded\n", "operation", "p50", "p99", "p99.9")
+	fmt.Fprintf(w, "\n%-14s %9s %9s %9s   ms until the answer, of succeeded invocations\n", "operation", "p50", "p99", "p99.9")
 	for i, o := range plan.Settings.Operation {
-		t := out.Took(i, 0.5, 0.99, 0.999)
-		fmt.Fprintf(w, "%-14s %9.1f %9.1f %9.1f\n", o.Name, t[0], t[1], t[2])
+		times := out.Took(i, 0.5, 0.99, 0.999)
+		fmt.Fprintf(w, "%-14s %9.1f %9.1f %9.1f\n", o.Name, times[0], times[1], times[2])
 	}
 	fmt.Fprintln(w)
 	out.Table(w)
 }
 
+// auditCommand returns the command that checks the rules from the records of a scenario.
 func auditCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "audit DIR",
-		Short: "Check the rules of a day from the records in a folder",
-		Long: `audit reads settings.txtpb and every *.seen of a folder, as day --dir leaves them, and checks the rules from them
-alone. Exit code 0: none was broken; 1: one was; 2: the folder can't be read.`,
+		Short: "Check the rules from the records of a scenario in a folder",
+		Long: `audit reads settings.txtpb and all *.seen files of a folder, as written by day --dir, and checks the rules from
+them alone. Exit code 0: no rule was broken; 1: a rule was broken; 2: the folder can't be read.`,
 		Args: oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
 			r, err := audit.Dir(args[0])
@@ -172,13 +175,14 @@
 	return c
 }
 
+// replayCommand returns the command that replays a recording against a new decision module.
 func replayCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "replay FILE",
-		Short: "Drive a fresh decision module with a marshal's record",
-		Long: `replay tells a fresh module all that a marshal's module was told, and compares what it asks for with what was
-asked for then. Exit code 0: every decision came out the same; 1: the first that did not is printed; 2: the file
-is no record. A torn tail, as a kill leaves it, is no difference.`,
+		Short: "Replay a marshal's recording against a new decision module",
+		Long: `replay passes the recorded events to a new module and compares its calls with the recorded ones. Exit code 0: all
+decisions are the same; 1: they differ, and the first difference is printed; 2: the file is not a recording. An
+incomplete last entry, as left by a killed process, is not a difference.`,
 		Args: oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
 			r, err := record.Open(args[0])
@@ -194,14 +198,14 @@
 			}
 			torn := ""
 			if out.Torn {
-				torn = ", with a torn tail"
+				torn = ", last entry incomplete"
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d events, %d calls%s\n", out.Events, out.Calls, torn)
 			if out.Different != "" {
 				return fmt.Errorf("the first different decision is at event %d (clock %.3f ms): %s", out.AtEvent, out.At,
 					out.Different)
 			}
-			fmt.Fprintln(c.OutOrStdout(), "every decision came out the same")
+			fmt.Fprintln(c.OutOrStdout(), "all decisions are the same")
 			return nil
 		},
 	}
