--- a/cmd/arrowcleat/lang.go
+++ b/cmd/arrowcleat/lang.go
@@ -14,22 +14,23 @@
 	"arrowcleat/internal/settings"
 )
 
-// readSettings reads settings in the language, or in protobuf text format by its ending.
+// readSettings reads settings in protobuf text format, recognized by the file extension, or in the settings language.
+// The settings are nil if a diagnostic is an error.
 func readSettings(path string) (*settings.Settings, []*lang.Diagnostic) {
 	if !strings.HasSuffix(path, ".txtpb") && !strings.HasSuffix(path, ".textproto") {
 		return lang.Load(path, os.ReadFile)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return lang.Load(path, os.ReadFile) // says why
+		return lang.Load(path, os.ReadFile) // returns the diagnostic of the read error
 	}
-	set, err := settings.Parse(path, text)
+	cfg, err := settings.Parse(path, text)
 	if err == nil {
-		return set, nil
+		return cfg, nil
 	}
 	all := []error{err}
-	if many, ok := err.(interface{ Unwrap() []error }); ok {
-		all = many.Unwrap()
+	if joined, ok := err.(interface{ Unwrap() []error }); ok {
+		all = joined.Unwrap()
 	}
 	var found []*lang.Diagnostic
 	for _, e := range all {
@@ -41,6 +42,7 @@
 	return nil, found
 }
 
+// joinErrors joins the diagnostics that are errors.
 func joinErrors(found []*lang.Diagnostic) error {
 	var all []error
 	for _, d := range found {
@@ -51,21 +53,23 @@
 	return errors.Join(all...)
 }
 
+// atLeastOneFile requires at least one argument.
 func atLeastOneFile(c *cobra.Command, args []string) error {
 	if len(args) == 0 {
-		return badInput{fmt.Errorf("%s takes one file or more", c.CommandPath())}
+		return badInput{fmt.Errorf("%s takes at least one file", c.CommandPath())}
 	}
 	return nil
 }
 
+// checkCommand returns the command that checks settings files.
 func checkCommand() *cobra.Command {
 	var asJSON bool
 	var config string
 	c := &cobra.Command{
 		Use:   "check FILE...",
-		Short: "Check files of settings and start nothing",
-		Long: `check says all that is wrong with files of settings and what they include: file, line, column, a stable code and the
-likely fix. Exit code 0: nothing, or warnings; 2: something.`,
+		Short: "Check settings files without starting anything",
+		Long: `check prints all problems of settings files and of the files that they include: file, line, column, a stable code
+and the likely fix. Exit code 0: no problems, or warnings only; 2: errors.`,
 		RunE: func(c *cobra.Command, args []string) error {
 			if config != "" {
 				args = append(args, config)
@@ -73,10 +77,10 @@
 			if err := atLeastOneFile(c, args); err != nil {
 				return err
 			}
-			wrong := false
+			failed := false
 			for _, path := range args {
-				set, found := readSettings(path)
-				wrong = wrong || set == nil
+				cfg, found := readSettings(path)
+				failed = failed || cfg == nil
 				if asJSON {
 					if found == nil {
 						found = []*lang.Diagnostic{}
@@ -92,22 +96,23 @@
 					fmt.Fprintln(c.OutOrStdout(), d)
 				}
 			}
-			if wrong {
-				return badInput{errors.New("the settings can't be used")}
+			if failed {
+				return badInput{errors.New("the settings are invalid")}
 			}
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON list for each file")
-	c.Flags().StringVar(&config, "config", "", "a file, as serve takes it")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON array for each file")
+	c.Flags().StringVar(&config, "config", "", "another file to check; the same flag as of serve")
 	return c
 }
 
+// fmtCommand returns the command that formats files in the settings language.
 func fmtCommand() *cobra.Command {
 	var list, write bool
 	c := &cobra.Command{
 		Use:   "fmt FILE...",
-		Short: "Format files in the language; what they mean is untouched",
+		Short: "Format files in the settings language without changing their meaning",
 		Args:  atLeastOneFile,
 		RunE: func(c *cobra.Command, args []string) error {
 			differs := false
@@ -116,9 +121,9 @@
 				if err != nil {
 					return badInput{err}
 				}
-				out, bad := lang.Format(path, text)
-				if bad != nil {
-					return badInput{bad}
+				out, diagnostic := lang.Format(path, text)
+				if diagnostic != nil {
+					return badInput{diagnostic}
 				}
 				same := bytes.Equal(text, out)
 				differs = differs || !same
@@ -139,18 +144,19 @@
 			return nil
 		},
 	}
-	c.Flags().BoolVarP(&list, "list", "l", false, "only name the files that would change; exit code 1 if there are any")
-	c.Flags().BoolVarP(&write, "write", "w", false, "write the files in place of printing them")
+	c.Flags().BoolVarP(&list, "list", "l", false, "only list the files that would change; exit code 1 if there are any")
+	c.Flags().BoolVarP(&write, "write", "w", false, "write the result to the files instead of printing it")
 	return c
 }
 
+// diffCommand returns the command that compares two versions of settings.
 func diffCommand() *cobra.Command {
 	var asJSON bool
 	c := &cobra.Command{
 		Use:   "diff OLD NEW",
-		Short: "Tell what differs between two versions of settings, by meaning",
-		Long: `diff compares what two files mean: comments, order of settings, files and forms do not matter. What touches a rule is
-marked. Exit code 0: nothing differs; 1: something does; 2: a file is wrong.`,
+		Short: "Compare two versions of settings by meaning",
+		Long: `diff compares the meaning of two files: comments, the order of settings, the split into files and the format do not
+matter. Changes that affect a rule are marked. Exit code 0: no differences; 1: differences; 2: a file is invalid.`,
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) != 2 {
 				return badInput{fmt.Errorf("diff takes two files, not %d", len(args))}
@@ -158,15 +164,15 @@
 			return nil
 		},
 		RunE: func(c *cobra.Command, args []string) error {
-			var both [2]*settings.Settings
+			var versions [2]*settings.Settings
 			for i, path := range args {
-				set, found := readSettings(path)
-				if set == nil {
+				cfg, found := readSettings(path)
+				if cfg == nil {
 					return badInput{joinErrors(found)}
 				}
-				both[i] = set
+				versions[i] = cfg
 			}
-			changes := lang.Diff(both[0], both[1])
+			changes := lang.Diff(versions[0], versions[1])
 			if asJSON {
 				if changes == nil {
 					changes = []lang.Change{}
@@ -187,46 +193,49 @@
 			return nil
 		},
 	}
-	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON list")
+	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON array")
 	return c
 }
 
+// compileCommand returns the command that converts settings to protobuf text format.
 func compileCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "compile FILE",
-		Short: "Write settings as protobuf text format",
+		Short: "Convert settings to protobuf text format",
 		Args:  oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
-			set, err := loadSettings(args[0])
+			cfg, err := loadSettings(args[0])
 			if err != nil {
 				return err
 			}
-			_, err = c.OutOrStdout().Write(set.Text())
+			_, err = c.OutOrStdout().Write(cfg.Text())
 			return err
 		},
 	}
 }
 
+// decompileCommand returns the command that converts settings to the settings language.
 func decompileCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "decompile FILE",
-		Short: "Write settings in the language",
+		Short: "Convert settings to the settings language",
 		Args:  oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
-			set, err := loadSettings(args[0])
+			cfg, err := loadSettings(args[0])
 			if err != nil {
 				return err
 			}
-			_, err = c.OutOrStdout().Write(lang.Decompile(set))
+			_, err = c.OutOrStdout().Write(lang.Decompile(cfg))
 			return err
 		},
 	}
 }
 
+// explainCommand returns the command that explains a diagnostic code.
 func explainCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain CODE",
-		Short: "Say more of a code that check prints",
+		Short: "Explain a code that check prints",
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) != 1 {
 				return badInput{errors.New("explain takes one code, such as AC207")}
@@ -244,14 +253,15 @@
 	}
 }
 
+// syntaxCommand returns the command that writes a syntax file of the settings language.
 func syntaxCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:       "syntax vim",
-		Short:     "Write a syntax file for an editor",
+		Short:     "Write a syntax file of the settings language for an editor",
 		ValidArgs: []string{"vim"},
 		Args: func(c *cobra.Command, args []string) error {
 			if len(args) != 1 || args[0] != "vim" {
-				return badInput{errors.New("syntax knows one editor: vim")}
+				return badInput{errors.New("syntax supports one editor: vim")}
 			}
 			return nil
 		},
