--- a/cmd/arrowcleat/measure.go
+++ b/cmd/arrowcleat/measure.go
@@ -11,17 +11,17 @@
 	"arrowcleat/internal/measure"
 )
 
-// measureCoresCommand measures on one core after the other.
+// measureCoresCommand returns the command that measures with several numbers of cores, one after the other.
 func measureCoresCommand() *cobra.Command {
 	o := measure.Options{Clients: 64, Rate: 2000}
 	seconds, counts := 4.0, []int{1, 2, 4, 8}
 	c := &cobra.Command{
 		Use:   "cores",
-		Short: "Measure marshal and reverse proxy on 1, 2, 4 and 8 cores",
-		Long: `cores measures a marshal with as many cores (the setting, and GOMAXPROCS) and net/http/httputil's ReverseProxy with as
-many (GOMAXPROCS), one after the other, with the same nodes and clients. While there are processors to spare, what is
-measured has its own and load and nodes have the others ("apart"); else they share, and invocations a second say
-little: look at those for a second of CPU.`,
+		Short: "Measure a marshal and a reverse proxy on 1, 2, 4 and 8 cores",
+		Long: `cores measures a marshal with a number of cores (the setting, and GOMAXPROCS) and net/http/httputil's ReverseProxy
+with the same GOMAXPROCS, one after the other, with the same nodes and clients. If there are enough processors, the
+measured process has its own, and the load and the nodes have the others ("apart"). Otherwise they share processors,
+and invocations per second mean little: compare invocations per second of CPU.`,
 		Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
@@ -34,7 +34,7 @@
 			defer os.RemoveAll(o.Dir)
 			o.Set, o.For = day.Default().Settings, time.Duration(seconds*float64(time.Second))
 			w := c.OutOrStdout()
-			fmt.Fprintf(w, "%d nodes, %d clients; open loop at %g a second\n\n", o.Nodes, o.Clients, o.Rate)
+			fmt.Fprintf(w, "%d nodes, %d clients; open loop at %g per second\n\n", o.Nodes, o.Clients, o.Rate)
 			fmt.Fprintf(w, "%5s %-14s %6s %9s %10s %6s %6s %9s %9s %9s %8s %7s\n", "cores", "way", "apart", "inv/s", "inv/CPU-s", "busy",
 				"load", "p50 ms", "p99 ms", "p99.9 ms", "behind", "failed")
 			return measure.Cores(c.Context(), o, counts, func(r measure.CoresRow) {
@@ -44,24 +44,25 @@
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&o.Nodes, "nodes", 15, "stand-in nodes")
-	f.IntVar(&o.Clients, "clients", o.Clients, "connections of the closed loop")
-	f.Float64Var(&o.Rate, "rate", o.Rate, "invocations a second of the open loop")
-	f.Float64Var(&seconds, "seconds", seconds, "of each loop")
-	f.IntSliceVar(&counts, "counts", counts, "numbers of cores")
+	f.IntVar(&o.Nodes, "nodes", 15, "number of stand-in nodes")
+	f.IntVar(&o.Clients, "clients", o.Clients, "number of connections in the closed loop")
+	f.Float64Var(&o.Rate, "rate", o.Rate, "invocations per second in the open loop")
+	f.Float64Var(&seconds, "seconds", seconds, "duration of each loop in seconds")
+	f.IntSliceVar(&counts, "counts", counts, "numbers of cores to measure")
 	return c
 }
 
+// measureCommand returns the command that measures a marshal, a reverse proxy and direct connections.
 func measureCommand() *cobra.Command {
 	o := measure.Options{Clients: 32, Rate: 2000, Idle: 1000, Procs: 2}
 	seconds := 4.0
 	c := &cobra.Command{
 		Use:   "measure",
-		Short: "Measure a marshal beside a plain reverse proxy and beside going direct",
-		Long: `measure starts nodes that answer at once, and sends the same load to them direct, through net/http/httputil's
-ReverseProxy with random choice, and through a marshal, each a process of its own. It prints invocations a second
-and for each second of CPU (closed loop), times from when an invocation was due (open loop), and memory for a
-connection.`,
+		Short: "Compare a marshal with a plain reverse proxy and with direct connections",
+		Long: `measure starts nodes that answer immediately, and sends the same load to them directly, through
+net/http/httputil's ReverseProxy with random choice, and through a marshal, each in its own process. It prints
+invocations per second and per second of CPU (closed loop), response times from when an invocation was due (open
+loop), and memory per connection.`,
 		Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
@@ -78,7 +79,7 @@
 				return err
 			}
 			w := c.OutOrStdout()
-			fmt.Fprintf(w, "%d nodes, %d clients; open loop at %g a second; GOMAXPROCS %d for what is measured\n\n", o.Nodes, o.Clients,
+			fmt.Fprintf(w, "%d nodes, %d clients; open loop at %g per second; GOMAXPROCS %d for the measured process\n\n", o.Nodes, o.Clients,
 				o.Rate, o.Procs)
 			fmt.Fprintf(w, "%-14s %10s %12s %9s %9s %9s %8s %10s %7s\n", "way", "inv/s", "inv/CPU-s", "p50 ms", "p99 ms", "p99.9 ms",
 				"behind", "KiB/conn", "failed")
@@ -90,13 +91,13 @@
 		},
 	}
 	f := c.Flags()
-	f.IntVar(&o.Nodes, "nodes", 15, "stand-in nodes")
-	f.IntVar(&o.Clients, "clients", o.Clients, "connections of the closed loop")
-	f.Float64Var(&o.Rate, "rate", o.Rate, "invocations a second of the open loop")
-	f.Float64Var(&seconds, "seconds", seconds, "of each loop")
-	f.IntVar(&o.Idle, "idle", o.Idle, "connections whose memory is weighed")
-	f.IntVar(&o.Procs, "procs", o.Procs, "GOMAXPROCS of what is measured")
-	c.AddCommand(measureCoresCommand(), &cobra.Command{Use: "proxy ADDRESS...", Hidden: true, Short: "The reverse proxy that is measured against",
+	f.IntVar(&o.Nodes, "nodes", 15, "number of stand-in nodes")
+	f.IntVar(&o.Clients, "clients", o.Clients, "number of connections in the closed loop")
+	f.Float64Var(&o.Rate, "rate", o.Rate, "invocations per second in the open loop")
+	f.Float64Var(&seconds, "seconds", seconds, "duration of each loop in seconds")
+	f.IntVar(&o.Idle, "idle", o.Idle, "number of idle connections whose memory is measured")
+	f.IntVar(&o.Procs, "procs", o.Procs, "GOMAXPROCS of the measured process")
+	c.AddCommand(measureCoresCommand(), &cobra.Command{Use: "proxy ADDRESS...", Hidden: true, Short: "Run the reverse proxy that measure compares with",
 		RunE: func(c *cobra.Command, args []string) error { return measure.Proxy(args, os.Stdin, os.Stdout) }})
 	return c
 }
