--- a/cmd/arrowcleat/platform.go
+++ b/cmd/arrowcleat/platform.go
@@ -20,16 +20,18 @@
 	"arrowcleat/internal/serve"
 )
 
+// platformCommand returns the command that runs a marshal with the platform's protocols.
 func platformCommand() *cobra.Command {
 	var config, level string
 	c := &cobra.Command{
 		Use:   "platform [--config FILE]",
-		Short: "Run a marshal in service on the operators' platform",
-		Long: `platform runs one marshal that speaks the platform's protocol, in the foreground, as its configuration says.
+		Short: "Run a marshal on the operators' platform",
+		Long: `platform runs one marshal with the platform's protocols in the foreground, as described by its configuration.
 
-TERM or INT: goes on taking what comes for a short while, then nothing new, lets what was taken end, exit 0; after a second
-one what is open then is terminated. HUP reads the configuration again and takes the addresses of discovery and of the release API. USR1
-and USR2 make the log say more and less. Exit code 1: the decision module panicked.`,
+TERM or INT: accepts requests for a short while longer, then no new ones, completes those accepted, and exits with 0.
+After a second signal, requests that are open at that point are terminated. HUP reads the configuration again and
+applies the addresses of discovery and of the release API. USR1 and USR2 make the log more and less verbose. Exit
+code 1: the decision module panicked.`,
 		Example: "  GW_CONFIG=/run/balancer/config.json arrowcleat platform",
 		Args:    noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -37,20 +39,21 @@
 				config = os.Getenv("GW_CONFIG")
 			}
 			if config == "" {
-				return badInput{errors.New("neither --config nor GW_CONFIG names a configuration")}
+				return badInput{errors.New("no configuration file: set --config or GW_CONFIG")}
 			}
 			return runPlatformMarshal(config, level, serve.Hooks{})
 		},
 	}
-	c.Flags().StringVar(&config, "config", "", "file of the configuration; GW_CONFIG where it is left out")
-	c.Flags().StringVar(&level, "log", "info", "debug, info, warn or error; debug also says every second what the marshal sees")
+	c.Flags().StringVar(&config, "config", "", "configuration file (default: the value of GW_CONFIG)")
+	c.Flags().StringVar(&level, "log", "info", "debug, info, warn or error; debug also logs the state of the marshal every second")
 	return c
 }
 
+// runPlatformMarshal runs a marshal on the platform until it has ended, by a signal or by a failure.
 func runPlatformMarshal(path, level string, hooks serve.Hooks) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	// Each of these ends a process that does not take it: before there is a log whose level they change, and in its last moments.
+	// These signals end a process that does not handle them. Ignore them before the log exists and while the process exits.
 	signal.Ignore(syscall.SIGUSR1, syscall.SIGUSR2)
 	defer signal.Ignore(syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2)
 	c, err := platform.Read(path, os.Getenv)
@@ -58,24 +61,24 @@
 		return badInput{err}
 	}
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(c.Cores))))
-	debug.SetMemoryLimit(int64(c.MemoryMB*heapLimitShare) << 20)
-	var at slog.LevelVar
-	if err := at.UnmarshalText([]byte(level)); err != nil {
-		return badInput{fmt.Errorf("--log: %q is no level", level)}
+	debug.SetMemoryLimit(int64(c.MemoryMB*memoryLimitShare) << 20)
+	var levelVar slog.LevelVar
+	if err := levelVar.UnmarshalText([]byte(level)); err != nil {
+		return badInput{fmt.Errorf("--log: %q is not a log level", level)}
 	}
 	c.Set.Log.Level = level
-	log, flush := newServiceLog(c.Set.Log, &at)
+	log, flush := newServiceLog(c.Set.Log, &levelVar)
 	defer flush()
 	for _, text := range c.Differs {
 		log.Warn("the environment differs", "what", text)
 	}
-	stop, done := handleSignals(&at, log)
+	stop, done := handleSignals(&levelVar, log)
 	defer done()
 	m, err := platform.StartWith(c, log, hooks)
 	if err != nil {
 		return badInput{err}
 	}
-	r := &platformRun{marshal: m, path: path, log: log, level: &at}
+	r := &platformRun{m: m, path: path, log: log, level: &levelVar}
 	r.handleEvents(hup, stop)
 	err = m.End()
 	var p *loop.Panic
@@ -86,50 +89,52 @@
 	return err
 }
 
-// platformRun is a marshal in service, and what its signals do to it.
+// platformRun is a running marshal with the state that its signals need.
 type platformRun struct {
-	marshal *platform.Marshal
-	path    string // of the configuration
-	log     *slog.Logger
-	level   *slog.LevelVar
-	retry   <-chan time.Time // when a configuration that could not be read for a moment is read again; nil: not
+	m     *platform.Marshal
+	path  string // configuration file
+	log   *slog.Logger
+	level *slog.LevelVar
+	retry <-chan time.Time // fires when an unreadable configuration is read again; nil if none is pending
 }
 
 const (
+	// stateLogInterval is the interval of the state that is logged at level debug.
 	stateLogInterval = time.Second
-	// rereadInterval is between two tries to read a configuration where the system can't for a moment: the addresses that it names are
-	// due, whatever the cause.
+	// rereadInterval is the interval of attempts to read a configuration that the system temporarily can't read. The
+	// addresses in it have to be applied whatever the cause.
 	rereadInterval = 20 * time.Millisecond
 )
 
-// handleEvents does what signals ask for until the marshal has ended. Also while it drains it takes configurations: the addresses before close.
+// handleEvents handles signals until the marshal has ended. It applies configurations also while the marshal drains,
+// because the previous addresses close.
 func (r *platformRun) handleEvents(hup, stop <-chan os.Signal) {
-	views := time.NewTicker(stateLogInterval)
-	defer views.Stop()
-	ended, drained := r.marshal.Ended(), make(chan struct{})
-	var hurry chan struct{}
+	stateTicker := time.NewTicker(stateLogInterval)
+	defer stateTicker.Stop()
+	ended, drained := r.m.Ended(), make(chan struct{})
+	var terminate chan struct{} // set once draining; closed by the second signal
 	for {
 		select {
-		case <-views.C:
+		case <-stateTicker.C:
 			if r.level.Level() <= slog.LevelDebug {
-				r.marshal.Say()
+				r.m.Say()
 			}
 		case <-hup:
 			r.reload(true)
 		case <-r.retry:
 			r.reload(false)
 		case s := <-stop:
-			if hurry != nil { // the second one
-				close(hurry)
+			if terminate != nil { // second signal
+				close(terminate)
 				stop = nil
 				continue
 			}
-			r.log.Warn("draining", "signal", s.String(), "open", r.marshal.Front.OpenInvocations())
-			ended, hurry = nil, make(chan struct{})
-			go func(hurry <-chan struct{}) {
-				r.marshal.Drain(hurry) // End gives its error again
+			r.log.Warn("draining", "signal", s.String(), "open", r.m.Front.OpenInvocations())
+			ended, terminate = nil, make(chan struct{})
+			go func(terminate <-chan struct{}) {
+				r.m.Drain(terminate) // End returns the same error
 				close(drained)
-			}(hurry)
+			}(terminate)
 		case <-ended:
 			return
 		case <-drained:
@@ -138,28 +143,29 @@
 	}
 }
 
-// reload takes the addresses of the configuration as it is now. first is for the try that the signal asked for: only that one complains.
+// reload reads the configuration and applies its addresses. first is set for the attempt that the signal caused: only
+// that one logs an error.
 func (r *platformRun) reload(first bool) {
 	r.retry = nil
 	next, err := platform.Read(r.path, os.Getenv)
 	switch {
 	case err == nil:
-		r.marshal.Move(next)
-		r.log.Warn("configuration taken", "discovery", next.Discovery, "release_api", next.API)
+		r.m.Move(next)
+		r.log.Warn("configuration applied", "discovery", next.Discovery, "release_api", next.API)
 		return
 	case first:
-		r.log.Error("configuration not taken", "err", err)
+		r.log.Error("configuration not applied", "err", err)
 	}
 	if unreadable(err) {
 		r.retry = time.After(rereadInterval)
 	}
 }
 
-// unreadable says that the system could not read the file, which is there.
+// unreadable reports whether err says that the file exists but could not be read.
 func unreadable(err error) bool {
-	var path *fs.PathError
-	return errors.As(err, &path) && !errors.Is(err, fs.ErrNotExist)
+	var pathError *fs.PathError
+	return errors.As(err, &pathError) && !errors.Is(err, fs.ErrNotExist)
 }
 
-// heapLimitShare is the part of the memory limit under which the collector keeps the heap.
-const heapLimitShare = 0.6
+// memoryLimitShare is the share of the configured memory that is the soft memory limit of the Go runtime.
+const memoryLimitShare = 0.6
--- a/cmd/arrowcleat/platform_test.go
+++ b/cmd/arrowcleat/platform_test.go
@@ -399,7 +399,7 @@
 	if err != nil {
 		t.Errorf("it ended with %v", err)
 	}
-	if n := strings.Count(p.log.String(), "configuration not taken"); n != 4 {
+	if n := strings.Count(p.log.String(), "configuration not applied"); n != 4 {
 		t.Errorf("%d configurations were not taken; want 4:\n%s", n, p.log.String())
 	}
 }
@@ -423,7 +423,7 @@
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	p.waitFor("it says so", func() bool { return strings.Contains(p.log.String(), "configuration not taken") })
+	p.waitFor("it says so", func() bool { return strings.Contains(p.log.String(), "configuration not applied") })
 	next := p.configFile + ".next"
 	if err := errors.Join(os.WriteFile(next, []byte(fmt.Sprintf(configTemplate, p.address, lists[1], api)), 0o644), os.Remove(p.configFile),
 		os.Rename(next, p.configFile)); err != nil {
@@ -444,7 +444,7 @@
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
-	if n := strings.Count(p.log.String(), "configuration not taken"); n != 1 {
+	if n := strings.Count(p.log.String(), "configuration not applied"); n != 1 {
 		t.Errorf("it complained %d times:\n%s", n, p.log.String())
 	}
 }
--- a/cmd/arrowcleat/serve.go
+++ b/cmd/arrowcleat/serve.go
@@ -22,17 +22,17 @@
 	if path == "" {
 		return nil, badInput{errors.New("--config FILE is missing: which settings?")}
 	}
-	set, found := readSettings(path)
+	cfg, found := readSettings(path)
 	for _, d := range found {
 		if d.Warning {
 			fmt.Fprintln(os.Stderr, d)
 		}
 	}
-	if set == nil {
+	if cfg == nil {
 		return nil, badInput{joinErrors(found)}
 	}
-	set.ResolvePaths(filepath.Dir(path))
-	return set, nil
+	cfg.ResolvePaths(filepath.Dir(path))
+	return cfg, nil
 }
 
 func serveCommand() *cobra.Command {
@@ -49,24 +49,24 @@
 		Example: "  arrowcleat serve --config marshal.cleat",
 		Args:    noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			set, err := loadSettings(config)
+			cfg, err := loadSettings(config)
 			if err != nil {
 				return err
 			}
-			return runMarshal(set, config)
+			return runMarshal(cfg, config)
 		},
 	}
 	c.Flags().StringVar(&config, "config", "", "file of settings: the language, or protobuf text format (.txtpb)")
 	return c
 }
 
-func runMarshal(set *settings.Settings, path string) error {
+func runMarshal(cfg *settings.Settings, path string) error {
 	var level slog.LevelVar
-	log, flush := newServiceLog(set.Log, &level)
+	log, flush := newServiceLog(cfg.Log, &level)
 	defer flush()
 	stop, done := handleSignals(&level, log)
 	defer done()
-	m, err := serve.Start(set, log, serve.Hooks{})
+	m, err := serve.Start(cfg, log, serve.Hooks{})
 	if err != nil {
 		return badInput{err}
 	}
@@ -106,15 +106,15 @@
 
 // reloadSettings takes the settings' file again, all of it or nothing.
 func reloadSettings(m *serve.Marshal, path string, level *slog.LevelVar, log *slog.Logger) {
-	set, found := readSettings(path)
-	if set == nil {
+	cfg, found := readSettings(path)
+	if cfg == nil {
 		for _, d := range found {
 			log.Error("settings not taken", "what", d.Error())
 		}
 		return
 	}
-	set.ResolvePaths(filepath.Dir(path))
-	changes, err := m.Reload(set, level)
+	cfg.ResolvePaths(filepath.Dir(path))
+	changes, err := m.Reload(cfg, level)
 	if err != nil {
 		log.Error("settings not taken", "err", err)
 		return
--- a/cmd/arrowcleat/standin.go
+++ b/cmd/arrowcleat/standin.go
@@ -45,21 +45,21 @@
 			if err != nil {
 				return badInput{err}
 			}
-			set := &settings.Standin{}
-			if err := prototext.Unmarshal(text, set); err != nil {
+			cfg := &settings.Standin{}
+			if err := prototext.Unmarshal(text, cfg); err != nil {
 				return badInput{fmt.Errorf("%s: %w", config, err)}
 			}
-			if set.Address == "" {
-				set.Address = "127.0.0.1:0"
+			if cfg.Address == "" {
+				cfg.Address = "127.0.0.1:0"
 			}
 			var w *record.Writer
-			if set.Record != "" {
-				if w, err = record.Create(set.Record, 0); err != nil {
+			if cfg.Record != "" {
+				if w, err = record.Create(cfg.Record, 0); err != nil {
 					return badInput{err}
 				}
 				defer w.Close()
 			}
-			return run(set, w)
+			return run(cfg, w)
 		},
 	}
 	c.Flags().StringVar(&config, "config", "", "file of the stand-in's settings, protobuf text format")
@@ -87,10 +87,10 @@
 	}
 }
 
-func runNode(set *settings.Standin, w *record.Writer) error {
-	n := standin.FromSettings(set)
+func runNode(cfg *settings.Standin, w *record.Writer) error {
+	n := standin.FromSettings(cfg)
 	n.Seen = recordSeen(w)
-	if err := n.Start(set.Address); err != nil {
+	if err := n.Start(cfg.Address); err != nil {
 		return badInput{err}
 	}
 	fmt.Println(n.Address())
@@ -98,13 +98,13 @@
 	return waitForStop(func() error { return n.Commands(os.Stdin) })
 }
 
-func runRegistry(set *settings.Standin, w *record.Writer) error {
+func runRegistry(cfg *settings.Standin, w *record.Writer) error {
 	r := &standin.Roster{Seen: recordSeen(w)}
-	if err := r.Start(set.Address); err != nil {
+	if err := r.Start(cfg.Address); err != nil {
 		return badInput{err}
 	}
 	defer r.Close()
-	for i, l := range set.Line {
+	for i, l := range cfg.Line {
 		line, err := control.ParseLine(l)
 		if err != nil {
 			return badInput{fmt.Errorf("line %d of the roster: %w", i+1, err)}
@@ -123,13 +123,13 @@
 	})
 }
 
-func runRolloutService(set *settings.Standin, w *record.Writer) error {
-	c := &standin.Conveyor{Rollout: set.Rollout, Every: 2 * time.Second, Seen: recordSeen(w),
+func runRolloutService(cfg *settings.Standin, w *record.Writer) error {
+	c := &standin.Conveyor{Rollout: cfg.Rollout, Every: 2 * time.Second, Seen: recordSeen(w),
 		Fleet: func(int, float64) func() bool { return func() bool { return true } }, Back: func(int) {}}
-	if set.Rollout == nil || len(set.Rollout.Stage) == 0 {
+	if cfg.Rollout == nil || len(cfg.Rollout.Stage) == 0 {
 		return badInput{errors.New("rollout.stage is missing: which stages?")}
 	}
-	if err := c.Start(set.Address, int(set.Ver)); err != nil {
+	if err := c.Start(cfg.Address, int(cfg.Ver)); err != nil {
 		return badInput{err}
 	}
 	defer c.Close()
