--- a/cmd/arrowcleat/serve.go
+++ b/cmd/arrowcleat/serve.go
@@ -17,10 +17,11 @@
 	"arrowcleat/internal/settings"
 )
 
-// loadSettings reads settings in either form and prints what is wrong.
+// loadSettings reads settings in either format and resolves the file names in them. It prints warnings and returns
+// errors.
 func loadSettings(path string) (*settings.Settings, error) {
 	if path == "" {
-		return nil, badInput{errors.New("--config FILE is missing: which settings?")}
+		return nil, badInput{errors.New("--config FILE is missing: name a settings file")}
 	}
 	cfg, found := readSettings(path)
 	for _, d := range found {
@@ -35,17 +36,18 @@
 	return cfg, nil
 }
 
+// serveCommand returns the command that runs a marshal.
 func serveCommand() *cobra.Command {
 	var config string
 	c := &cobra.Command{
 		Use:   "serve --config FILE",
 		Short: "Run a marshal",
-		Long: `serve runs one marshal until it is told to stop.
+		Long: `serve runs one marshal until it receives a signal to stop.
 
-TERM or INT: take nothing new, let what was taken end within its time, exit 0; a second one ends at once and
-terminates what is open. HUP reads the settings again and takes them if nothing is wrong and nothing needs a
-restart, else changes nothing and says why. USR1 and USR2 make the log say more and less. Exit code 1: the decision module panicked;
-what was open has been terminated and the state is in the log.`,
+TERM or INT: accepts no new requests, completes those accepted within their time limits, and exits with 0; a second
+signal terminates open requests and exits immediately. HUP reads the settings again and applies them if they are valid
+and no change needs a restart; otherwise it changes nothing and logs the reason. USR1 and USR2 make the log more and
+less verbose. Exit code 1: the decision module panicked; open requests were terminated and the state is in the log.`,
 		Example: "  arrowcleat serve --config marshal.cleat",
 		Args:    noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -56,10 +58,11 @@
 			return runMarshal(cfg, config)
 		},
 	}
-	c.Flags().StringVar(&config, "config", "", "file of settings: the language, or protobuf text format (.txtpb)")
+	c.Flags().StringVar(&config, "config", "", "settings file: the settings language, or protobuf text format (.txtpb)")
 	return c
 }
 
+// runMarshal runs a marshal until it has ended, by a signal or by a failure.
 func runMarshal(cfg *settings.Settings, path string) error {
 	var level slog.LevelVar
 	log, flush := newServiceLog(cfg.Log, &level)
@@ -70,7 +73,7 @@
 	if err != nil {
 		return badInput{err}
 	}
-	fmt.Fprintln(os.Stdout, m.Address()) // for whoever started it with port 0
+	fmt.Fprintln(os.Stdout, m.Address()) // tells the port if the configured one is 0
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer func() { signal.Stop(hup); close(hup) }()
@@ -82,17 +85,17 @@
 	select {
 	case <-m.Ended():
 	case s := <-stop:
-		log.Info("stopping: nothing new is taken", "signal", s.String(), "open", m.Front.OpenInvocations())
+		log.Info("stopping: no new requests are accepted", "signal", s.String(), "open", m.Front.OpenInvocations())
 		ended := make(chan struct{})
 		go func() {
 			select {
 			case <-stop:
-				log.Warn("ending at once: what is open is terminated")
+				log.Warn("stopping immediately: open requests are terminated")
 				m.End()
 			case <-ended:
 			}
 		}()
-		m.Stop() // End gives its error again
+		m.Stop() // End returns the same error
 		close(ended)
 	}
 	err = m.End()
@@ -104,24 +107,24 @@
 	return err
 }
 
-// reloadSettings takes the settings' file again, all of it or nothing.
+// reloadSettings reads the settings file and applies all changes or none.
 func reloadSettings(m *serve.Marshal, path string, level *slog.LevelVar, log *slog.Logger) {
 	cfg, found := readSettings(path)
 	if cfg == nil {
 		for _, d := range found {
-			log.Error("settings not taken", "what", d.Error())
+			log.Error("settings not applied", "what", d.Error())
 		}
 		return
 	}
 	cfg.ResolvePaths(filepath.Dir(path))
 	changes, err := m.Reload(cfg, level)
 	if err != nil {
-		log.Error("settings not taken", "err", err)
+		log.Error("settings not applied", "err", err)
 		return
 	}
-	at := max(level.Level(), slog.LevelInfo) // said also where the log has just been told to say less
-	for _, c := range changes {
-		log.Log(context.Background(), at, "setting changed", "what", c.String())
+	logLevel := max(level.Level(), slog.LevelInfo) // logged also if the new settings raised the level
+	for _, change := range changes {
+		log.Log(context.Background(), logLevel, "setting changed", "what", change.String())
 	}
-	log.Log(context.Background(), at, "settings taken", "changes", len(changes))
+	log.Log(context.Background(), logLevel, "settings applied", "changes", len(changes))
 }
