--- a/cmd/arrowcleat/soak.go
+++ b/cmd/arrowcleat/soak.go
@@ -16,21 +16,24 @@
 	"arrowcleat/internal/soak"
 )
 
-// maxParallelRuns leaves each run two processors: what it checks is bound to times.
+// maxParallelRuns leaves two processors to each run, because its checks depend on timing.
 var maxParallelRuns = max(1, runtime.NumCPU()/2)
 
+// soakCommand returns the command that runs seeded soak tests.
 func soakCommand() *cobra.Command {
 	var seed uint64
 	var runs int
 	var dir, program string
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "Play seeded runs of the platform's marshal under signals, and audit them",
-		Long: `soak plays runs of "arrowcleat platform" as a process on loopback: stand-in discovery, release API and nodes, clients that use
-their connections until the kill, signals in series, restarts; in half of the runs the machine lacks sockets now and then, reads short, writes
-in pieces, holds steps up and steps its wall clock, and in most some connections are reset, cut, late, held or half open on the way. All is drawn from the seed: the same seed plays the same plan.
+		Short: "Run the platform's marshal under signals and faults by seed, and check the rules",
+		Long: `soak runs "arrowcleat platform" as a process on loopback, with stand-ins for discovery, release API and nodes, with
+clients that use their connections until the process is killed, with series of signals, and with restarts. In half of
+the runs the machine is short of sockets at times, splits reads and writes, delays steps and steps its wall clock. In
+most runs some connections are reset, cut, delayed, stalled or half open. The seed determines everything: the same
+seed runs the same plan.
 
-Exit code 0: every run kept the rules. 1: one did not; its logs stay in --dir.`,
+Exit code 0: every run kept the rules. 1: a run did not; its logs stay in --dir.`,
 		Example: "  arrowcleat soak --seed 1 --runs 50",
 		Args:    noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -48,22 +51,23 @@
 			return runSoaks(c.OutOrStdout(), soak.Options{Dir: dir, Program: []string{program, faultsCommandName}}, seed, runs)
 		},
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "the first run's")
-	c.Flags().IntVar(&runs, "runs", 1, "how many, with the seeds that follow")
-	c.Flags().StringVar(&program, "program", "", "another build of arrowcleat to play; this one where it is left out")
-	c.Flags().StringVar(&dir, "dir", "", "for logs and configurations, a folder a seed; a temporary one where it is left out")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the first run")
+	c.Flags().IntVar(&runs, "runs", 1, "number of runs, with consecutive seeds")
+	c.Flags().StringVar(&program, "program", "", "arrowcleat binary to run (default: this one)")
+	c.Flags().StringVar(&dir, "dir", "", "folder for logs and configurations, with a sub-folder for each seed (default: a temporary folder)")
 	return c
 }
 
-// faultsCommandName is the command by which the soak starts a marshal.
+// faultsCommandName is the sub-command by which the soak starts a marshal.
 const faultsCommandName = "platform-under-faults"
 
-// faultsCommand is platform on a machine with faults, where the environment tells their seed.
+// faultsCommand returns the command that runs a marshal like platform, with injected machine faults if the environment
+// contains their seed.
 func faultsCommand() *cobra.Command {
 	var level string
 	c := &cobra.Command{
 		Use:    faultsCommandName,
-		Short:  "Run the platform's marshal on a machine with seeded faults; for the soak",
+		Short:  "Run the platform's marshal with seeded machine faults; used by soak",
 		Hidden: true,
 		Args:   noArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -78,29 +82,29 @@
 			return runPlatformMarshal(os.Getenv("GW_CONFIG"), level, hooks)
 		},
 	}
-	c.Flags().StringVar(&level, "log", "info", "as of platform")
+	c.Flags().StringVar(&level, "log", "info", "log level, as of platform")
 	return c
 }
 
-// runSoaks plays runs, some at once, and prints each, and what was checked in all.
+// runSoaks executes runs with consecutive seeds, some in parallel, and prints the outcome of each and the totals.
 func runSoaks(out io.Writer, o soak.Options, seed uint64, runs int) error {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	failed, requests, checked := 0, 0, map[string]int{}
 	slots := make(chan struct{}, maxParallelRuns)
 	for i := range runs {
-		one := o
-		one.Plan = soak.Draw(seed + uint64(i))
-		one.Dir = filepath.Join(o.Dir, fmt.Sprint(one.Plan.Seed))
+		options := o
+		options.Plan = soak.Draw(seed + uint64(i))
+		options.Dir = filepath.Join(o.Dir, fmt.Sprint(options.Plan.Seed))
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			outcome, err := runSoak(one)
+			outcome, err := runSoak(options)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
 				failed++
-				fmt.Fprintf(out, "seed %d: %v\n", one.Plan.Seed, err)
+				fmt.Fprintf(out, "seed %d: %v\n", options.Plan.Seed, err)
 				return
 			}
 			requests += outcome.Invocations
@@ -114,13 +118,14 @@
 		})
 	}
 	wg.Wait()
-	fmt.Fprintf(out, "%d runs, %d requests taken, checked %v; %d runs with findings; logs in %s\n", runs, requests, checked, failed, o.Dir)
+	fmt.Fprintf(out, "%d runs, %d requests accepted, checked %v; %d runs with findings; logs in %s\n", runs, requests, checked, failed, o.Dir)
 	if failed > 0 {
 		return errRulesBroken
 	}
 	return nil
 }
 
+// runSoak creates the folder of a run and executes the run.
 func runSoak(o soak.Options) (*soak.Outcome, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
