--- a/cmd/arrowcleat/standin.go
+++ b/cmd/arrowcleat/standin.go
@@ -18,19 +18,21 @@
 	"arrowcleat/internal/standin"
 )
 
+// standinCommand returns the command that runs a stand-in process.
 func standinCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "standin",
-		Short: "Run a stand-in node, roster or conveyor",
-		Long: `standin runs, as a process of its own, a small stand-in for what a marshal works among. It prints the address that
-it listens on, and ends when its standard input does or on TERM.`,
+		Short: "Run a stand-in node, service registry or rollout service",
+		Long: `standin runs a small stand-in for a service around a marshal in its own process. It prints the address that it
+listens on, and ends at the end of its standard input or on TERM.`,
 	}
-	c.AddCommand(standinSubcommand("node", "a node: takes invocations, does their work, takes trouble from standard input", runNode),
-		standinSubcommand("roster", "a roster that tells the nodes of its file", runRegistry),
-		standinSubcommand("conveyor", "a conveyor that offers the builds of its file", runRolloutService))
+	c.AddCommand(standinSubcommand("node", "a node that executes invocations and reads faults to simulate from standard input", runNode),
+		standinSubcommand("roster", "a service registry that lists the nodes of its file", runRegistry),
+		standinSubcommand("conveyor", "a rollout service that offers the builds named on standard input", runRolloutService))
 	return c
 }
 
+// standinSubcommand returns the command that runs one kind of stand-in.
 func standinSubcommand(name, short string, run func(*settings.Standin, *record.Writer) error) *cobra.Command {
 	var config string
 	c := &cobra.Command{
@@ -62,10 +64,11 @@
 			return run(cfg, w)
 		},
 	}
-	c.Flags().StringVar(&config, "config", "", "file of the stand-in's settings, protobuf text format")
+	c.Flags().StringVar(&config, "config", "", "settings file of the stand-in, protobuf text format")
 	return c
 }
 
+// recordSeen returns a function that writes observations to w, or nil if w is nil.
 func recordSeen(w *record.Writer) func(*record.Seen) {
 	if w == nil {
 		return nil
@@ -73,7 +76,7 @@
 	return func(s *record.Seen) { w.Write(s) }
 }
 
-// waitForStop waits for TERM or the end of standard input, of which each line is heard.
+// waitForStop runs handleInput and waits until it returns, or for TERM or INT.
 func waitForStop(handleInput func() error) error {
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
@@ -87,6 +90,7 @@
 	}
 }
 
+// runNode runs a stand-in node.
 func runNode(cfg *settings.Standin, w *record.Writer) error {
 	n := standin.FromSettings(cfg)
 	n.Seen = recordSeen(w)
@@ -98,6 +102,7 @@
 	return waitForStop(func() error { return n.Commands(os.Stdin) })
 }
 
+// runRegistry runs a stand-in service registry. Each line of standard input adds or changes a node.
 func runRegistry(cfg *settings.Standin, w *record.Writer) error {
 	r := &standin.Roster{Seen: recordSeen(w)}
 	if err := r.Start(cfg.Address); err != nil {
@@ -107,7 +112,7 @@
 	for i, l := range cfg.Line {
 		line, err := control.ParseLine(l)
 		if err != nil {
-			return badInput{fmt.Errorf("line %d of the roster: %w", i+1, err)}
+			return badInput{fmt.Errorf("node list, line %d: %w", i+1, err)}
 		}
 		r.Set(line, time.Duration(line.Up*float64(time.Millisecond)))
 	}
@@ -123,11 +128,12 @@
 	})
 }
 
+// runRolloutService runs a stand-in rollout service. Each line of standard input offers a build.
 func runRolloutService(cfg *settings.Standin, w *record.Writer) error {
 	c := &standin.Conveyor{Rollout: cfg.Rollout, Every: 2 * time.Second, Seen: recordSeen(w),
 		Fleet: func(int, float64) func() bool { return func() bool { return true } }, Back: func(int) {}}
 	if cfg.Rollout == nil || len(cfg.Rollout.Stage) == 0 {
-		return badInput{errors.New("rollout.stage is missing: which stages?")}
+		return badInput{errors.New("rollout.stage is missing: describe the stages")}
 	}
 	if err := c.Start(cfg.Address, int(cfg.Ver)); err != nil {
 		return badInput{err}
@@ -138,7 +144,7 @@
 		err := standin.Lines(os.Stdin, func(text string) error {
 			var ver int
 			if _, err := fmt.Sscanf(text, "offer %d", &ver); err != nil {
-				return fmt.Errorf("%.40q is not: offer VER", text)
+				return fmt.Errorf("unknown command %.40q: want offer VER", text)
 			}
 			c.Offer(ver)
 			return nil
