--- a/cmd/arrowcleat/platform_test.go
+++ b/cmd/arrowcleat/platform_test.go
@@ -24,7 +24,7 @@
 	"arrowcleat/internal/loopback"
 )
 
-// TestMain is the program itself where the environment says so.
+// TestMain runs the program itself, instead of the tests, if the environment asks for it.
 func TestMain(m *testing.M) {
 	if fault := os.Getenv(faultVariable); fault != "" {
 		os.Exit(runWithFault(fault))
@@ -36,6 +36,7 @@
 	os.Exit(m.Run())
 }
 
+// configTemplate is a platform configuration without the addresses of the marshal, discovery and the release API.
 const configTemplate = `{"name":"n0","listen":%q,"discovery":%q,"seed":"8c1f30d27a5be964",
 "limits":{"cores":1,"memory_mb":64,"sockets":256},"release_api":{"address":%q,
 "news":{"Revision":7,"Wave":1,"State":"live","MaxShare":1,"AgeMs":90000}},
@@ -45,21 +46,22 @@
 "request-classes":[{"name":"look","aim-s":0.4,"deadline-s":1.5,"repeat":"free"},
 {"name":"book","aim-s":0.4,"deadline-s":1.5,"repeat":"guarded","group":"zone","window-s":8.0}]}}`
 
-// streamServer is a server whose answers never end, and counts who asked.
-func streamServer(t *testing.T, line string) (address string, asked *atomic.Int64) {
-	asked = &atomic.Int64{}
+// streamServer starts a server that answers each request with text and then keeps the response open. requests counts
+// the requests.
+func streamServer(t *testing.T, text string) (address string, requests *atomic.Int64) {
+	requests = &atomic.Int64{}
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		asked.Add(1)
-		io.WriteString(w, line)
+		requests.Add(1)
+		io.WriteString(w, text)
 		w.(http.Flusher).Flush()
 		<-q.Context().Done()
 	}))
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	return s.Listener.Addr().String(), asked
+	return s.Listener.Addr().String(), requests
 }
 
-// requestUntilClosed is a client that asks again and again until the marshal takes no connection, as the platform's do: what crosses the
-// close of a kept connection is sent once more. It gives what went wrong.
+// requestUntilClosed sends requests one after the other until the marshal accepts no more connections, and returns the
+// first failure. Like the platform's clients, it repeats a request once if a kept connection closes.
 func requestUntilClosed(address string, number int, answered *atomic.Int64) error {
 	var c net.Conn
 	var b *bufio.Reader
@@ -69,12 +71,12 @@
 		}
 	}()
 	for i := 0; ; i++ {
-		for again := false; ; again = true {
-			first := c == nil
-			if first {
+		for retry := false; ; retry = true {
+			isNew := c == nil
+			if isNew {
 				var err error
 				if c, err = net.Dial("tcp", address); err != nil {
-					return nil // it has left
+					return nil // the marshal has closed its listener
 				}
 				b = bufio.NewReader(c)
 			}
@@ -87,9 +89,9 @@
 			if err != nil {
 				c.Close()
 				c = nil
-				if first && errors.Is(err, syscall.ECONNRESET) && answered.Load() > 0 {
-					return nil // it came into the listener's queue as that closed
-				} else if first || again {
+				if isNew && errors.Is(err, syscall.ECONNRESET) && answered.Load() > 0 {
+					return nil // the listener closed while the connection was in its queue
+				} else if isNew || retry {
 					return fmt.Errorf("request %d of client %d: %w", i, number, err)
 				}
 				continue
@@ -109,7 +111,7 @@
 	}
 }
 
-// process is the process as a process, with its log and its configuration.
+// process is a running marshal with its log, its configuration file and the address that it serves at.
 type process struct {
 	*exec.Cmd
 	t                   *testing.T
@@ -117,7 +119,7 @@
 	configFile, address string
 }
 
-// processLog is what a process has logged so far; it may be read while the process runs.
+// processLog collects the log of a process. It can be read while the process runs.
 type processLog struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -135,29 +137,29 @@
 	return l.text.String()
 }
 
-// startMarshal starts a marshal and waits until it serves.
-func startMarshal(t *testing.T, configured func(address string) string) *process {
+// startMarshal starts a marshal with the configuration for its address and waits until it serves.
+func startMarshal(t *testing.T, config func(address string) string) *process {
 	t.Helper()
-	return startCommand(t, exec.Command(os.Args[0], "platform"), configured)
+	return startCommand(t, exec.Command(os.Args[0], "platform"), config)
 }
 
-// startCommand does so by a command of its own.
-func startCommand(t *testing.T, command *exec.Cmd, configured func(address string) string) *process {
+// startCommand does the same with a given command.
+func startCommand(t *testing.T, command *exec.Cmd, config func(address string) string) *process {
 	t.Helper()
-	own, err := loopback.Reserve()
+	reserved, err := loopback.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(own.Release)
-	p := &process{Cmd: command, t: t, address: own.At(loopback.RequestPort), configFile: filepath.Join(t.TempDir(), "config.json")}
-	p.writeConfig(configured(p.address))
+	t.Cleanup(reserved.Release)
+	p := &process{Cmd: command, t: t, address: reserved.At(loopback.RequestPort), configFile: filepath.Join(t.TempDir(), "config.json")}
+	p.writeConfig(config(p.address))
 	p.Env = append(os.Environ(), programVariable+"=1", "GW_CONFIG="+p.configFile)
 	p.Stderr = &p.log
 	if err := p.Start(); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { p.Process.Kill() })
-	p.waitFor("it serves", func() bool {
+	p.waitFor("serving", func() bool {
 		r, err := http.Get("http://" + p.address + "/healthz")
 		if err == nil {
 			r.Body.Close()
@@ -175,22 +177,24 @@
 	}
 }
 
-func (p *process) waitFor(what string, is func() bool) {
+// waitFor waits until a condition holds. After 10 s it kills the process and fails the test.
+func (p *process) waitFor(what string, condition func() bool) {
 	p.t.Helper()
-	for end := time.Now().Add(10 * time.Second); !is(); time.Sleep(2 * time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(10 * time.Second); !condition(); time.Sleep(2 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			p.Process.Kill()
 			p.Wait()
-			p.t.Fatalf("it never came that %s:\n%s", what, p.log.String())
+			p.t.Fatalf("timed out waiting for: %s\n%s", what, p.log.String())
 		}
 	}
 }
 
-// Clients that ask and leave while the process stands still are noticed before anything is sent on for them.
+// TestClientsLeaveWhileProcessIsStopped checks that requests of clients that closed their connections while the process
+// was stopped (SIGSTOP) are not dispatched.
 func TestClientsLeaveWhileProcessIsStopped(t *testing.T) {
-	var got atomic.Int64
+	var received atomic.Int64
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		got.Add(1)
+		received.Add(1)
 		io.WriteString(w, "fine")
 	}))
 	defer node.Close()
@@ -212,15 +216,15 @@
 		p.Process.Signal(syscall.SIGCONT)
 		time.Sleep(20 * time.Millisecond)
 	}
-	p.waitFor("all is over", func() bool { c := got.Load(); time.Sleep(20 * time.Millisecond); return got.Load() == c })
-	if n := got.Load(); n > 0 {
-		t.Errorf("%d of 100 requests of clients that had left reached the node", n)
+	p.waitFor("no more dispatches", func() bool { n := received.Load(); time.Sleep(20 * time.Millisecond); return received.Load() == n })
+	if n := received.Load(); n > 0 {
+		t.Errorf("%d of 100 requests reached the node after their clients had left", n)
 	}
-	asked := 0
-	p.waitFor("it serves on", func() bool { // after so many that left it may refuse some
-		asked++
+	attempts := 0
+	p.waitFor("a request is answered again", func() bool { // after so many closed connections it may refuse some
+		attempts++
 		q, _ := http.NewRequest("GET", "http://"+p.address+"/look", nil)
-		q.Header = http.Header{"X-Trace-Id": {fmt.Sprint(asked)}, "X-Qos": {"look"}}
+		q.Header = http.Header{"X-Trace-Id": {fmt.Sprint(attempts)}, "X-Qos": {"look"}}
 		r, err := http.DefaultClient.Do(q)
 		if err != nil {
 			t.Fatal(err)
@@ -235,10 +239,11 @@
 	}
 }
 
-// Descriptors run out, by clients that say nothing. A connection that waits to be accepted meanwhile was looked at again after up to
-// 1 s, however soon there were descriptors again, and its request of 0.6 s was answered after its time. What is open is served on.
+// TestOutOfDescriptors uses up the file descriptors with idle clients. It guards against a late retry of accept: a
+// connection in the accept queue was accepted only after up to 1 s, however soon descriptors were free again, so that its
+// request with a time limit of 0.6 s was answered too late. Open connections must be served throughout.
 func TestOutOfDescriptors(t *testing.T) {
-	const descriptors, silent = 48, 60
+	const descriptors, idleClients = 48, 60
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 	defer node.Close()
 	list, _ := streamServer(t, fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`,
@@ -253,55 +258,56 @@
 		}
 		return c
 	}
-	const within = 600 * time.Millisecond
+	const timeLimit = 600 * time.Millisecond
 	number := 0
 	send := func(c net.Conn) {
 		number++
-		fmt.Fprintf(c, "GET /look HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\nX-Qos: look\r\nX-Expires-In-Ms: %d\r\n\r\n", number, within.Milliseconds())
+		fmt.Fprintf(c, "GET /look HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\nX-Qos: look\r\nX-Expires-In-Ms: %d\r\n\r\n", number, timeLimit.Milliseconds())
 	}
-	answered := func(c net.Conn) error {
-		c.SetReadDeadline(time.Now().Add(within))
-		q, err := http.ReadResponse(bufio.NewReader(c), nil)
-		if err == nil && q.StatusCode != 200 {
-			err = errors.New(q.Status)
+	readAnswer := func(c net.Conn) error {
+		c.SetReadDeadline(time.Now().Add(timeLimit))
+		r, err := http.ReadResponse(bufio.NewReader(c), nil)
+		if err == nil && r.StatusCode != 200 {
+			err = errors.New(r.Status)
 		}
 		return err
 	}
-	kept := dial()
-	defer kept.Close()
-	ask := func() {
-		send(kept)
-		if err := answered(kept); err != nil {
-			t.Errorf("on a connection that is open: %v", err)
+	open := dial()
+	defer open.Close()
+	request := func() {
+		send(open)
+		if err := readAnswer(open); err != nil {
+			t.Errorf("on an open connection: %v", err)
 		}
 	}
-	ask()
-	var quiet []net.Conn
-	for range silent {
-		quiet = append(quiet, dial())
+	request()
+	var idle []net.Conn
+	for range idleClients {
+		idle = append(idle, dial())
 	}
 	for range 14 {
-		time.Sleep(100 * time.Millisecond) // the connection to the node rests a moment after each answer
-		ask()
+		time.Sleep(100 * time.Millisecond) // the connection to the node is idle for a moment after each answer
+		request()
 	}
-	waits := dial() // in the accept queue
-	defer waits.Close()
-	send(waits)
-	for _, c := range quiet {
+	queued := dial() // in the accept queue
+	defer queued.Close()
+	send(queued)
+	for _, c := range idle {
 		c.Close()
 	}
-	if err := answered(waits); err != nil {
-		t.Errorf("on a connection that waited to be accepted: %v", err)
+	if err := readAnswer(queued); err != nil {
+		t.Errorf("on a connection from the accept queue: %v", err)
 	}
-	ask()
+	request()
 	p.Process.Signal(syscall.SIGTERM)
 	if err := p.Wait(); err != nil || !strings.Contains(p.log.String(), "no connection could be accepted") {
-		t.Errorf("it ended with %v:\n%s", err, p.log.String())
+		t.Errorf("marshal ended with %v, or did not log refused connections:\n%s", err, p.log.String())
 	}
 }
 
-// A second TERM closed the listener while new connections go on coming, for 0.4 s after the first: soak seed 6, "0-6-735 at marshal 0 had
-// no answer (broke EOF, 0 dispatches)", 329 ms after the first and 52 ms after the second. What connects in that time is answered.
+// TestSecondTermWhileConnectionsCome checks that connections opened within 0.4 s after the first TERM are answered, also
+// after a second TERM. A second TERM used to close the listener at once: soak seed 6, "0-6-735 at marshal 0 had no answer
+// (broke EOF, 0 dispatches)", 329 ms after the first and 52 ms after the second.
 func TestSecondTermWhileConnectionsCome(t *testing.T) {
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 	defer node.Close()
@@ -309,12 +315,12 @@
 		node.Listener.Addr()))
 	api, _ := streamServer(t, "{}\n")
 	p := startMarshal(t, func(address string) string { return fmt.Sprintf(configTemplate, address, list, api) })
-	var told atomic.Int64
+	var termSentNs atomic.Int64
 	var wg sync.WaitGroup
 	for i := range 16 {
 		wg.Go(func() {
 			for n := 0; ; n++ {
-				if at := told.Load(); at != 0 && time.Now().UnixNano()-at > int64(400*time.Millisecond) {
+				if sentNs := termSentNs.Load(); sentNs != 0 && time.Now().UnixNano()-sentNs > int64(400*time.Millisecond) {
 					return
 				}
 				c, err := net.Dial("tcp", p.address)
@@ -325,7 +331,7 @@
 					c.Close()
 				}
 				if err != nil {
-					t.Errorf("%v after the first TERM: %v", time.Duration(time.Now().UnixNano()-told.Load()), err)
+					t.Errorf("%v after the first TERM: %v", time.Duration(time.Now().UnixNano()-termSentNs.Load()), err)
 					return
 				}
 				time.Sleep(time.Millisecond)
@@ -333,18 +339,18 @@
 		})
 	}
 	time.Sleep(100 * time.Millisecond)
-	told.Store(time.Now().UnixNano())
+	termSentNs.Store(time.Now().UnixNano())
 	p.Process.Signal(syscall.SIGTERM)
 	time.Sleep(50 * time.Millisecond)
 	p.Process.Signal(syscall.SIGTERM)
 	wg.Wait()
 	if err := p.Wait(); err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("marshal ended with %v", err)
 	}
 }
 
-// Under requests a marshal takes configurations that can be read, two in a row and none that can't, and leaves at TERM with
-// every request answered.
+// TestSignalsUnderRequests checks that a marshal under load applies valid configurations, two in a row, rejects invalid
+// ones, and ends after TERM with every request answered.
 func TestSignalsUnderRequests(t *testing.T) {
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		time.Sleep(5 * time.Millisecond)
@@ -354,14 +360,14 @@
 	list := fmt.Sprintf("{\"seq\":1,\"whole\":true,\n\"hosts\":[{\"host\":\"a\",\"dial\":%q,\"site\":\"here\",\"health\":\"in_service\",\"build\":7}]}\n",
 		node.Listener.Addr())
 	var lists [3]string
-	var asked [3]*atomic.Int64
+	var requests [3]*atomic.Int64
 	for i := range lists {
-		lists[i], asked[i] = streamServer(t, list)
+		lists[i], requests[i] = streamServer(t, list)
 	}
 	api, _ := streamServer(t, "{}\n")
 	p := startMarshal(t, func(address string) string { return fmt.Sprintf(configTemplate, address, lists[0], api) })
-	good := func(i int) string { return fmt.Sprintf(configTemplate, p.address, lists[i], api) }
-	address, write, until := p.address, p.writeConfig, p.waitFor
+	config := func(i int) string { return fmt.Sprintf(configTemplate, p.address, lists[i], api) }
+	address, writeConfig, waitFor := p.address, p.writeConfig, p.waitFor
 	var wg sync.WaitGroup
 	var answered atomic.Int64
 	for i := range 8 {
@@ -371,89 +377,91 @@
 			}
 		})
 	}
-	more := func() {
+	waitForAnswers := func() {
 		n := answered.Load()
-		until("requests go on", func() bool { return answered.Load() > n+50 })
+		waitFor("50 more answers", func() bool { return answered.Load() > n+50 })
 	}
-	for _, bad := range []string{"", good(1)[:200], strings.Replace(good(1), "first_voice", "first_voice\x00", 1)} {
-		write(bad)
+	for _, invalid := range []string{"", config(1)[:200], strings.Replace(config(1), "first_voice", "first_voice\x00", 1)} {
+		writeConfig(invalid)
 		p.Process.Signal(syscall.SIGHUP)
-		more()
+		waitForAnswers()
 	}
 	os.Remove(p.configFile)
 	p.Process.Signal(syscall.SIGHUP)
-	more()
-	if asked[1].Load() > 0 {
-		t.Error("a configuration that can't be read was taken")
+	waitForAnswers()
+	if requests[1].Load() > 0 {
+		t.Error("a configuration that is invalid or missing was applied")
 	}
-	write(good(1))
+	writeConfig(config(1))
 	p.Process.Signal(syscall.SIGHUP)
-	until("the next address is asked", func() bool { return asked[1].Load() > 0 })
-	write(good(2))
+	waitFor("a request to the second discovery address", func() bool { return requests[1].Load() > 0 })
+	writeConfig(config(2))
 	p.Process.Signal(syscall.SIGHUP)
-	until("the last address is asked", func() bool { return asked[2].Load() > 0 })
-	more()
+	waitFor("a request to the third discovery address", func() bool { return requests[2].Load() > 0 })
+	waitForAnswers()
 	p.Process.Signal(syscall.SIGTERM)
 	err := p.Wait()
 	wg.Wait()
 	if err != nil {
-		t.Errorf("it ended with %v", err)
+		t.Errorf("marshal ended with %v", err)
 	}
 	if n := strings.Count(p.log.String(), "configuration not applied"); n != 4 {
-		t.Errorf("%d configurations were not taken; want 4:\n%s", n, p.log.String())
+		t.Errorf("%d configurations were rejected, want 4:\n%s", n, p.log.String())
 	}
 }
 
-// HUP comes while the marshal drains: discovery moves, and the marshal went on with the address before, which closes. HUP comes while the
-// file can't be read: the configuration was forgotten.
+// TestReloadWhileDrainingOrUnreadable guards against two faults of HUP: while the marshal drained, it kept using the
+// previous discovery address, which closes; and if the file could not be read at that moment, the configuration was
+// never applied.
 func TestReloadWhileDrainingOrUnreadable(t *testing.T) {
-	hangs := make(chan struct{})
-	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { <-hangs }))
+	release := make(chan struct{})
+	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { <-release }))
 	defer node.Close()
-	defer close(hangs)
+	defer close(release)
 	hosts := fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`, node.Listener.Addr())
 	var lists [3]string
-	var asked [3]*atomic.Int64
+	var requests [3]*atomic.Int64
 	for i := range lists {
-		lists[i], asked[i] = streamServer(t, hosts)
+		lists[i], requests[i] = streamServer(t, hosts)
 	}
 	api, _ := streamServer(t, "{}\n")
 	p := startMarshal(t, func(address string) string { return fmt.Sprintf(configTemplate, address, lists[0], api) })
-	if err := errors.Join(os.Remove(p.configFile), os.Mkdir(p.configFile, 0o755)); err != nil { // a folder can be opened and not be read: EISDIR
+	if err := errors.Join(os.Remove(p.configFile), os.Mkdir(p.configFile, 0o755)); err != nil { // a folder can be opened but not read (EISDIR)
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	p.waitFor("it says so", func() bool { return strings.Contains(p.log.String(), "configuration not applied") })
+	p.waitFor("the log line of the failed reload", func() bool { return strings.Contains(p.log.String(), "configuration not applied") })
 	next := p.configFile + ".next"
 	if err := errors.Join(os.WriteFile(next, []byte(fmt.Sprintf(configTemplate, p.address, lists[1], api)), 0o644), os.Remove(p.configFile),
 		os.Rename(next, p.configFile)); err != nil {
 		t.Fatal(err)
 	}
-	p.waitFor("the configuration is taken once it can be read", func() bool { return asked[1].Load() > 0 })
-	c, err := net.Dial("tcp", p.address) // a request that holds up the end
+	p.waitFor("the configuration to be applied once it can be read", func() bool { return requests[1].Load() > 0 })
+	c, err := net.Dial("tcp", p.address) // a request that delays the end of draining
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
 	fmt.Fprint(c, "GET /look HTTP/1.1\r\nHost: x\r\nX-Trace-Id: 1\r\nX-Qos: look\r\n\r\n")
 	p.Process.Signal(syscall.SIGTERM)
-	p.waitFor("it drains", func() bool { return strings.Contains(p.log.String(), "draining") })
+	p.waitFor("draining", func() bool { return strings.Contains(p.log.String(), "draining") })
 	p.writeConfig(fmt.Sprintf(configTemplate, p.address, lists[2], api))
 	p.Process.Signal(syscall.SIGHUP)
-	p.waitFor("the configuration is taken while it drains", func() bool { return asked[2].Load() > 0 })
+	p.waitFor("the configuration to be applied while draining", func() bool { return requests[2].Load() > 0 })
 	if err := p.Wait(); err != nil {
 		t.Error(err)
 	}
 	if n := strings.Count(p.log.String(), "configuration not applied"); n != 1 {
-		t.Errorf("it complained %d times:\n%s", n, p.log.String())
+		t.Errorf("%d failed reloads were logged, want 1:\n%s", n, p.log.String())
 	}
 }
 
-// Nobody reads the log, and its pipe is full; or whoever read it has gone. The process went with it: a full pipe held up the goroutine that
-// takes signals, so that TERM did nothing until KILL; a closed one ended the process at its next line (SIGPIPE).
+// TestLogThatNobodyReads checks that a marshal works on if the pipe of its log is full or its reader has gone. A full pipe
+// used to block the goroutine that handles signals, so that TERM had no effect until KILL; a closed pipe ended the process
+// at the next line (SIGPIPE).
 func TestLogThatNobodyReads(t *testing.T) {
 	const pipeSize = 4096
-	for name, gone := range map[string]bool{"full": false, "gone": true} {
+	for name, closed := range map[string]bool{"full": false, "closed": true} {
 		t.Run(name, func(t *testing.T) {
 			node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "fine") }))
 			defer node.Close()
@@ -472,10 +480,10 @@
 			command.ExtraFiles = []*os.File{writer}
 			p := startCommand(t, command, func(address string) string { return fmt.Sprintf(configTemplate, address, list, api) })
 			writer.Close()
-			if gone {
+			if closed {
 				reader.Close()
 			}
-			ask := func(id int) error {
+			request := func(id int) error {
 				q, _ := http.NewRequest("GET", "http://"+p.address+"/look", nil)
 				q.Header, q.Close = http.Header{"X-Trace-Id": {fmt.Sprint(id)}, "X-Qos": {"look"}}, true
 				r, err := (&http.Client{Timeout: 2 * time.Second}).Do(q)
@@ -488,13 +496,13 @@
 				}
 				return nil
 			}
-			for i := range 100 { // each connection that closes is a line
-				if err := ask(i); err != nil {
+			for i := range 100 { // each closed connection logs a line
+				if err := request(i); err != nil {
 					t.Fatalf("request %d: %v", i, err)
 				}
 			}
-			time.Sleep(1500 * time.Millisecond) // a view is due each second
-			if err := ask(100); err != nil {
+			time.Sleep(1500 * time.Millisecond) // the state is logged every second
+			if err := request(100); err != nil {
 				t.Error(err)
 			}
 			p.Process.Signal(syscall.SIGTERM)
@@ -506,7 +514,7 @@
 					t.Error(err)
 				}
 			case <-time.After(3 * time.Second):
-				t.Error("TERM does nothing")
+				t.Error("TERM had no effect within 3 s")
 				p.Process.Kill()
 				<-ended
 			}
