--- a/cmd/arrowcleat/soak_test.go
+++ b/cmd/arrowcleat/soak_test.go
@@ -20,21 +20,22 @@
 	"arrowcleat/internal/soak"
 )
 
-// programVariable and faultVariable say in the environment that this binary is the program, and with which fault.
+// Environment of a child process of the tests: programVariable makes the test binary run as the program, faultVariable
+// names a fault to inject.
 const (
 	programVariable = "ARROWCLEAT_AS_PROGRAM"
 	faultVariable   = "ARROWCLEAT_PLANT"
-	// noExitDelay keeps a program built with the race detector from sleeping for a second before it ends, as it does by default.
+	// noExitDelay avoids the sleep of one second at the end of a program that is built with the race detector.
 	noExitDelay = "GORACE=atexit_sleep_ms=0"
 )
 
-// leakedFile is a file that nobody closes.
+// leakedFile is a file that is never closed.
 var leakedFile *os.File
 
-// runWithFault runs the platform's marshal with a fault, and gives its exit code.
+// runWithFault runs the platform's marshal with an injected fault and returns its exit code.
 func runWithFault(fault string) int {
 	hooks, err := plant.Hooks(fault)
-	if err != nil { // one of those below
+	if err != nil { // a fault of the switch below
 		hooks = serve.Hooks{}
 	}
 	var configure func(*front.Server)
@@ -58,7 +59,7 @@
 		time.AfterFunc(500*time.Millisecond, func() { os.Exit(2) })
 	case "left over":
 		time.AfterFunc(1300*time.Millisecond, func() { leakedFile, _ = os.Open(os.DevNull) })
-	case "close": // it ends at TERM without answering what is open
+	case "close": // ends at TERM without answering open requests
 		term := make(chan os.Signal, 1)
 		signal.Notify(term, syscall.SIGTERM)
 		go func() { <-term; os.Exit(0) }()
@@ -72,7 +73,7 @@
 	return 0
 }
 
-// logFolder is a temporary folder that stays where the test fails, so that its logs can be read.
+// logFolder returns a temporary folder for logs that is kept if the test fails.
 func logFolder(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "arrowcleat-"+strings.ReplaceAll(t.Name(), "/", "-")+"-")
@@ -81,7 +82,7 @@
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Log("logs are kept in", dir)
+			t.Log("logs are in", dir)
 		} else {
 			os.RemoveAll(dir)
 		}
@@ -89,10 +90,10 @@
 	return dir
 }
 
-// Seeded runs of the process under signals keep the rules. The seeds are fixed: the same plans are played each time.
+// TestSoak checks that seeded runs of the process under signals keep the rules. The seeds, and so the plans, are fixed.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays for some twenty seconds")
+		t.Skip("takes about twenty seconds")
 	}
 	var out bytes.Buffer
 	err := runSoaks(&out, soak.Options{Dir: logFolder(t), Program: []string{os.Args[0], faultsCommandName}, Env: []string{programVariable + "=1", noExitDelay}}, 1, 24)
@@ -102,13 +103,14 @@
 	}
 }
 
-// Each check of the soak bites: a marshal process with a fault is found, by the check that is for it.
+// TestSoakFindsPlantedFaults checks each check of the soak: a marshal process with an injected fault is detected by the
+// check for that fault.
 func TestSoakFindsPlantedFaults(t *testing.T) {
 	ms := time.Millisecond
 	quiet := soak.Life{Load: 1500 * ms, End: soak.EndQuiet, NewFor: 300 * ms}
 	term := soak.Life{Load: 1500 * ms, End: soak.EndTerm, NewFor: 300 * ms}
 	for fault, c := range map[string]struct {
-		rule string // broken, or words of what is found otherwise
+		rule string // broken rule, or part of the text of another finding
 		life soak.Life
 	}{
 		"twice": {audit.Answered, term}, audit.Answered: {audit.Answered, term}, audit.Effects: {audit.Effects, term},
@@ -130,12 +132,12 @@
 				p.Crowd = 20
 			case audit.Gone:
 				p.Leave = 0.6
-			case "discards": // many connections rest when the marshal stops
+			case "discards": // many connections are idle when the marshal stops
 				p.Rests, p.Clients = 0.8, 40
-			case audit.Drain: // a node has to be there still when its grace is over
+			case audit.Drain: // a node must still exist when its grace period is over
 				p.Kinds = []soak.Event{soak.Drain, soak.Grow}
 				p.Lives[0][0].Load = 3 * time.Second
-			case audit.Exposure: // a build has to be on trial for a while
+			case audit.Exposure: // a build must be on trial for some time
 				p.Kinds, p.Events = []soak.Event{soak.Advance}, 700*ms
 				p.Caps, p.Free, p.Window = []float64{0.05, 1}, 0, time.Second
 				p.Lives[0][0].Load = 4 * time.Second
@@ -149,7 +151,7 @@
 			if o.Clean() || !found {
 				var out bytes.Buffer
 				o.Print(&out)
-				t.Error(errors.New("not found"), out.String())
+				t.Error(errors.New("fault not detected"), out.String())
 			}
 		})
 	}
