--- a/cmd/arrowcleat/day.go
+++ b/cmd/arrowcleat/day.go
@@ -31,7 +31,7 @@
 	var seed uint64
 	var cores, nodes, marshals uint32
 	var rate float64
-	var asJSON, processes, rec, quiet bool
+	var asJSON, processes, recording, quiet bool
 	c := &cobra.Command{
 		Use:   "day",
 		Short: "Run a fault scenario on loopback sockets and check the rules",
@@ -74,7 +74,7 @@
 				}
 				defer os.RemoveAll(dir)
 			}
-			o := day.Options{Plan: plan, Seed: seed, Dir: dir, Plant: fault, Record: rec}
+			o := day.Options{Plan: plan, Seed: seed, Dir: dir, Plant: fault, Record: recording}
 			if processes {
 				if o.Binary, err = os.Executable(); err != nil {
 					return err
@@ -108,19 +108,19 @@
 	}
 	f := c.Flags()
 	f.StringVar(&file, "plan", "", "file with a scenario, protobuf text format (docs/days.md)")
-	f.StringVar(&like, "like", "", "file with a scenario that the bench generated: runs its faults at a size for this machine")
-	f.StringVar(&trouble, "trouble", "", "inject only this fault: "+strings.Join(day.Kinds(), ", "))
+	f.StringVar(&like, "like", "", "file with a scenario that the bench drew or found: runs its faults at a size for this machine")
+	f.StringVar(&trouble, "trouble", "", "inject only faults of this kind: "+strings.Join(day.Kinds(), ", "))
 	f.Uint64Var(&seed, "seed", 1, "seed of all random choices")
 	f.Uint32Var(&cores, "cores", 0, "module instances in each marshal (default: as in the scenario)")
 	f.Uint32Var(&nodes, "nodes", 0, "number of stand-in nodes (default: as in the scenario)")
 	f.Uint32Var(&marshals, "marshals", 0, "number of marshals (default: as in the scenario)")
 	f.Float64Var(&rate, "rate", 0, "invocations per second (default: as in the scenario)")
 	f.StringVar(&dir, "dir", "", "folder to keep the records in (default: a temporary folder, removed at the end)")
-	f.StringVar(&fault, "plant", "", "fault to inject into the marshals: "+strings.Join(plant.Faults(), ", "))
+	f.StringVar(&fault, "plant", "", "software fault to inject into the marshals, which the checks must detect: "+strings.Join(plant.Faults(), ", "))
 	f.StringVar(&level, "log", "error", "log level of the marshals: debug, info, warn, error")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object and nothing else")
 	f.BoolVar(&processes, "processes", false, "run each marshal and node in its own process")
-	f.BoolVar(&rec, "record", false, "record the events and calls of each marshal's module in --dir")
+	f.BoolVar(&recording, "record", false, "record the events and calls of each marshal's module in --dir")
 	f.BoolVar(&quiet, "quiet", false, "do not print events as they happen")
 	c.MarkFlagsMutuallyExclusive("plan", "like", "trouble")
 	return c
