--- a/cmd/arrowcleat/soak.go
+++ b/cmd/arrowcleat/soak.go
@@ -16,21 +16,24 @@
 	"arrowcleat/internal/soak"
 )
 
-// runsAtOnce leaves each run two processors: what it checks is bound to times.
-var runsAtOnce = max(1, runtime.NumCPU()/2)
+// maxParallelRuns leaves two processors to each run, because its checks depend on timing.
+var maxParallelRuns = max(1, runtime.NumCPU()/2)
 
+// soakCommand returns the command that runs seeded soak tests.
 func soakCommand() *cobra.Command {
 	var seed uint64
 	var runs int
 	var dir, program string
 	c := &cobra.Command{
 		Use:   "soak",
-		Short: "Play seeded runs of the platform's marshal under signals, and audit them",
-		Long: `soak plays runs of "arrowcleat platform" as a process on loopback: stand-in discovery, release API and nodes, clients that use
-their connections until the kill, signals in series, restarts; in half of the runs the machine lacks sockets now and then, reads short, writes
-in pieces, holds steps up and steps its wall clock, and in most some connections are reset, cut, late, held or half open on the way. All is drawn from the seed: the same seed plays the same plan.
+		Short: "Run the platform's marshal under signals and faults by seed, and check the rules",
+		Long: `soak runs "arrowcleat platform" as a process on loopback, with stand-ins for discovery, release API and nodes, with
+clients that use their connections until the process is killed, with series of signals, and with restarts. In half of
+the runs the machine is short of sockets at times, splits reads and writes, delays steps and steps its wall clock. In
+most runs some connections are reset, cut, delayed, stalled or half open. The seed determines everything: the same
+seed runs the same plan.
 
-Exit code 0: every run kept the rules. 1: one did not; its logs stay in --dir.`,
+Exit code 0: every run kept the rules. 1: a run did not; its logs stay in --dir.`,
 		Example: "  arrowcleat soak --seed 1 --runs 50",
 		Args:    noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -45,25 +48,26 @@
 					return err
 				}
 			}
-			return soakAll(c.OutOrStdout(), soak.Options{Dir: dir, Program: []string{program, underFaults}}, seed, runs)
+			return runSoaks(c.OutOrStdout(), soak.Options{Dir: dir, Program: []string{program, faultsCommandName}}, seed, runs)
 		},
 	}
-	c.Flags().Uint64Var(&seed, "seed", 1, "the first run's")
-	c.Flags().IntVar(&runs, "runs", 1, "how many, with the seeds that follow")
-	c.Flags().StringVar(&program, "program", "", "another build of arrowcleat to play; this one where it is left out")
-	c.Flags().StringVar(&dir, "dir", "", "for logs and configurations, a folder a seed; a temporary one where it is left out")
+	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the first run")
+	c.Flags().IntVar(&runs, "runs", 1, "number of runs, with consecutive seeds")
+	c.Flags().StringVar(&program, "program", "", "arrowcleat binary to run (default: this one)")
+	c.Flags().StringVar(&dir, "dir", "", "folder for logs and configurations, with a sub-folder for each seed (default: a temporary folder)")
 	return c
 }
 
-// underFaults is the command by which the soak starts a marshal.
-const underFaults = "platform-under-faults"
+// faultsCommandName is the sub-command by which the soak starts a marshal.
+const faultsCommandName = "platform-under-faults"
 
-// underFaultsCommand is platform on a machine with faults, where the environment tells their seed.
-func underFaultsCommand() *cobra.Command {
+// faultsCommand returns the command that runs a marshal like platform, with injected machine faults if the environment
+// contains their seed.
+func faultsCommand() *cobra.Command {
 	var level string
 	c := &cobra.Command{
-		Use:    underFaults,
-		Short:  "Run the platform's marshal on a machine with seeded faults; for the soak",
+		Use:    faultsCommandName,
+		Short:  "Run the platform's marshal with seeded machine faults; used by soak",
 		Hidden: true,
 		Args:   noArgs,
 		RunE: func(*cobra.Command, []string) error {
@@ -75,32 +79,32 @@
 				}
 				hooks = faults.NewMachine(seed).Hooks()
 			}
-			return runOnPlatform(os.Getenv("GW_CONFIG"), level, hooks)
+			return runPlatformMarshal(os.Getenv("GW_CONFIG"), level, hooks)
 		},
 	}
-	c.Flags().StringVar(&level, "log", "info", "as of platform")
+	c.Flags().StringVar(&level, "log", "info", "log level, as of platform")
 	return c
 }
 
-// soakAll plays runs, some at once, and prints each, and what was checked in all.
-func soakAll(out io.Writer, o soak.Options, seed uint64, runs int) error {
+// runSoaks executes runs with consecutive seeds, some in parallel, and prints the outcome of each and the totals.
+func runSoaks(out io.Writer, o soak.Options, seed uint64, runs int) error {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
-	broken, requests, checked := 0, 0, map[string]int{}
-	room := make(chan struct{}, runsAtOnce)
+	failed, requests, checked := 0, 0, map[string]int{}
+	slots := make(chan struct{}, maxParallelRuns)
 	for i := range runs {
-		one := o
-		one.Plan = soak.Draw(seed + uint64(i))
-		one.Dir = filepath.Join(o.Dir, fmt.Sprint(one.Plan.Seed))
-		room <- struct{}{}
+		options := o
+		options.Plan = soak.Draw(seed + uint64(i))
+		options.Dir = filepath.Join(o.Dir, fmt.Sprint(options.Plan.Seed))
+		slots <- struct{}{}
 		wg.Go(func() {
-			defer func() { <-room }()
-			outcome, err := playSoak(one)
+			defer func() { <-slots }()
+			outcome, err := runSoak(options)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
-				broken++
-				fmt.Fprintf(out, "seed %d: %v\n", one.Plan.Seed, err)
+				failed++
+				fmt.Fprintf(out, "seed %d: %v\n", options.Plan.Seed, err)
 				return
 			}
 			requests += outcome.Invocations
@@ -108,20 +112,21 @@
 				checked[rule] += n
 			}
 			if !outcome.Clean() {
-				broken++
+				failed++
 			}
 			outcome.Print(out)
 		})
 	}
 	wg.Wait()
-	fmt.Fprintf(out, "%d runs, %d requests taken, checked %v; %d runs with findings; logs in %s\n", runs, requests, checked, broken, o.Dir)
-	if broken > 0 {
-		return errBroken
+	fmt.Fprintf(out, "%d runs, %d requests accepted, checked %v; %d runs with findings; logs in %s\n", runs, requests, checked, failed, o.Dir)
+	if failed > 0 {
+		return errRulesBroken
 	}
 	return nil
 }
 
-func playSoak(o soak.Options) (*soak.Outcome, error) {
+// runSoak creates the folder of a run and executes the run.
+func runSoak(o soak.Options) (*soak.Outcome, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
--- a/cmd/arrowcleat/soak_test.go
+++ b/cmd/arrowcleat/soak_test.go
@@ -20,33 +20,34 @@
 	"arrowcleat/internal/soak"
 )
 
-// asProgram and planted say in the environment that this binary is the program, and with which fault.
+// Environment of a child process of the tests: programVariable makes the test binary run as the program, faultVariable
+// names a fault to inject.
 const (
-	asProgram = "ARROWCLEAT_AS_PROGRAM"
-	planted   = "ARROWCLEAT_PLANT"
-	// exitAtOnce keeps a program built with the race detector from sleeping for a second before it ends, as it does by default.
-	exitAtOnce = "GORACE=atexit_sleep_ms=0"
+	programVariable = "ARROWCLEAT_AS_PROGRAM"
+	faultVariable   = "ARROWCLEAT_PLANT"
+	// noExitDelay avoids the sleep of one second at the end of a program that is built with the race detector.
+	noExitDelay = "GORACE=atexit_sleep_ms=0"
 )
 
-// leak is a file that nobody closes.
-var leak *os.File
+// leakedFile is a file that is never closed.
+var leakedFile *os.File
 
-// runPlanted runs the platform's marshal with a fault, and gives its exit code.
-func runPlanted(fault string) int {
+// runWithFault runs the platform's marshal with an injected fault and returns its exit code.
+func runWithFault(fault string) int {
 	hooks, err := plant.Hooks(fault)
-	if err != nil { // one of those below
+	if err != nil { // a fault of the switch below
 		hooks = serve.Hooks{}
 	}
-	var terms func(*front.Server)
+	var configure func(*front.Server)
 	switch fault {
 	case "budget":
-		terms = func(s *front.Server) { s.Faults.InflateTimeLeft = true }
+		configure = func(s *front.Server) { s.Faults.InflateTimeLeft = true }
 	case "discards":
-		terms = func(s *front.Server) { s.Faults.DiscardUnread = true }
+		configure = func(s *front.Server) { s.Faults.DiscardUnread = true }
 	case "gone":
-		terms = func(s *front.Server) { s.Faults.IgnoreClientGone = true }
+		configure = func(s *front.Server) { s.Faults.IgnoreClientGone = true }
 	case "strangers":
-		terms = func(s *front.Server) {
+		configure = func(s *front.Server) {
 			s.Protocol.FirstRequestTimeoutMs = 0
 			s.Settings.Times.HeaderMs, s.Settings.Times.IdleMs = 60000, 60000
 		}
@@ -57,23 +58,23 @@
 	case "crash":
 		time.AfterFunc(500*time.Millisecond, func() { os.Exit(2) })
 	case "left over":
-		time.AfterFunc(1300*time.Millisecond, func() { leak, _ = os.Open(os.DevNull) })
-	case "close": // it ends at TERM without answering what is open
+		time.AfterFunc(1300*time.Millisecond, func() { leakedFile, _ = os.Open(os.DevNull) })
+	case "close": // ends at TERM without answering open requests
 		term := make(chan os.Signal, 1)
 		signal.Notify(term, syscall.SIGTERM)
 		go func() { <-term; os.Exit(0) }()
 	}
-	if terms != nil {
-		hooks.ConfigureFront = terms
+	if configure != nil {
+		hooks.ConfigureFront = configure
 	}
-	if err := runOnPlatform(os.Getenv("GW_CONFIG"), slog.LevelDebug.String(), hooks); err != nil {
+	if err := runPlatformMarshal(os.Getenv("GW_CONFIG"), slog.LevelDebug.String(), hooks); err != nil {
 		return 1
 	}
 	return 0
 }
 
-// keptFolder is a temporary folder that stays where the test fails, so that its logs can be read.
-func keptFolder(t *testing.T) string {
+// logFolder returns a temporary folder for logs that is kept if the test fails.
+func logFolder(t *testing.T) string {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "arrowcleat-"+strings.ReplaceAll(t.Name(), "/", "-")+"-")
 	if err != nil {
@@ -81,7 +82,7 @@
 	}
 	t.Cleanup(func() {
 		if t.Failed() {
-			t.Log("logs are kept in", dir)
+			t.Log("logs are in", dir)
 		} else {
 			os.RemoveAll(dir)
 		}
@@ -89,26 +90,27 @@
 	return dir
 }
 
-// Seeded runs of the process under signals keep the rules. The seeds are fixed: the same plans are played each time.
+// TestSoak checks that seeded runs of the process under signals keep the rules. The seeds, and so the plans, are fixed.
 func TestSoak(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays for some twenty seconds")
+		t.Skip("takes about twenty seconds")
 	}
 	var out bytes.Buffer
-	err := soakAll(&out, soak.Options{Dir: keptFolder(t), Program: []string{os.Args[0], underFaults}, Env: []string{asProgram + "=1", exitAtOnce}}, 1, 24)
+	err := runSoaks(&out, soak.Options{Dir: logFolder(t), Program: []string{os.Args[0], faultsCommandName}, Env: []string{programVariable + "=1", noExitDelay}}, 1, 24)
 	t.Log(out.String())
 	if err != nil {
 		t.Error(err)
 	}
 }
 
-// Each check of the soak bites: a marshal process with a fault is found, by the check that is for it.
+// TestSoakFindsPlantedFaults checks each check of the soak: a marshal process with an injected fault is detected by the
+// check for that fault.
 func TestSoakFindsPlantedFaults(t *testing.T) {
 	ms := time.Millisecond
 	quiet := soak.Life{Load: 1500 * ms, End: soak.EndQuiet, NewFor: 300 * ms}
 	term := soak.Life{Load: 1500 * ms, End: soak.EndTerm, NewFor: 300 * ms}
 	for fault, c := range map[string]struct {
-		rule string // broken, or words of what is found otherwise
+		rule string // broken rule, or part of the text of another finding
 		life soak.Life
 	}{
 		"twice": {audit.Answered, term}, audit.Answered: {audit.Answered, term}, audit.Effects: {audit.Effects, term},
@@ -130,18 +132,18 @@
 				p.Crowd = 20
 			case audit.Gone:
 				p.Leave = 0.6
-			case "discards": // many connections rest when the marshal stops
+			case "discards": // many connections are idle when the marshal stops
 				p.Rests, p.Clients = 0.8, 40
-			case audit.Drain: // a node has to be there still when its grace is over
+			case audit.Drain: // a node must still exist when its grace period is over
 				p.Kinds = []soak.Event{soak.Drain, soak.Grow}
 				p.Lives[0][0].Load = 3 * time.Second
-			case audit.Exposure: // a build has to be on trial for a while
+			case audit.Exposure: // a build must be on trial for some time
 				p.Kinds, p.Events = []soak.Event{soak.Advance}, 700*ms
 				p.Caps, p.Free, p.Window = []float64{0.05, 1}, 0, time.Second
 				p.Lives[0][0].Load = 4 * time.Second
 			}
-			o, err := soak.Run(soak.Options{Plan: p, Dir: keptFolder(t), Program: []string{os.Args[0], "platform"},
-				Env: []string{asProgram + "=1", exitAtOnce, fmt.Sprintf("%s=%s", planted, fault)}})
+			o, err := soak.Run(soak.Options{Plan: p, Dir: logFolder(t), Program: []string{os.Args[0], "platform"},
+				Env: []string{programVariable + "=1", noExitDelay, fmt.Sprintf("%s=%s", faultVariable, fault)}})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -149,7 +151,7 @@
 			if o.Clean() || !found {
 				var out bytes.Buffer
 				o.Print(&out)
-				t.Error(errors.New("not found"), out.String())
+				t.Error(errors.New("fault not detected"), out.String())
 			}
 		})
 	}
--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -287,7 +287,7 @@
 // suggest returns the fix for an unknown name: the most similar known name or, if none is similar, the given text.
 func (c *compiler) suggest(name string, known []string, otherwise string) string {
 	slices.Sort(known)
-	if best := settings.Nearest(name, known); best != "" {
+	if best := settings.ClosestName(name, known); best != "" {
 		return "did you mean " + best + "?"
 	}
 	return otherwise
@@ -618,11 +618,11 @@
 func (c *compiler) checkSettings() {
 	for _, p := range settings.Check(c.out) {
 		at := c.locate(p.Path)
-		what, fix, _ := strings.Cut(p.What, "; ")
+		what, fix, _ := strings.Cut(p.Message, "; ")
 		name := displayName(p.Path)
 		switch last := name[strings.LastIndex(name, " ")+1:]; { // fixes are reworded in the terms of the language
 		case what == "missing" && at.source != nil && c.isWritten(p.Path): // it was written as 0
-			what = "0 is too little"
+			what = "0 is too small"
 		case strings.HasPrefix(what, "the block is missing"):
 			what, fix = "the block is missing", "write "+last+" { ... }"
 		case p.Code == "AC301" && last == "zones":
@@ -731,7 +731,7 @@
 				formatQuantity(kindTime, o.MemoryMs), formatQuantity(kindTime, o.LimitMs)), "an invocation that fails after that can't be sent again")
 		}
 	}
-	for i, pool := range c.out.Pools() {
+	for i, pool := range c.out.PoolSettings() {
 		rolloutPath := "rollout"
 		if len(c.out.Pool) > 0 && c.out.Pool[i].Rollout != nil {
 			rolloutPath = fmt.Sprintf("pool[%d].rollout", i)
--- a/internal/settings/module.go
+++ b/internal/settings/module.go
@@ -7,8 +7,8 @@
 	"arrowcleat/balance"
 )
 
-// Module is what the decision module gets: its plain map of names and values.
-func (x *Settings) Module() balance.Settings {
+// ModuleSettings returns the settings of the decision module.
+func (x *Settings) ModuleSettings() balance.Settings {
 	s := balance.Settings{
 		"marshals":                  float64(x.Instance.Marshals),
 		"number":                    float64(x.Instance.Number),
@@ -46,8 +46,8 @@
 		s["discovery"] = "subscribe"
 	}
 	var caps, parts []float64
-	for _, g := range x.Rollout.Stage {
-		caps, parts = append(caps, g.Cap), append(parts, g.Part)
+	for _, stage := range x.Rollout.Stage {
+		caps, parts = append(caps, stage.Cap), append(parts, stage.Part)
 	}
 	s["rollout.most-shares"], s["rollout.stage-share"] = caps, parts
 	var ops, tenants []balance.Settings
@@ -64,19 +64,19 @@
 	return s
 }
 
-// Cores is the number of the module's instances.
+// Cores returns the number of instances of the decision module.
 func (x *Settings) Cores() int { return max(1, int(x.Instance.Cores)) }
 
-// ModuleOf is what one of several instances gets.
-func (x *Settings) ModuleOf(instance int) balance.Settings {
-	s := x.Module()
+// InstanceSettings returns the settings of one instance of the decision module.
+func (x *Settings) InstanceSettings(instance int) balance.Settings {
+	s := x.ModuleSettings()
 	if n := x.Cores(); n > 1 {
 		s["instance"], s["instances"] = float64(instance), float64(n)
 	}
 	return s
 }
 
-// ZoneIndex is a zone's number in the order of the file, or -1.
+// ZoneIndex returns the index of a zone in the order of the file, or -1.
 func (x *Settings) ZoneIndex(name string) int {
 	for i, z := range x.Zone {
 		if z == name {
@@ -86,8 +86,9 @@
 	return -1
 }
 
-// Find finds the operation of a request by the name of the listener that it came to, or -1. The first that matches counts.
-func (x *Settings) Find(listener, method, path string) int {
+// FindOperation returns the index of the first operation that matches a request, or -1. listener is the name of the
+// listener that received the request.
+func (x *Settings) FindOperation(listener, method, path string) int {
 	for i, o := range x.Operation {
 		if len(o.Listener) > 0 && !slices.Contains(o.Listener, listener) {
 			continue
@@ -96,7 +97,7 @@
 			if m.Method != "" && m.Method != method {
 				continue
 			}
-			if before, star := strings.CutSuffix(m.Path, "*"); star && strings.HasPrefix(path, before) || m.Path == path {
+			if prefix, wildcard := strings.CutSuffix(m.Path, "*"); wildcard && strings.HasPrefix(path, prefix) || m.Path == path {
 				return i
 			}
 		}
@@ -104,7 +105,7 @@
 	return -1
 }
 
-// TenantIndex is a tenant's number in the order of the file, or 0.
+// TenantIndex returns the index of a tenant in the order of the file, or 0 for an unknown one.
 func (x *Settings) TenantIndex(name string) int {
 	for i, t := range x.Tenant {
 		if t.Name == name {
