--- a/cmd/arrowcleat/day.go
+++ b/cmd/arrowcleat/day.go
@@ -45,15 +45,15 @@
   arrowcleat day --plant drain        # a marshal with this fault: must be found, exit code 1`,
 		Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			plan := day.Default()
+			plan := day.DefaultScenario()
 			var err error
 			switch {
 			case file != "":
-				plan, err = day.Load(file)
+				plan, err = day.LoadScenario(file)
 			case like != "":
-				plan, err = day.Like(like)
+				plan, err = day.LoadBenchScenario(like)
 			case trouble != "":
-				plan, err = day.With(trouble)
+				plan, err = day.DefaultWithFault(trouble)
 			}
 			if err != nil {
 				return badInput{err}
@@ -73,16 +73,16 @@
 				}
 				defer os.RemoveAll(dir)
 			}
-			o := day.Options{Plan: plan, Seed: seed, Dir: dir, Plant: planted, Record: rec}
+			o := day.Options{Scenario: plan, Seed: seed, Dir: dir, InjectFault: planted, RecordModules: rec}
 			if processes {
 				if o.Binary, err = os.Executable(); err != nil {
 					return err
 				}
 			}
 			var l slog.LevelVar
-			o.Log = logger(os.Stderr, &settings.Log{Level: level, Form: "text"}, &l)
+			o.Logger = logger(os.Stderr, &settings.Log{Level: level, Form: "text"}, &l)
 			if !asJSON && !quiet {
-				o.Say = func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }
+				o.Progressf = func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -108,7 +108,7 @@
 	f := c.Flags()
 	f.StringVar(&file, "plan", "", "file of a day, protobuf text format (docs/days.md)")
 	f.StringVar(&like, "like", "", "file of a day that the bench drew or found: plays its troubles at a size for this machine")
-	f.StringVar(&trouble, "trouble", "", "play only this trouble: "+strings.Join(day.Kinds(), ", "))
+	f.StringVar(&trouble, "trouble", "", "play only this trouble: "+strings.Join(day.FaultKinds(), ", "))
 	f.Uint64Var(&seed, "seed", 1, "of all that is random")
 	f.Uint32Var(&cores, "cores", 0, "instances of the module in each marshal (left out: as the day says)")
 	f.Uint32Var(&nodes, "nodes", 0, "stand-in nodes, in place of the day's")
@@ -125,7 +125,7 @@
 	return c
 }
 
-func printDay(c *cobra.Command, plan *settings.Day, out *day.Outcome) {
+func printDay(c *cobra.Command, plan *settings.Day, out *day.Result) {
 	w := c.OutOrStdout()
 	fmt.Fprintf(w, "\nseed %d\n", out.Seed)
 	for _, b := range out.Builds {
@@ -133,11 +133,11 @@
 	}
 	fmt.Fprintf(w, "\n%-14s %9s %9s %9s   ms until the answer of what succeeded\n", "operation", "p50", "p99", "p99.9")
 	for i, o := range plan.Settings.Operation {
-		t := out.Took(i, 0.5, 0.99, 0.999)
+		t := out.AnswerTimes(i, 0.5, 0.99, 0.999)
 		fmt.Fprintf(w, "%-14s %9.1f %9.1f %9.1f\n", o.Name, t[0], t[1], t[2])
 	}
 	fmt.Fprintln(w)
-	out.Table(w)
+	out.WriteTable(w)
 }
 
 func auditCommand() *cobra.Command {
@@ -149,7 +149,7 @@
 alone. Exit code 0: none was broken; 1: one was; 2: the folder can't be read.`,
 		Args: oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
-			r, err := audit.Dir(args[0])
+			r, err := audit.CheckDir(args[0])
 			if err != nil {
 				return badInput{err}
 			}
@@ -160,7 +160,7 @@
 				}
 				fmt.Fprintln(c.OutOrStdout(), string(b))
 			} else {
-				r.Table(c.OutOrStdout())
+				r.WriteTable(c.OutOrStdout())
 			}
 			if !r.Clean() {
 				return errBroken
@@ -193,13 +193,13 @@
 				return badInput{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			torn := ""
-			if out.Torn {
+			if out.Truncated {
 				torn = ", with a torn tail"
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d events, %d calls%s\n", out.Events, out.Calls, torn)
-			if out.Different != "" {
-				return fmt.Errorf("the first different decision is at event %d (clock %.3f ms): %s", out.AtEvent, out.At,
-					out.Different)
+			if out.FirstDifference != "" {
+				return fmt.Errorf("the first different decision is at event %d (clock %.3f ms): %s", out.EventNumber, out.ClockMs,
+					out.FirstDifference)
 			}
 			fmt.Fprintln(c.OutOrStdout(), "every decision came out the same")
 			return nil
--- a/cmd/arrowcleat/measure.go
+++ b/cmd/arrowcleat/measure.go
@@ -13,7 +13,7 @@
 
 // measureCores measures on one core after the other.
 func measureCores() *cobra.Command {
-	o := measure.Options{Clients: 64, Rate: 2000}
+	o := measure.Options{Clients: 64, RatePerS: 2000}
 	seconds, counts := 4.0, []int{1, 2, 4, 8}
 	c := &cobra.Command{
 		Use:   "cores",
@@ -32,28 +32,28 @@
 				return err
 			}
 			defer os.RemoveAll(o.Dir)
-			o.Set, o.For = day.Default().Settings, time.Duration(seconds*float64(time.Second))
+			o.Settings, o.LoopDuration = day.DefaultScenario().Settings, time.Duration(seconds*float64(time.Second))
 			w := c.OutOrStdout()
-			fmt.Fprintf(w, "%d nodes, %d clients; open loop at %g a second\n\n", o.Nodes, o.Clients, o.Rate)
+			fmt.Fprintf(w, "%d nodes, %d clients; open loop at %g a second\n\n", o.Nodes, o.Clients, o.RatePerS)
 			fmt.Fprintf(w, "%5s %-14s %6s %9s %10s %6s %6s %9s %9s %9s %8s %7s\n", "cores", "way", "apart", "inv/s", "inv/CPU-s", "busy",
 				"load", "p50 ms", "p99 ms", "p99.9 ms", "behind", "failed")
-			return measure.Cores(c.Context(), o, counts, func(r measure.CoresRow) {
-				fmt.Fprintf(w, "%5d %-14s %6t %9.0f %10.0f %6.2f %6.2f %9.3f %9.3f %9.3f %8d %7d\n", r.Cores, r.Way, r.Apart, r.PerSecond,
-					r.PerCore, r.Busy, r.Load, r.P50, r.P99, r.P999, r.Behind, r.Failed)
+			return measure.RunOnCores(c.Context(), o, counts, func(r measure.CoresResult) {
+				fmt.Fprintf(w, "%5d %-14s %6t %9.0f %10.0f %6.2f %6.2f %9.3f %9.3f %9.3f %8d %7d\n", r.Cores, r.Target, r.Isolated, r.InvocationsPerS,
+					r.InvocationsPerCPUS, r.TargetCPUs, r.LoadCPUs, r.P50Ms, r.P99Ms, r.P999Ms, r.LateSends, r.Failed)
 			})
 		},
 	}
 	f := c.Flags()
 	f.IntVar(&o.Nodes, "nodes", 15, "stand-in nodes")
 	f.IntVar(&o.Clients, "clients", o.Clients, "connections of the closed loop")
-	f.Float64Var(&o.Rate, "rate", o.Rate, "invocations a second of the open loop")
+	f.Float64Var(&o.RatePerS, "rate", o.RatePerS, "invocations a second of the open loop")
 	f.Float64Var(&seconds, "seconds", seconds, "of each loop")
 	f.IntSliceVar(&counts, "counts", counts, "numbers of cores")
 	return c
 }
 
 func measureCommand() *cobra.Command {
-	o := measure.Options{Clients: 32, Rate: 2000, Idle: 1000, Procs: 2}
+	o := measure.Options{Clients: 32, RatePerS: 2000, IdleConns: 1000, GoMaxProcs: 2}
 	seconds := 4.0
 	c := &cobra.Command{
 		Use:   "measure",
@@ -72,19 +72,19 @@
 				return err
 			}
 			defer os.RemoveAll(o.Dir)
-			o.Set, o.For = day.Default().Settings, time.Duration(seconds*float64(time.Second))
+			o.Settings, o.LoopDuration = day.DefaultScenario().Settings, time.Duration(seconds*float64(time.Second))
 			rows, err := measure.Run(c.Context(), o)
 			if err != nil {
 				return err
 			}
 			w := c.OutOrStdout()
 			fmt.Fprintf(w, "%d nodes, %d clients; open loop at %g a second; GOMAXPROCS %d for what is measured\n\n", o.Nodes, o.Clients,
-				o.Rate, o.Procs)
+				o.RatePerS, o.GoMaxProcs)
 			fmt.Fprintf(w, "%-14s %10s %12s %9s %9s %9s %8s %10s %7s\n", "way", "inv/s", "inv/CPU-s", "p50 ms", "p99 ms", "p99.9 ms",
 				"behind", "KiB/conn", "failed")
 			for _, r := range rows {
-				fmt.Fprintf(w, "%-14s %10.0f %12.0f %9.3f %9.3f %9.3f %8d %10.1f %7d\n", r.Way, r.PerSecond, r.PerCore, r.P50, r.P99,
-					r.P999, r.Behind, r.KiBPerConn, r.Failed)
+				fmt.Fprintf(w, "%-14s %10.0f %12.0f %9.3f %9.3f %9.3f %8d %10.1f %7d\n", r.Target, r.InvocationsPerS, r.InvocationsPerCPUS, r.P50Ms, r.P99Ms,
+					r.P999Ms, r.LateSends, r.KiBPerConn, r.Failed)
 			}
 			return nil
 		},
@@ -92,10 +92,10 @@
 	f := c.Flags()
 	f.IntVar(&o.Nodes, "nodes", 15, "stand-in nodes")
 	f.IntVar(&o.Clients, "clients", o.Clients, "connections of the closed loop")
-	f.Float64Var(&o.Rate, "rate", o.Rate, "invocations a second of the open loop")
+	f.Float64Var(&o.RatePerS, "rate", o.RatePerS, "invocations a second of the open loop")
 	f.Float64Var(&seconds, "seconds", seconds, "of each loop")
-	f.IntVar(&o.Idle, "idle", o.Idle, "connections whose memory is weighed")
-	f.IntVar(&o.Procs, "procs", o.Procs, "GOMAXPROCS of what is measured")
+	f.IntVar(&o.IdleConns, "idle", o.IdleConns, "connections whose memory is weighed")
+	f.IntVar(&o.GoMaxProcs, "procs", o.GoMaxProcs, "GOMAXPROCS of what is measured")
 	c.AddCommand(measureCores(), &cobra.Command{Use: "proxy ADDRESS...", Hidden: true, Short: "The reverse proxy that is measured against",
 		RunE: func(c *cobra.Command, args []string) error { return measure.Proxy(args, os.Stdin, os.Stdout) }})
 	return c
--- a/cmd/arrowcleat/soak_test.go
+++ b/cmd/arrowcleat/soak_test.go
@@ -111,9 +111,9 @@
 		rule string // broken, or words of what is found otherwise
 		life soak.Life
 	}{
-		"twice": {audit.Answered, term}, audit.Answered: {audit.Answered, term}, audit.Effects: {audit.Effects, term},
-		audit.OneOut: {audit.OneOut, term}, audit.Drain: {audit.Drain, term}, audit.Exposure: {audit.Exposure, term},
-		audit.Budget: {audit.Budget, term}, audit.Gone: {audit.Gone, term}, "close": {audit.Answered, term}, "discards": {audit.Answered, term},
+		"twice": {audit.RuleAnswered, term}, audit.RuleAnswered: {audit.RuleAnswered, term}, audit.RuleEffects: {audit.RuleEffects, term},
+		audit.RuleOneInFlight: {audit.RuleOneInFlight, term}, audit.RuleDrain: {audit.RuleDrain, term}, audit.RuleExposure: {audit.RuleExposure, term},
+		audit.RuleTimeBudget: {audit.RuleTimeBudget, term}, audit.RuleClientGone: {audit.RuleClientGone, term}, "close": {audit.RuleAnswered, term}, "discards": {audit.RuleAnswered, term},
 		"start": {"before it was ready", term}, "exit": {"exit status 3 after TERM", term}, "crash": {"it crashed", term},
 		"left over": {"at rest", quiet}, "strangers": {"neither an error nor a close", soak.Life{Load: 4500 * ms, End: soak.EndTerm}},
 	} {
@@ -128,14 +128,14 @@
 			switch fault {
 			case "strangers":
 				p.Crowd = 20
-			case audit.Gone:
+			case audit.RuleClientGone:
 				p.Leave = 0.6
 			case "discards": // many connections rest when the marshal stops
 				p.Rests, p.Clients = 0.8, 40
-			case audit.Drain: // a node has to be there still when its grace is over
+			case audit.RuleDrain: // a node has to be there still when its grace is over
 				p.Kinds = []soak.Event{soak.Drain, soak.Grow}
 				p.Lives[0][0].Load = 3 * time.Second
-			case audit.Exposure: // a build has to be on trial for a while
+			case audit.RuleExposure: // a build has to be on trial for a while
 				p.Kinds, p.Events = []soak.Event{soak.Advance}, 700*ms
 				p.Caps, p.Free, p.Window = []float64{0.05, 1}, 0, time.Second
 				p.Lives[0][0].Load = 4 * time.Second
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -17,50 +17,50 @@
 
 // The rules, in the order of the brief's; the fourth is the limit on copies that are out at once.
 const (
-	Answered = "answered" // one final answer in the client's time, and nothing after it
-	Effects  = "effects"  // no effect twice
-	OneOut   = "one-out"  // at most one dispatch of an invocation out
-	Drain    = "drain"    // nothing new to a node that drains or is gone
-	Cold     = "cold"     // no cold node pushed over
-	Exposure = "exposure" // builds on trial within their caps
-	Forward  = "forward"  // keys that may only go forward
+	RuleAnswered    = "answered" // one final answer in the client's time, and nothing after it
+	RuleEffects     = "effects"  // no effect twice
+	RuleOneInFlight = "one-out"  // at most one dispatch of an invocation out
+	RuleDrain       = "drain"    // nothing new to a node that drains or is gone
+	RuleColdNodes   = "cold"     // no cold node pushed over
+	RuleExposure    = "exposure" // builds on trial within their caps
+	RuleForwardOnly = "forward"  // keys that may only go forward
 )
 
 // Rules lists them.
-var Rules = []string{Answered, Effects, OneOut, Drain, Cold, Exposure, Forward}
+var Rules = []string{RuleAnswered, RuleEffects, RuleOneInFlight, RuleDrain, RuleColdNodes, RuleExposure, RuleForwardOnly}
 
 // The rules that only the operators' platform has; checked where Bounds say so.
 const (
-	Budget = "budget" // the time that a node is told is no more than what its client has left
-	Gone   = "gone"   // nothing begins for a client that has left
+	RuleTimeBudget = "budget" // the time that a node is told is no more than what its client has left
+	RuleClientGone = "gone"   // nothing begins for a client that has left
 )
 
 // Bounds are what a platform's protocol says beyond the settings. The zero Bounds are the project's own protocol.
 type Bounds struct {
-	LowerCap    float64 // ms after which a lower cap binds; 0: the settings' grace
-	SpareSends  float64 // attempts over the cap that pass
-	SparePart   float64 // and the part of what the cap allows
-	ToldMs      float64 // slack on the time that a node is told; 0: not checked
-	GoneMs      float64 // after which nothing begins for a client that has left; 0: not checked
-	StopMs      float64 // after the word to stop, from which on what a kill leaves unanswered counts as lost; 0: never
-	ResendAtEnd bool    // clients send again what crosses the end of a connection: no other loss at a stop is forgiven
+	LowerCapGraceMs    float64 // ms after which a lower cap binds; 0: the settings' grace
+	ExtraAttempts      float64 // attempts over the cap that pass
+	ExtraAttemptsShare float64 // and the part of what the cap allows
+	TimeLimitSlackMs   float64 // slack on the time that a node is told; 0: not checked
+	ClientGoneGraceMs  float64 // after which nothing begins for a client that has left; 0: not checked
+	StopGraceMs        float64 // after the word to stop, from which on what a kill leaves unanswered counts as lost; 0: never
+	ResendOnClose      bool    // clients send again what crosses the end of a connection: no other loss at a stop is forgiven
 }
 
 // Report is what an audit found.
 type Report struct {
 	Invocations   int             `json:"invocations"` // that a marshal took
 	Succeeded     int             `json:"succeeded"`
-	InTime        int             `json:"in_time"` // of those that succeeded, within the SLO time
+	WithinSLO     int             `json:"in_time"` // of those that succeeded, within the SLO time
 	Throttled     int             `json:"throttled"`
 	Terminated    int             `json:"terminated"`
 	Unanswered    int             `json:"unanswered"`
 	AnsweredTwice int             `json:"answered_twice"`
-	Left          int             `json:"left"`      // clients that went before their answer
-	NotTaken      int             `json:"not_taken"` // turned away, or lost with a marshal that was killed
+	ClientsLeft   int             `json:"left"`      // clients that went before their answer
+	NotAccepted   int             `json:"not_taken"` // turned away, or lost with a marshal that was killed
 	Dispatches    int             `json:"dispatches"`
 	Repeats       int             `json:"repeats"`
 	Checked       map[string]int  `json:"checked"`      // things a rule was held against
-	Found         map[string]int  `json:"found"`        // and how often it was broken
+	Violations    map[string]int  `json:"found"`        // and how often it was broken
 	Examples      []string        `json:"examples"`     // the first few, for people
 	RulesBroken   []string        `json:"rules_broken"` // names of the rules
 	took          map[int][]int64 // us of each operation's answers
@@ -79,8 +79,8 @@
 	perRule      = 6
 )
 
-// Dir audits a folder: settings.txtpb and every record that ends in .seen.
-func Dir(dir string) (*Report, error) {
+// CheckDir audits a folder: settings.txtpb and every record that ends in .seen.
+func CheckDir(dir string) (*Report, error) {
 	set, err := settings.Load(filepath.Join(dir, "settings.txtpb"))
 	if err != nil {
 		return nil, err
@@ -114,14 +114,14 @@
 
 // Check audits what was seen.
 func Check(set *settings.Settings, all []*record.Seen) *Report {
-	return CheckWithin(set, Bounds{}, all)
+	return CheckWithBounds(set, Bounds{}, all)
 }
 
-// CheckWithin audits what was seen on a platform with bounds of its own.
-func CheckWithin(set *settings.Settings, bounds Bounds, all []*record.Seen) *Report {
+// CheckWithBounds audits what was seen on a platform with bounds of its own.
+func CheckWithBounds(set *settings.Settings, bounds Bounds, all []*record.Seen) *Report {
 	slices.SortStableFunc(all, func(a, b *record.Seen) int { return cmp.Compare(a.AtUs, b.AtUs) })
 	a := &auditor{set: set, bounds: bounds, invs: map[string]*inv{}, marshals: map[int64]*marshal{}, ends: map[uint32][]int64{},
-		Report: Report{Checked: map[string]int{}, Found: map[string]int{}, RulesBroken: []string{}, Examples: []string{}, took: map[int][]int64{}}}
+		Report: Report{Checked: map[string]int{}, Violations: map[string]int{}, RulesBroken: []string{}, Examples: []string{}, took: map[int][]int64{}}}
 	for _, s := range all {
 		a.add(s)
 	}
@@ -132,8 +132,8 @@
 	a.forward()
 	a.budgets()
 	a.departures()
-	for _, rule := range append(slices.Clone(Rules), Budget, Gone) {
-		if a.Found[rule] > 0 {
+	for _, rule := range append(slices.Clone(Rules), RuleTimeBudget, RuleClientGone) {
+		if a.Violations[rule] > 0 {
 			a.RulesBroken = append(a.RulesBroken, rule)
 		}
 	}
@@ -230,11 +230,11 @@
 			}
 		}
 	case "begins":
-		a.Checked[Cold]++
+		a.Checked[RuleColdNodes]++
 	case "dies":
 		a.ends[s.Node] = append(a.ends[s.Node], s.AtUs)
 	case "fell":
-		a.broken(Cold, "node %d was pushed over: %s", s.Node, s.Text)
+		a.broken(RuleColdNodes, "node %d was pushed over: %s", s.Node, s.Text)
 	case "told":
 		m := a.marshal(s.Instance)
 		m.told[s.Node] = append(m.told[s.Node], s)
@@ -254,8 +254,8 @@
 }
 
 func (a *auditor) broken(rule, format string, args ...any) {
-	a.Found[rule]++
-	if a.Found[rule] <= perRule && len(a.Examples) < mostExamples {
+	a.Violations[rule]++
+	if a.Violations[rule] <= perRule && len(a.Examples) < mostExamples {
 		a.Examples = append(a.Examples, rule+": "+fmt.Sprintf(format, args...))
 	}
 }
@@ -270,7 +270,7 @@
 func (a *auditor) answered() {
 	for _, i := range a.order {
 		if i.Seen == nil {
-			a.broken(Answered, "%s reached a node and no client asked it", i.id)
+			a.broken(RuleAnswered, "%s reached a node and no client asked it", i.id)
 			continue
 		}
 		m, due := a.marshal(i.Instance), i.AtUs+int64(i.LimitMs*1000)
@@ -280,18 +280,18 @@
 		}
 		if i.extra != nil {
 			a.AnsweredTwice++
-			a.broken(Answered, "%s got something after its answer, or another's (%s %s)", i.id, i.extra.Kind, i.extra.Text)
+			a.broken(RuleAnswered, "%s got something after its answer, or another's (%s %s)", i.id, i.extra.Kind, i.extra.Text)
 		} else if len(i.finals) > 1 {
 			a.AnsweredTwice++
-			a.broken(Answered, "%s got %d answers", i.id, len(i.finals))
+			a.broken(RuleAnswered, "%s got %d answers", i.id, len(i.finals))
 		}
 		if c := i.crossed; c != nil && len(i.sent) > 0 && i.sent[0].AtUs < c.AtUs && !between(m.downs, c.AtUs-skew, c.AtUs+skew) {
-			a.broken(Answered, "%s was read, and node %d had it, but its connection ended without an answer", i.id, i.sent[0].Node)
+			a.broken(RuleAnswered, "%s was read, and node %d had it, but its connection ended without an answer", i.id, i.sent[0].Node)
 		}
 		if last != nil && last.Final == "not-taken" {
-			a.NotTaken++
+			a.NotAccepted++
 			if len(i.sent) > 0 {
-				a.broken(Answered, "%s was not taken, its client was told, but node %d got it", i.id, i.sent[0].Node)
+				a.broken(RuleAnswered, "%s was not taken, its client was told, but node %d got it", i.id, i.sent[0].Node)
 			}
 			continue
 		}
@@ -302,12 +302,12 @@
 		switch {
 		case last != nil:
 			taken()
-			a.Checked[Answered]++
+			a.Checked[RuleAnswered]++
 			switch last.Final {
 			case "succeeded":
 				a.Succeeded++
 				if float64(last.AtUs-i.AtUs) <= 1000*a.set.Operation[i.Op].SloMs {
-					a.InTime++
+					a.WithinSLO++
 				}
 				a.took[int(i.Op)] = append(a.took[int(i.Op)], last.AtUs-i.AtUs)
 			case "throttled":
@@ -315,28 +315,28 @@
 			case "terminated":
 				a.Terminated++
 			default:
-				a.broken(Answered, "%s was answered as %q, which is no final answer", i.id, last.Final)
+				a.broken(RuleAnswered, "%s was answered as %q, which is no final answer", i.id, last.Final)
 			}
 			if over := last.AtUs - due - int64(a.set.Rules.AnswerSlackMs*1000); over > 0 {
-				a.broken(Answered, "%s was answered %d ms after its client's time", i.id, over/1000)
+				a.broken(RuleAnswered, "%s was answered %d ms after its client's time", i.id, over/1000)
 			}
 		case i.left != nil:
 			taken()
-			a.Left++
+			a.ClientsLeft++
 		case i.lost == nil:
-			a.NotTaken++ // the client itself ended with the day
+			a.NotAccepted++ // the client itself ended with the day
 		case i.lost.Kind == "refused", between(m.downs, i.AtUs-skew, max(i.lost.AtUs, due)+skew) && !a.owedAtKill(m, i):
-			a.NotTaken++ // nobody was there, or what was taken died with its marshal
+			a.NotAccepted++ // nobody was there, or what was taken died with its marshal
 			if i.lost.Kind != "refused" {
 				m.taken = append(m.taken, i) // in doubt for the marshal
 			}
-		case !a.bounds.ResendAtEnd && i.lost.Kind == "broke" && len(i.sent) == 0 && between(m.stops, i.AtUs-skew, i.lost.AtUs):
-			a.NotTaken++ // it crossed with the close of a marshal that takes nothing new
+		case !a.bounds.ResendOnClose && i.lost.Kind == "broke" && len(i.sent) == 0 && between(m.stops, i.AtUs-skew, i.lost.AtUs):
+			a.NotAccepted++ // it crossed with the close of a marshal that takes nothing new
 		default:
 			taken()
-			a.Checked[Answered]++
+			a.Checked[RuleAnswered]++
 			a.Unanswered++
-			a.broken(Answered, "%s at marshal %d had no answer (%s %s, %d dispatches)", i.id, i.Instance, i.lost.Kind,
+			a.broken(RuleAnswered, "%s at marshal %d had no answer (%s %s, %d dispatches)", i.id, i.Instance, i.lost.Kind,
 				i.lost.Text, len(i.sent))
 		}
 	}
@@ -347,19 +347,19 @@
 
 // owedAtKill says that an invocation came so long after the word to stop that a kill does not excuse its loss.
 func (a *auditor) owedAtKill(m *marshal, i *inv) bool {
-	if a.bounds.StopMs == 0 {
+	if a.bounds.StopGraceMs == 0 {
 		return false
 	}
 	n := sort.Search(len(m.stops), func(k int) bool { return m.stops[k] > i.AtUs })
 	if n == 0 || between(m.ups, m.stops[n-1], i.AtUs) {
 		return false
 	}
-	return i.AtUs-m.stops[n-1] > int64(a.bounds.StopMs*1000)+skew
+	return i.AtUs-m.stops[n-1] > int64(a.bounds.StopGraceMs*1000)+skew
 }
 
 // budgets checks what nodes are told of the time that is left.
 func (a *auditor) budgets() {
-	if a.bounds.ToldMs == 0 {
+	if a.bounds.TimeLimitSlackMs == 0 {
 		return
 	}
 	for _, i := range a.order {
@@ -367,10 +367,10 @@
 			if i.Seen == nil || d.LimitMs == 0 {
 				continue
 			}
-			a.Checked[Budget]++
+			a.Checked[RuleTimeBudget]++
 			left := i.LimitMs - float64(d.AtUs-i.AtUs)/1000
-			if d.LimitMs > left+a.bounds.ToldMs+skew/1000 {
-				a.broken(Budget, "%s told node %d of %.0f ms when its client had %.0f left", i.id, d.Node, d.LimitMs, left)
+			if d.LimitMs > left+a.bounds.TimeLimitSlackMs+skew/1000 {
+				a.broken(RuleTimeBudget, "%s told node %d of %.0f ms when its client had %.0f left", i.id, d.Node, d.LimitMs, left)
 			}
 		}
 	}
@@ -378,17 +378,17 @@
 
 // departures checks that nothing begins for clients that have left.
 func (a *auditor) departures() {
-	if a.bounds.GoneMs == 0 {
+	if a.bounds.ClientGoneGraceMs == 0 {
 		return
 	}
 	for _, i := range a.order {
 		if i.left == nil {
 			continue
 		}
-		a.Checked[Gone]++
+		a.Checked[RuleClientGone]++
 		for _, d := range i.sent {
-			if late := d.AtUs - i.left.AtUs; late > int64(a.bounds.GoneMs*1000)+skew {
-				a.broken(Gone, "%s reached node %d %d ms after its client had left", i.id, d.Node, late/1000)
+			if late := d.AtUs - i.left.AtUs; late > int64(a.bounds.ClientGoneGraceMs*1000)+skew {
+				a.broken(RuleClientGone, "%s reached node %d %d ms after its client had left", i.id, d.Node, late/1000)
 			}
 		}
 	}
@@ -401,32 +401,32 @@
 			continue
 		}
 		o := a.set.Operation[i.Op]
-		a.Checked[Effects]++
+		a.Checked[RuleEffects]++
 		for n, d := range i.sent {
 			for _, e := range i.sent[:n] {
-				a.Checked[OneOut]++
+				a.Checked[RuleOneInFlight]++
 				if over := a.over(e); over == 0 || over > d.AtUs+skew/2 {
-					a.broken(OneOut, "%s was sent to node %d %d ms before it was over at node %d", i.id, d.Node,
+					a.broken(RuleOneInFlight, "%s was sent to node %d %d ms before it was over at node %d", i.id, d.Node,
 						(over-d.AtUs)/1000, e.Node)
 				}
 				if e.away || o.Repeat == settings.Repeat_IDEMPOTENT {
 					continue
 				}
 				if o.Repeat == settings.Repeat_SIDE_EFFECTING {
-					a.broken(Effects, "%s (%s) was sent to node %d though it may have run on node %d", i.id, o.Name, d.Node,
+					a.broken(RuleEffects, "%s (%s) was sent to node %d though it may have run on node %d", i.id, o.Name, d.Node,
 						e.Node)
 				} else if d.AtUs-e.AtUs > int64(o.MemoryMs*1000)+skew {
-					a.broken(Effects, "%s (%s) was sent again after %d ms, outside the memory of %g ms", i.id, o.Name,
+					a.broken(RuleEffects, "%s (%s) was sent again after %d ms, outside the memory of %g ms", i.id, o.Name,
 						(d.AtUs-e.AtUs)/1000, o.MemoryMs)
 				} else if o.Group == "zone" && d.Zone != e.Zone || o.Group == "cell" && d.Node != e.Node {
-					a.broken(Effects, "%s (%s) was sent outside its group, from node %d to node %d", i.id, o.Name, e.Node, d.Node)
+					a.broken(RuleEffects, "%s (%s) was sent outside its group, from node %d to node %d", i.id, o.Name, e.Node, d.Node)
 				}
 			}
 		}
 		ran := slices.ContainsFunc(i.sent, func(d *dispatch) bool { return !d.away })
 		if ran && len(i.finals) > 0 && i.finals[0].Final == "throttled" && (o.Repeat == settings.Repeat_SIDE_EFFECTING ||
 			o.Repeat == settings.Repeat_FINGERPRINTED && o.Group != "all") {
-			a.broken(Effects, "%s (%s) was throttled though it may have run on node %d", i.id, o.Name, i.sent[0].Node)
+			a.broken(RuleEffects, "%s (%s) was throttled though it may have run on node %d", i.id, o.Name, i.sent[0].Node)
 		}
 	}
 }
@@ -452,7 +452,7 @@
 			if n == 0 {
 				continue
 			}
-			a.Checked[Drain]++
+			a.Checked[RuleDrain]++
 			// The first word of the present row of words that it drains or is gone.
 			first := n
 			for first > 0 && told[first-1].Text != "serving" {
@@ -461,7 +461,7 @@
 			if first == n || d.AtUs-told[first].AtUs <= grace || between(m.ups, told[first].AtUs, d.AtUs) {
 				continue
 			}
-			a.broken(Drain, "node %d got %s %d ms after marshal %d was told that it is %s", d.Node, d.Inv,
+			a.broken(RuleDrain, "node %d got %s %d ms after marshal %d was told that it is %s", d.Node, d.Inv,
 				(d.AtUs-told[first].AtUs)/1000, d.Instance, told[first].Text)
 		}
 	}
@@ -470,7 +470,7 @@
 // exposure checks the fifth rule.
 func (a *auditor) exposure() {
 	for number, m := range a.marshals {
-		lower := a.bounds.LowerCap
+		lower := a.bounds.LowerCapGraceMs
 		if lower == 0 {
 			lower = a.set.Rules.GraceMs
 		}
@@ -566,15 +566,15 @@
 		if !onTrial {
 			continue
 		}
-		w.a.Checked[Exposure]++
+		w.a.Checked[RuleExposure]++
 		if uint32(stage) < r.Shielded && int(d.Op) < len(w.a.set.Operation) {
 			if o := w.a.set.Operation[d.Op]; o.Repeat != settings.Repeat_IDEMPOTENT {
-				w.a.broken(Exposure, "%s (%s) went to build %d in the shielded stage %d", d.Inv, o.Name, d.Ver, stage)
+				w.a.broken(RuleExposure, "%s (%s) went to build %d in the shielded stage %d", d.Inv, o.Name, d.Ver, stage)
 			}
 		}
 		if cap == 0 {
 			if since > 0 || w.longZero(d) {
-				w.a.broken(Exposure, "marshal %d sent %s to build %d, whose cap is 0", w.number, d.Inv, d.Ver)
+				w.a.broken(RuleExposure, "marshal %d sent %s to build %d, whose cap is 0", w.number, d.Inv, d.Ver)
 			}
 			continue
 		}
@@ -583,9 +583,9 @@
 		count := len(all) - sort.Search(len(all), func(i int) bool { return all[i] > from })
 		taken := w.taken(d.AtUs-w.over-skew, d.AtUs, s.op)
 		most := r.Allowance + cap*float64(taken)
-		most += w.a.bounds.SpareSends + w.a.bounds.SparePart*most
+		most += w.a.bounds.ExtraAttempts + w.a.bounds.ExtraAttemptsShare*most
 		if float64(count) > most {
-			w.a.broken(Exposure, "marshal %d sent %d to build %d in %d ms; %d taken at a cap of %g allow %.1f", w.number, count,
+			w.a.broken(RuleExposure, "marshal %d sent %d to build %d in %d ms; %d taken at a cap of %g allow %.1f", w.number, count,
 				d.Ver, w.over/1000, taken, cap, most)
 		}
 	}
@@ -644,16 +644,16 @@
 			if s == nil || s.Ver != b.ver || s.Phase != int64(balance.OnTrial) && s.Phase != int64(balance.Released) {
 				continue
 			}
-			a.Checked[Forward]++
+			a.Checked[RuleForwardOnly]++
 			if d.Ver < b.ver {
-				a.broken(Forward, "key %s, answered by build %d, went to build %d", d.Key, b.ver, d.Ver)
+				a.broken(RuleForwardOnly, "key %s, answered by build %d, went to build %d", d.Key, b.ver, d.Ver)
 			}
 		}
 	}
 }
 
-// Took gives the answer times of an operation's successes at some shares of them, in ms.
-func (r *Report) Took(op int, shares ...float64) []float64 {
+// AnswerTimes gives the answer times of an operation's successes at some shares of them, in ms.
+func (r *Report) AnswerTimes(op int, shares ...float64) []float64 {
 	t := slices.Clone(r.took[op])
 	slices.Sort(t)
 	var out []float64
@@ -668,26 +668,26 @@
 }
 
 var says = map[string]string{
-	Answered: "one final answer each, in the client's time",
-	Effects:  "no effect twice",
-	OneOut:   "one dispatch out at most",
-	Drain:    "nothing new to a node that drains or is gone",
-	Cold:     "no cold node pushed over",
-	Exposure: "builds on trial within their caps",
-	Forward:  "keys go forward only",
-	Budget:   "nodes told of no more time than there is",
-	Gone:     "nothing begun for clients that have left",
-}
-
-// Table prints the audit, rule by rule.
-func (r *Report) Table(w io.Writer) {
+	RuleAnswered:    "one final answer each, in the client's time",
+	RuleEffects:     "no effect twice",
+	RuleOneInFlight: "one dispatch out at most",
+	RuleDrain:       "nothing new to a node that drains or is gone",
+	RuleColdNodes:   "no cold node pushed over",
+	RuleExposure:    "builds on trial within their caps",
+	RuleForwardOnly: "keys go forward only",
+	RuleTimeBudget:  "nodes told of no more time than there is",
+	RuleClientGone:  "nothing begun for clients that have left",
+}
+
+// WriteTable prints the audit, rule by rule.
+func (r *Report) WriteTable(w io.Writer) {
 	fmt.Fprintf(w, "invocations %d: %d succeeded, %d throttled, %d terminated, %d clients left; %d unanswered, %d answered twice\n",
-		r.Invocations, r.Succeeded, r.Throttled, r.Terminated, r.Left, r.Unanswered, r.AnsweredTwice)
-	fmt.Fprintf(w, "not taken %d, dispatches %d, of them repeats %d\n\n", r.NotTaken, r.Dispatches, r.Repeats)
+		r.Invocations, r.Succeeded, r.Throttled, r.Terminated, r.ClientsLeft, r.Unanswered, r.AnsweredTwice)
+	fmt.Fprintf(w, "not taken %d, dispatches %d, of them repeats %d\n\n", r.NotAccepted, r.Dispatches, r.Repeats)
 	fmt.Fprintf(w, "%-9s %-46s %8s %7s\n", "rule", "", "checked", "broken")
-	rules := slices.DeleteFunc([]string{Budget, Gone}, func(rule string) bool { return r.Checked[rule] == 0 })
+	rules := slices.DeleteFunc([]string{RuleTimeBudget, RuleClientGone}, func(rule string) bool { return r.Checked[rule] == 0 })
 	for _, rule := range append(slices.Clone(Rules), rules...) {
-		fmt.Fprintf(w, "%-9s %-46s %8d %7d\n", rule, says[rule], r.Checked[rule], r.Found[rule])
+		fmt.Fprintf(w, "%-9s %-46s %8d %7d\n", rule, says[rule], r.Checked[rule], r.Violations[rule])
 	}
 	for _, e := range r.Examples {
 		fmt.Fprintln(w, "  "+e)
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -117,7 +117,7 @@
 
 // What only a platform's protocol says is held against its bounds, and each breach of it is found.
 func TestPlatformBounds(t *testing.T) {
-	bounds := Bounds{LowerCap: 150, SpareSends: 2, SparePart: 0.04, ToldMs: 150, GoneMs: 100, StopMs: 700, ResendAtEnd: true}
+	bounds := Bounds{LowerCapGraceMs: 150, ExtraAttempts: 2, ExtraAttemptsShare: 0.04, TimeLimitSlackMs: 150, ClientGoneGraceMs: 100, StopGraceMs: 700, ResendOnClose: true}
 	told := func(ms float64) func(*record.Seen) { return func(s *record.Seen) { s.LimitMs = ms } }
 	answered := at(90, "answered", "a", 0, 0, final("succeeded"))
 	for _, c := range []struct {
@@ -142,7 +142,7 @@
 			at(1900, "asked", "a", 0, 0), at(2000, "killed", "", 0, 0), at(2001, "broke", "a", 0, 0)}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := CheckWithin(set, bounds, slices.Clone(c.seen))
+			r := CheckWithBounds(set, bounds, slices.Clone(c.seen))
 			if got := strings.Join(r.RulesBroken, " "); got != c.want {
 				t.Errorf("broken: %q, not %q: %v", got, c.want, r.Examples)
 			}
--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -48,8 +48,8 @@
 		c.pools = append(c.pools, &pool{m: m})
 	}
 	sum := 0.0
-	for k := range max(1, int(w.Plan.Keys)) {
-		sum += math.Pow(float64(k+1), -w.Plan.Zipf)
+	for k := range max(1, int(w.Scenario.Keys)) {
+		sum += math.Pow(float64(k+1), -w.Scenario.Zipf)
 		c.weight = append(c.weight, sum)
 	}
 	return c
@@ -67,7 +67,7 @@
 	next := begun
 	for time.Since(begun) < for_ && ctx.Err() == nil {
 		c.mu.Lock()
-		next = next.Add(time.Duration(c.rnd.ExpFloat64() / (c.w.Plan.Rate * c.times) * float64(time.Second)))
+		next = next.Add(time.Duration(c.rnd.ExpFloat64() / (c.w.Scenario.Rate * c.times) * float64(time.Second)))
 		inv := c.draw()
 		c.mu.Unlock()
 		if wait := time.Until(next); wait > 0 {
@@ -97,7 +97,7 @@
 
 // draw makes up an invocation; c.mu is held.
 func (c *clients) draw() *wish {
-	w, p, h := c.w, c.w.Plan, c.w.Plan.Habits
+	w, p, h := c.w, c.w.Scenario, c.w.Scenario.Habits
 	v := &wish{op: pick(p.Mix, c.rnd), left: c.rnd.IntN(int(h.Retries) + 1), try: 1}
 	v.work = p.WorkMs[v.op] * (0.6 + 0.8*c.rnd.Float64())
 	v.limit = time.Duration(p.Settings.Operation[v.op].LimitMs * (h.PatienceLeast + (1-h.PatienceLeast)*c.rnd.Float64()) *
@@ -215,7 +215,7 @@
 	begun := time.Now()
 	for {
 		final, wait := c.ask(v)
-		o := c.w.Plan.Settings.Operation[v.op]
+		o := c.w.Scenario.Settings.Operation[v.op]
 		again := final == front.Throttled || final == front.NotAccepted || final == front.Terminated && o.Repeat == settings.Repeat_IDEMPOTENT
 		rest := time.Duration(o.LimitMs*float64(time.Millisecond)) - time.Since(begun) - wait
 		if !again || v.left == 0 || rest < 50*time.Millisecond || v.second != nil {
@@ -240,12 +240,12 @@
 		c.see(v, "refused", "", err.Error(), time.Now())
 		return front.NotAccepted, 50 * time.Millisecond
 	}
-	text := v.request(c.w.Plan.Settings)
+	text := v.request(c.w.Scenario.Settings)
 	begun := time.Now()
 	c.see(v, "asked", "", "", begun)
 	if v.second != nil {
 		c.see(v.second, "asked", "", "", begun)
-		text = append(text, v.second.request(c.w.Plan.Settings)...)
+		text = append(text, v.second.request(c.w.Scenario.Settings)...)
 	}
 	cc.last = v
 	if err := cc.send(text, v.trickle); err != nil && !readable(err) {
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -23,7 +23,7 @@
 
 // short is a day of some seconds with what goes wrong most.
 func short() *settings.Day {
-	d := Default()
+	d := DefaultScenario()
 	d.Seconds, d.Rate, d.Nodes = 5.5, 160, 8
 	d.Build = []*settings.Build{{AtS: 0.3}}
 	d.Settings.Rollout.SoakMs = 200
@@ -41,7 +41,7 @@
 	dir := t.TempDir()
 	d := short()
 	d.Settings.Rules.FallMultiple, d.Settings.Rollout.ForwardOnly = 1, true
-	out, err := Run(context.Background(), Options{Plan: d, Seed: 4, Dir: dir, Record: true})
+	out, err := Run(context.Background(), Options{Scenario: d, Seed: 4, Dir: dir, RecordModules: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 		t.Errorf("%d taken, %d succeeded, %d repeats, broken %v: %v", out.Invocations, out.Succeeded, out.Repeats, out.RulesBroken,
 			out.Examples)
 	}
-	for _, rule := range []string{audit.Answered, audit.Effects, audit.OneOut, audit.Drain, audit.Cold, audit.Exposure, audit.Forward} {
+	for _, rule := range []string{audit.RuleAnswered, audit.RuleEffects, audit.RuleOneInFlight, audit.RuleDrain, audit.RuleColdNodes, audit.RuleExposure, audit.RuleForwardOnly} {
 		if out.Checked[rule] == 0 {
 			t.Errorf("nothing was checked by %s", rule)
 		}
@@ -67,7 +67,7 @@
 			return balance.New(h, s.Settings.ModuleOf(int(s.No)), s.Seed)
 		})
 		r.Close()
-		if err != nil || got.Different != "" || got.Events < 50 {
+		if err != nil || got.FirstDifference != "" || got.Events < 50 {
 			t.Errorf("%s: %+v, %v", filepath.Base(file), got, err)
 		}
 	}
@@ -77,36 +77,36 @@
 func TestHardDays(t *testing.T) {
 	for name, c := range map[string]struct {
 		change func(*settings.Day)
-		saw    func(*Outcome) bool
+		saw    func(*Result) bool
 	}{
 		"all marshals restart while the fleet is cold": {func(d *settings.Day) {
 			d.Settings.Rules.FallMultiple = 2
 			d.Build = nil
 			d.Trouble = []*settings.Trouble{{Kind: "crash", AtS: 1, ForS: 0.6, Part: 1},
 				{Kind: "marshal_roll", AtS: 1.8, ForS: 0.3, Part: 1, Extra: 0.1, How: "kill"}}
-		}, func(o *Outcome) bool { return o.Checked[audit.Cold] >= 16 && o.Succeeded > 200 }},
+		}, func(o *Result) bool { return o.Checked[audit.RuleColdNodes] >= 16 && o.Succeeded > 200 }},
 		"a bad build goes back with keys bound, and the news is stale": {func(d *settings.Day) {
 			d.Settings.Rollout.ForwardOnly, d.Settings.Rollout.Shielded = true, 0
 			d.Build = []*settings.Build{{AtS: 0.5, Fault: &settings.Fault{Errors: 0.7}}}
 			d.Trouble = []*settings.Trouble{{Kind: "conveyor_down", AtS: 1.5, ForS: 3, How: "stale", Extra: 0.6}}
-		}, func(o *Outcome) bool {
-			return o.Checked[audit.Forward] > 0 && slices.ContainsFunc(o.Builds, func(b string) bool { return strings.Contains(b, "sent back") })
+		}, func(o *Result) bool {
+			return o.Checked[audit.RuleForwardOnly] > 0 && slices.ContainsFunc(o.Builds, func(b string) bool { return strings.Contains(b, "sent back") })
 		}},
 		"marshals stand still past their clients' time": {func(d *settings.Day) {
 			d.Trouble = []*settings.Trouble{{Kind: "marshal_stall", AtS: 1, ForS: 3.5, Part: 1, Size: 1300, Extra: 1}}
-		}, func(o *Outcome) bool { return o.NotTaken > 50 }},
+		}, func(o *Result) bool { return o.NotAccepted > 50 }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			d := short()
 			c.change(d)
-			out, err := Run(context.Background(), Options{Plan: d, Seed: 6, Dir: t.TempDir()})
+			out, err := Run(context.Background(), Options{Scenario: d, Seed: 6, Dir: t.TempDir()})
 			if err != nil {
 				t.Fatal(err)
 			}
 			if !out.Clean() || !c.saw(out) {
 				t.Errorf("taken %d, succeeded %d, not taken %d, checked %v, builds %v, held up %v ms, broken %v: %v", out.Invocations,
-					out.Succeeded, out.NotTaken, out.Checked, out.Builds, out.HeldUpMs, out.RulesBroken, out.Examples)
+					out.Succeeded, out.NotAccepted, out.Checked, out.Builds, out.MaxSchedulingDelayMs, out.RulesBroken, out.Examples)
 			}
 		})
 	}
@@ -118,17 +118,17 @@
 		t.Run(rule, func(t *testing.T) {
 			t.Parallel()
 			d := short()
-			if rule == audit.Cold {
+			if rule == audit.RuleColdNodes {
 				d.Rate = 320 // enough for one node to be pushed over
 			}
-			out, err := Run(context.Background(), Options{Plan: d, Seed: 4, Dir: t.TempDir(), Plant: rule})
+			out, err := Run(context.Background(), Options{Scenario: d, Seed: 4, Dir: t.TempDir(), InjectFault: rule})
 			if err != nil {
 				t.Fatal(err)
 			}
 			found := slices.Contains(out.RulesBroken, rule) || rule == "twice" && out.AnsweredTwice > 0
 			if out.Clean() || !found {
 				t.Errorf("not found: broken %v, checked %v, answered twice %d, held up %v ms", out.RulesBroken, out.Checked,
-					out.AnsweredTwice, out.HeldUpMs)
+					out.AnsweredTwice, out.MaxSchedulingDelayMs)
 			}
 		})
 	}
@@ -158,12 +158,12 @@
 
 // Every trouble can be played alone, under its own name and the bench's.
 func TestTroubles(t *testing.T) {
-	for _, kind := range append(Kinds(), "balancer_roll", "balancer_stall", "control_down", "discovery_stale") {
-		if d, err := With(kind); err != nil || len(d.Trouble)+len(d.Build) == 0 {
+	for _, kind := range append(FaultKinds(), "balancer_roll", "balancer_stall", "control_down", "discovery_stale") {
+		if d, err := DefaultWithFault(kind); err != nil || len(d.Trouble)+len(d.Build) == 0 {
 			t.Errorf("%s: %v", kind, err)
 		}
 	}
-	if _, err := With("locusts"); err == nil {
+	if _, err := DefaultWithFault("locusts"); err == nil {
 		t.Error("a trouble that there is not was found")
 	}
 }
--- a/internal/day/like.go
+++ b/internal/day/like.go
@@ -15,9 +15,9 @@
 	mostSeconds             = 120
 )
 
-// Like makes a day of the kinds, times and shares of a day that the bench drew or found, at a size for this machine.
+// LoadBenchScenario makes a day of the kinds, times and shares of a day that the bench drew or found, at a size for this machine.
 // The invocations and rules stay those of the default day, which are about ten times as fast.
-func Like(path string) (*settings.Day, error) {
+func LoadBenchScenario(path string) (*settings.Day, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -27,7 +27,7 @@
 	if !gjson.ValidBytes(text) || servers == 0 || marshals == 0 || !in.Get("length").Exists() {
 		return nil, fmt.Errorf("%s: no day of the bench: length, servers and balancers are what one has", path)
 	}
-	d := Default()
+	d := DefaultScenario()
 	d.Seconds = min(in.Get("length").Num/1e6, mostSeconds)
 	d.Nodes, d.Marshals = uint32(min(servers, mostNodes)), uint32(min(marshals, mostMarshals))
 	d.Settings.Instance.Marshals = d.Marshals
--- a/internal/day/parts.go
+++ b/internal/day/parts.go
@@ -74,7 +74,7 @@
 	}
 	defer log.Close()
 	p.cmd.Stderr = log
-	p.cmd.Env = append(os.Environ(), fmt.Sprint("GOMAXPROCS=", max(1, w.Plan.Settings.Instance.Cores)))
+	p.cmd.Env = append(os.Environ(), fmt.Sprint("GOMAXPROCS=", max(1, w.Scenario.Settings.Instance.Cores)))
 	if p.in, err = p.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
@@ -140,7 +140,7 @@
 
 // newMarshal prepares the settings of a marshal; addresses are chosen here, so that all know where all are.
 func (w *world) newMarshal(number int) (*aMarshal, error) {
-	set := w.Plan.Settings.Copy()
+	set := w.Scenario.Settings.Copy()
 	m := &aMarshal{w: w, number: number, zone: number % len(set.Zone), set: set}
 	set.Instance.Number, set.Instance.Zone = uint32(number), set.Zone[m.zone]
 	set.Roster.Address, set.Conveyor.Address = w.roster.Address(), w.conveyor.Address()
@@ -160,13 +160,13 @@
 	m.life++
 	m.set.Seed = m.w.Seed*1000 + uint64(m.number*50+m.life)
 	name := fmt.Sprintf("marshal-%d-%d", m.number, m.life)
-	if m.w.Record {
+	if m.w.RecordModules {
 		m.set.Record.File = filepath.Join(m.w.Dir, name+".record")
 	}
 	m.w.see(&record.Seen{Kind: "up", Instance: int64(m.number)})
 	var err error
 	if m.w.Binary == "" {
-		m.in, err = serve.Start(m.set.Copy(), m.w.Log, m.w.hooks)
+		m.in, err = serve.Start(m.set.Copy(), m.w.Logger, m.w.hooks)
 	} else {
 		file := filepath.Join(m.w.Dir, name+".txtpb")
 		if err = os.WriteFile(file, m.set.Text(), 0o644); err == nil {
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -19,8 +19,8 @@
 //go:embed default.txtpb
 var defaultPlan []byte
 
-// Default is the day that is played when none is named.
-func Default() *settings.Day {
+// DefaultScenario is the day that is played when none is named.
+func DefaultScenario() *settings.Day {
 	d, err := parse("default.txtpb", defaultPlan)
 	if err != nil {
 		panic(err) // it is part of the program
@@ -28,8 +28,8 @@
 	return d
 }
 
-// Load reads a day from a file.
-func Load(path string) (*settings.Day, error) {
+// LoadScenario reads a day from a file.
+func LoadScenario(path string) (*settings.Day, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
@@ -57,7 +57,7 @@
 	for i, t := range d.Trouble {
 		if kinds[t.Kind].begin == nil {
 			return nil, fmt.Errorf("%s: trouble %d: no kind is called %q; there are %s", name, i+1, t.Kind,
-				strings.Join(Kinds(), ", "))
+				strings.Join(FaultKinds(), ", "))
 		}
 	}
 	if d.Habits == nil {
@@ -102,8 +102,8 @@
 	return nil
 }
 
-// Kinds lists the troubles.
-func Kinds() []string {
+// FaultKinds lists the troubles.
+func FaultKinds() []string {
 	var all []string
 	for k := range kinds {
 		all = append(all, k)
@@ -116,9 +116,9 @@
 var aliases = map[string]string{"balancer_roll": "marshal_roll", "balancer_stall": "marshal_stall",
 	"control_down": "conveyor_down", "discovery_stale": "roster_stale"}
 
-// With gives the default day with one trouble only, at its middle strength, in place of the script.
-func With(kind string) (*settings.Day, error) {
-	d := Default()
+// DefaultWithFault gives the default day with one trouble only, at its middle strength, in place of the script.
+func DefaultWithFault(kind string) (*settings.Day, error) {
+	d := DefaultScenario()
 	if ours, ok := aliases[kind]; ok {
 		kind = ours
 	}
@@ -128,7 +128,7 @@
 	}
 	k, ok := kinds[kind]
 	if !ok {
-		return nil, fmt.Errorf("no trouble is called %q; there are %s", kind, strings.Join(Kinds(), ", "))
+		return nil, fmt.Errorf("no trouble is called %q; there are %s", kind, strings.Join(FaultKinds(), ", "))
 	}
 	t := k.usual
 	d.Trouble = nil
--- a/internal/day/world.go
+++ b/internal/day/world.go
@@ -27,25 +27,25 @@
 
 // Options is how a day is played.
 type Options struct {
-	Plan   *settings.Day
-	Seed   uint64
-	Dir    string // of the records
-	Plant  string // the rule that the marshals are made to break
-	Binary string // plays marshals and nodes as processes of this program; empty: in this process
-	Record bool   // the marshals record what their modules are told and ask for
-	Log    *slog.Logger
-	Say    func(format string, a ...any) // what happens, as it happens; nil for nothing
+	Scenario      *settings.Day
+	Seed          uint64
+	Dir           string // of the records
+	InjectFault   string // the rule that the marshals are made to break
+	Binary        string // plays marshals and nodes as processes of this program; empty: in this process
+	RecordModules bool   // the marshals record what their modules are told and ask for
+	Logger        *slog.Logger
+	Progressf     func(format string, a ...any) // what happens, as it happens; nil for nothing
 }
 
-// Outcome is a day, audited.
-type Outcome struct {
+// Result is a day, audited.
+type Result struct {
 	Seed uint64 `json:"seed"`
 	*audit.Report
 	Builds []string `json:"builds"`
 	Events []string `json:"events"`
 	Dir    string   `json:"dir,omitempty"`
-	// HeldUpMs is the longest that this process was held up: rules bound to times say little beyond it.
-	HeldUpMs float64 `json:"held_up_ms"`
+	// MaxSchedulingDelayMs is the longest that this process was held up: rules bound to times say little beyond it.
+	MaxSchedulingDelayMs float64 `json:"held_up_ms"`
 }
 
 // world is what a day is played with.
@@ -130,8 +130,8 @@
 	w.mu.Lock()
 	w.events = append(w.events, line)
 	w.mu.Unlock()
-	if w.Say != nil {
-		w.Say("%s", line)
+	if w.Progressf != nil {
+		w.Progressf("%s", line)
 	}
 }
 
@@ -143,31 +143,31 @@
 }
 
 // Run plays a day and audits it.
-func Run(ctx context.Context, o Options) (*Outcome, error) {
-	hooks, err := plant.Hooks(o.Plant)
+func Run(ctx context.Context, o Options) (*Result, error) {
+	hooks, err := plant.Hooks(o.InjectFault)
 	if err != nil {
 		return nil, err
 	}
-	if o.Plant != "" && o.Binary != "" {
+	if o.InjectFault != "" && o.Binary != "" {
 		return nil, fmt.Errorf("a fault can be planted only where marshals run in this process")
 	}
-	switch o.Plant { // what the fault needs to show; a marshal without it keeps the rules on such a day too
-	case audit.Forward:
-		o.Plan.Settings.Rollout.ForwardOnly = true
-	case audit.Cold:
-		o.Plan.Settings.Rules.FallMultiple = 1
+	switch o.InjectFault { // what the fault needs to show; a marshal without it keeps the rules on such a day too
+	case audit.RuleForwardOnly:
+		o.Scenario.Settings.Rollout.ForwardOnly = true
+	case audit.RuleColdNodes:
+		o.Scenario.Settings.Rules.FallMultiple = 1
 	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
+	if o.Logger == nil {
+		o.Logger = slog.New(slog.DiscardHandler)
 	}
-	w := &world{Options: o, rules: o.Plan.Settings.Rules, hooks: hooks, begun: time.Now(), faults: map[int]*settings.Build{},
+	w := &world{Options: o, rules: o.Scenario.Settings.Rules, hooks: hooks, begun: time.Now(), faults: map[int]*settings.Build{},
 		nextID: 100, rnd: rand.New(rand.NewPCG(o.Seed, 1))}
 	w.ctx, w.cancel = context.WithCancel(ctx)
 	defer w.cancel()
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
-	if err := os.WriteFile(filepath.Join(o.Dir, "settings.txtpb"), o.Plan.Settings.Text(), 0o644); err != nil {
+	if err := os.WriteFile(filepath.Join(o.Dir, "settings.txtpb"), o.Scenario.Settings.Text(), 0o644); err != nil {
 		return nil, err
 	}
 	if w.w, err = record.Create(filepath.Join(o.Dir, "day.seen"), 0); err != nil {
@@ -180,11 +180,11 @@
 	if err != nil {
 		return nil, err
 	}
-	report, err := audit.Dir(o.Dir)
+	report, err := audit.CheckDir(o.Dir)
 	if err != nil {
 		return nil, err
 	}
-	out := &Outcome{Seed: o.Seed, Report: report, Events: w.events, Dir: o.Dir, HeldUpMs: float64(lag.Microseconds()) / 1000}
+	out := &Result{Seed: o.Seed, Report: report, Events: w.events, Dir: o.Dir, MaxSchedulingDelayMs: float64(lag.Microseconds()) / 1000}
 	_, _, _, out.Builds = w.conveyor.State()
 	return out, nil
 }
@@ -200,7 +200,7 @@
 func (w *world) lagBy(extra *atomic.Int64, d time.Duration) { extra.Store(int64(d)) }
 
 func (w *world) play() error {
-	p := w.Plan
+	p := w.Scenario
 	w.roster = &standin.Roster{Lag: w.lag(p.RosterLagMs, &w.rosterLag), Seen: w.see}
 	if err := w.roster.Start("127.0.0.1:0"); err != nil {
 		return err
@@ -250,7 +250,7 @@
 
 // script sets the troubles and builds of the plan on their times.
 func (w *world) script() {
-	for i, t := range w.Plan.Trouble {
+	for i, t := range w.Scenario.Trouble {
 		rnd := rand.New(rand.NewPCG(w.Seed, uint64(i)+100))
 		w.after(seconds(t.AtS), func() {
 			w.say("%s %s begins", t.Kind, t.How)
@@ -263,7 +263,7 @@
 			w.say("%s ends", t.Kind)
 		})
 	}
-	for i, b := range w.Plan.Build {
+	for i, b := range w.Scenario.Build {
 		ver := i + 2
 		w.faults[ver] = b
 		w.after(seconds(b.AtS), func() {
@@ -312,7 +312,7 @@
 
 // tallies has the conveyor tell what a part of all dispatches came to.
 func (w *world) tallies() {
-	period := w.Plan.Settings.Rollout.TallyMs
+	period := w.Scenario.Settings.Rollout.TallyMs
 	if period <= 0 || w.Binary != "" {
 		return
 	}
@@ -354,7 +354,7 @@
 		s.line.ID = w.nextID
 	}
 	w.inc++
-	set := &settings.Standin{Node: s.line.ID, Ver: int32(s.ver), Zone: int32(s.zone), Cores: w.Plan.Cores, Speed: s.speed,
+	set := &settings.Standin{Node: s.line.ID, Ver: int32(s.ver), Zone: int32(s.zone), Cores: w.Scenario.Cores, Speed: s.speed,
 		Queue: 200, Seed: w.Seed + w.inc}
 	up := time.Hour
 	s.line.Up = 0
@@ -374,7 +374,7 @@
 	defer w.mu.Unlock()
 	s.node = n
 	w.nodes = append(w.nodes, n)
-	s.line = control.Line{Node: balance.Node{ID: set.Node, Ver: s.ver, Zone: s.zone, Size: s.speed * float64(w.Plan.Cores)},
+	s.line = control.Line{Node: balance.Node{ID: set.Node, Ver: s.ver, Zone: s.zone, Size: s.speed * float64(w.Scenario.Cores)},
 		Address: n.Address(), Incarnation: inc, Up: s.line.Up}
 	w.roster.Set(s.line, up)
 	return nil
@@ -422,7 +422,7 @@
 		return
 	}
 	s.busy = true
-	w.after(time.Duration(w.Plan.StartMs)*time.Millisecond, func() {
+	w.after(time.Duration(w.Scenario.StartMs)*time.Millisecond, func() {
 		w.mu.Lock()
 		if s.down {
 			s.busy = false // it comes up as what is wanted
@@ -438,7 +438,7 @@
 		}
 		line.Health = balance.Draining
 		w.roster.Set(line, 0)
-		w.after(time.Duration(w.Plan.DrainMs)*time.Millisecond, func() {
+		w.after(time.Duration(w.Scenario.DrainMs)*time.Millisecond, func() {
 			line.Health = balance.Gone
 			w.roster.Set(line, 0)
 			before.Kill()
--- a/internal/measure/cores.go
+++ b/internal/measure/cores.go
@@ -10,17 +10,17 @@
 	"golang.org/x/sys/unix"
 )
 
-// CoresRow is what one way came to on a number of cores.
-type CoresRow struct {
-	Row
-	Cores int
-	Apart bool // load and nodes had processors of their own
+// CoresResult is what one way came to on a number of cores.
+type CoresResult struct {
+	Result
+	Cores    int
+	Isolated bool // load and nodes had processors of their own
 }
 
-// Cores measures the marshal and the reverse proxy on as many cores as are asked for, with the same nodes and clients.
+// RunOnCores measures the marshal and the reverse proxy on as many cores as are asked for, with the same nodes and clients.
 // Where the machine has processors to spare, what is measured gets the first of them to itself, and load and nodes the
 // others; else all share all, and the row says so. Threads are bound by sched_setaffinity(2), which needs no privilege.
-func Cores(ctx context.Context, o Options, counts []int, each func(CoresRow)) error {
+func RunOnCores(ctx context.Context, o Options, counts []int, each func(CoresResult)) error {
 	nodes, err := startNodes(o.Nodes)
 	if err != nil {
 		return err
@@ -31,14 +31,14 @@
 	for _, n := range counts {
 		for _, way := range ways {
 			of := o
-			of.Procs, of.Set = n, o.Set.Copy()
-			of.Set.Instance.Cores = uint32(n)
+			of.GoMaxProcs, of.Settings = n, o.Settings.Copy()
+			of.Settings.Instance.Cores = uint32(n)
 			c, err := way.start(of, nodes)
 			if err != nil {
 				return fmt.Errorf("%s on %d cores: %w", way.name, n, err)
 			}
-			row := CoresRow{Cores: n, Apart: n < all}
-			if row.Apart {
+			row := CoresResult{Cores: n, Isolated: n < all}
+			if row.Isolated {
 				err = bind(c.cmd.Process.Pid, 0, n)
 				if err == nil {
 					err = bind(os.Getpid(), n, all)
@@ -47,8 +47,8 @@
 				err = bind(os.Getpid(), 0, all)
 			}
 			if err == nil {
-				row.Way = way.name
-				err = of.loops(ctx, []string{c.address}, c, &row.Row)
+				row.Target = way.name
+				err = of.loops(ctx, []string{c.address}, c, &row.Result)
 			}
 			c.stop()
 			if err != nil {
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -34,38 +34,38 @@
 
 // Options is what is measured.
 type Options struct {
-	Binary  string // this program, started again as what is measured
-	Dir     string
-	Set     *settings.Settings
-	Nodes   int
-	Clients int           // connections that ask one invocation after the other
-	Rate    float64       // invocations a second of the open loop
-	For     time.Duration // of each of the two
-	Idle    int           // connections whose memory is weighed
-	Procs   int           // GOMAXPROCS of what is measured
+	Binary       string // this program, started again as what is measured
+	Dir          string
+	Settings     *settings.Settings
+	Nodes        int
+	Clients      int           // connections that ask one invocation after the other
+	RatePerS     float64       // invocations a second of the open loop
+	LoopDuration time.Duration // of each of the two
+	IdleConns    int           // connections whose memory is weighed
+	GoMaxProcs   int           // GOMAXPROCS of what is measured
 }
 
-// Row is what one way came to.
-type Row struct {
-	Way             string
-	PerSecond       float64 // closed loop
-	PerCore         float64 // invocations for each second of the way's CPU; 0 where it has none
-	P50, P99, P999  float64 // ms from when an invocation was due, open loop
-	Behind          int64   // invocations that the open loop sent over 1 ms late
-	KiBPerConn      float64
-	Busy, Load      float64 // processors that the way used in the closed loop, and that load and nodes did
-	Failed          int64   // answers other than 200
-	ClosedSuccesses int64
+// Result is what one way came to.
+type Result struct {
+	Target               string
+	InvocationsPerS      float64 // closed loop
+	InvocationsPerCPUS   float64 // invocations for each second of the way's CPU; 0 where it has none
+	P50Ms, P99Ms, P999Ms float64 // ms from when an invocation was due, open loop
+	LateSends            int64   // invocations that the open loop sent over 1 ms late
+	KiBPerConn           float64
+	TargetCPUs, LoadCPUs float64 // processors that the way used in the closed loop, and that load and nodes did
+	Failed               int64   // answers other than 200
+	ClosedSuccesses      int64
 }
 
 // Run measures each way in turn.
-func Run(ctx context.Context, o Options) ([]Row, error) {
+func Run(ctx context.Context, o Options) ([]Result, error) {
 	nodes, err := startNodes(o.Nodes)
 	if err != nil {
 		return nil, err
 	}
 	defer nodes.close()
-	var rows []Row
+	var rows []Result
 	direct, err := o.row(ctx, "direct", nodes.addresses, nil)
 	if err != nil {
 		return nil, err
@@ -159,12 +159,12 @@
 	return resp.StatusCode == 200, err
 }
 
-func (o Options) row(ctx context.Context, name string, addresses []string, c *child) (Row, error) {
-	row := Row{Way: name}
+func (o Options) row(ctx context.Context, name string, addresses []string, c *child) (Result, error) {
+	row := Result{Target: name}
 	if c != nil { // before the load, whose memory would be used again
 		before := c.rss()
 		conns, err := o.idle(addresses[0])
-		row.KiBPerConn = (c.rss() - before) / float64(o.Idle)
+		row.KiBPerConn = (c.rss() - before) / float64(o.IdleConns)
 		for _, c := range conns {
 			c.Close()
 		}
@@ -176,24 +176,24 @@
 }
 
 // loops measures the closed loop and then the open one.
-func (o Options) loops(ctx context.Context, addresses []string, c *child, row *Row) error {
-	if err := o.closed(ctx, addresses, o.For/3, &Row{}); err != nil { // warm
+func (o Options) loops(ctx context.Context, addresses []string, c *child, row *Result) error {
+	if err := o.closed(ctx, addresses, o.LoopDuration/3, &Result{}); err != nil { // warm
 		return err
 	}
 	begun, cpu, mine := time.Now(), c.cpu(), own()
-	if err := o.closed(ctx, addresses, o.For, row); err != nil {
+	if err := o.closed(ctx, addresses, o.LoopDuration, row); err != nil {
 		return err
 	}
 	took, used := time.Since(begun).Seconds(), c.cpu()-cpu
-	row.Busy, row.Load = used/took, (own()-mine)/took
+	row.TargetCPUs, row.LoadCPUs = used/took, (own()-mine)/took
 	if used > 0 {
-		row.PerCore = float64(row.ClosedSuccesses) / used
+		row.InvocationsPerCPUS = float64(row.ClosedSuccesses) / used
 	}
 	return o.open(ctx, addresses, row)
 }
 
 // closed has each client ask as soon as it is answered.
-func (o Options) closed(ctx context.Context, addresses []string, length time.Duration, row *Row) error {
+func (o Options) closed(ctx context.Context, addresses []string, length time.Duration, row *Result) error {
 	var done, failed atomic.Int64
 	begun := time.Now()
 	err := connected(o.Clients, addresses, func(c net.Conn, r *bufio.Reader) error {
@@ -211,7 +211,7 @@
 		return nil
 	})
 	row.ClosedSuccesses, row.Failed = done.Load(), failed.Load()
-	row.PerSecond = float64(done.Load()) / time.Since(begun).Seconds()
+	row.InvocationsPerS = float64(done.Load()) / time.Since(begun).Seconds()
 	return err
 }
 
@@ -241,8 +241,8 @@
 }
 
 // open asks at a steady rate, whoever is answered; times count from when each was due.
-func (o Options) open(ctx context.Context, addresses []string, row *Row) error {
-	count := int(o.Rate * o.For.Seconds())
+func (o Options) open(ctx context.Context, addresses []string, row *Result) error {
+	count := int(o.RatePerS * o.LoopDuration.Seconds())
 	due := make(chan time.Time, count)
 	h := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
@@ -267,7 +267,7 @@
 	}()
 	begun := time.Now()
 	for i := range count {
-		at := begun.Add(time.Duration(float64(i) / o.Rate * float64(time.Second)))
+		at := begun.Add(time.Duration(float64(i) / o.RatePerS * float64(time.Second)))
 		if wait := time.Until(at); wait > 0 {
 			time.Sleep(wait)
 		}
@@ -278,14 +278,14 @@
 	}
 	close(due)
 	err := <-ended
-	row.Behind = behind.Load()
-	row.P50, row.P99, row.P999 = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.ValueAtQuantile(99.9))/1000
+	row.LateSends = behind.Load()
+	row.P50Ms, row.P99Ms, row.P999Ms = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.ValueAtQuantile(99.9))/1000
 	return err
 }
 
 // idle opens connections that have each asked once.
 func (o Options) idle(address string) (conns []net.Conn, err error) {
-	for range o.Idle {
+	for range o.IdleConns {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			return conns, err
@@ -308,7 +308,7 @@
 
 func (o Options) spawn(args ...string) (*child, error) {
 	c := &child{cmd: exec.Command(o.Binary, args...)}
-	c.cmd.Env = append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(o.Procs))
+	c.cmd.Env = append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(o.GoMaxProcs))
 	c.cmd.Stderr = os.Stderr
 	in, err := c.cmd.StdinPipe()
 	if err != nil {
@@ -388,7 +388,7 @@
 	for i, a := range n.addresses {
 		r.Set(control.Line{Node: balance.Node{ID: uint32(i + 1), Ver: 1, Size: 1}, Address: a}, 0)
 	}
-	set := o.Set.Copy()
+	set := o.Settings.Copy()
 	set.Roster.Address, set.Conveyor.Address, set.Instance.Marshals = r.Address(), "", 1
 	set.Log.Level = "error"
 	file := filepath.Join(o.Dir, "marshal.txtpb")
--- a/internal/plant/plant.go
+++ b/internal/plant/plant.go
@@ -28,19 +28,19 @@
 	switch rule {
 	case "twice":
 		h.ConfigureFront = func(s *front.Server) { s.Faults.AnswerTwice = true }
-	case audit.Answered:
+	case audit.RuleAnswered:
 		h.ConfigureFront = func(s *front.Server) { s.Faults.NoAnswerDeadline = true }
-	case audit.Drain:
+	case audit.RuleDrain:
 		h.ConfigureFront = func(s *front.Server) { s.Faults.IgnoreDraining = true }
-	case audit.Effects:
+	case audit.RuleEffects:
 		h.SkipRepeatRules = true
-	case audit.OneOut:
+	case audit.RuleOneInFlight:
 		h.ConfigureFront = func(s *front.Server) { s.Faults.DuplicateRequests = true }
 	}
 	h.NewModule = func(host balance.Host, set balance.Settings, seed uint64) divide.Module {
 		f := &faulty{Host: host, rule: rule}
 		switch rule {
-		case audit.Exposure, audit.Forward:
+		case audit.RuleExposure, audit.RuleForwardOnly:
 			set["rollout.forward-only"] = false
 		}
 		f.Module = balance.New(f, set, seed)
@@ -65,7 +65,7 @@
 // InvocationArrived loses every thirtieth invocation.
 func (f *faulty) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	f.count++
-	if f.rule == audit.Answered && f.count%30 == 0 {
+	if f.rule == audit.RuleAnswered && f.count%30 == 0 {
 		return
 	}
 	f.Module.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
@@ -74,7 +74,7 @@
 // DispatchEnded says of what may have run that it never did.
 func (f *faulty) DispatchEnded(id string, no int, node uint32, how balance.Outcome, took float64, done bool,
 	report map[string]float64) {
-	if f.rule == audit.Effects && how != balance.Succeeded {
+	if f.rule == audit.RuleEffects && how != balance.Succeeded {
 		how = balance.Rejected
 	}
 	f.Module.DispatchEnded(id, no, node, how, took, done, report)
@@ -86,20 +86,20 @@
 	for i := range list {
 		n := &list[i]
 		switch f.rule {
-		case audit.Drain:
+		case audit.RuleDrain:
 			n.Health = balance.Serving
-		case audit.Exposure, audit.Forward:
+		case audit.RuleExposure, audit.RuleForwardOnly:
 			n.Ver = 1
 		}
 	}
 	for _, n := range list {
-		if f.rule == audit.Cold && n.Health == balance.Serving && n.Started > f.Now()-500 && n.Ver <= f.released {
+		if f.rule == audit.RuleColdNodes && n.Health == balance.Serving && n.Started > f.Now()-500 && n.Ver <= f.released {
 			f.cold, f.until = n.ID, f.Now()+2500
 		} else if n.ID == f.cold && n.Health != balance.Serving {
 			f.cold = 0
 		}
 	}
-	f.Module.NodesListed(whole && f.rule != audit.Drain, list)
+	f.Module.NodesListed(whole && f.rule != audit.RuleDrain, list)
 }
 
 // Dispatch sends everything to the node that started last, while it is cold; builds on trial are left to the caps.
@@ -115,7 +115,7 @@
 	if phase == balance.Released {
 		f.released = max(f.released, ver)
 	}
-	if f.rule == audit.Exposure || f.rule == audit.Forward {
+	if f.rule == audit.RuleExposure || f.rule == audit.RuleForwardOnly {
 		phase, cap = balance.Released, 1
 	}
 	f.Module.StageUpdate(ver, stage, phase, cap, age, reply)
--- a/internal/record/record.go
+++ b/internal/record/record.go
@@ -77,10 +77,10 @@
 
 // Reader reads messages; a torn tail ends it like the end of the file, and Torn says so.
 type Reader struct {
-	b    *bufio.Reader
-	f    io.Closer
-	Torn bool
-	Read int
+	b            *bufio.Reader
+	f            io.Closer
+	Truncated    bool
+	MessagesRead int
 }
 
 // Open reads a record.
@@ -100,15 +100,15 @@
 	err := protodelim.UnmarshalOptions{MaxSize: 64 << 20}.UnmarshalFrom(r.b, m)
 	switch {
 	case err == nil:
-		r.Read++
+		r.MessagesRead++
 		return nil
 	case err == io.EOF:
 		return io.EOF
 	case errors.Is(err, io.ErrUnexpectedEOF):
-		r.Torn = true
+		r.Truncated = true
 		return io.EOF
 	}
-	return fmt.Errorf("record: message %d: %w", r.Read+1, err)
+	return fmt.Errorf("record: message %d: %w", r.MessagesRead+1, err)
 }
 
 // Close closes the file.
--- a/internal/record/record_test.go
+++ b/internal/record/record_test.go
@@ -47,8 +47,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	tap := NewTap(w, silent{}, set(t), 0, 7, nil)
-	tap.Before(balance.New(tap, set(t).Module(), 7))
+	tap := NewRecorder(w, silent{}, set(t), 0, 7, nil)
+	tap.SetModule(balance.New(tap, set(t).Module(), 7))
 	tap.NodesListed(true, []balance.Node{{ID: 1, Ver: 1, Size: 1}, {ID: 2, Ver: 1, Size: 1}})
 	tap.InvocationArrived("a", 0, 0, "k", 500, 0, false, false)
 	tap.DispatchEnded("a", 0, 1, balance.Failed, 3, false, map[string]float64{"busy": 0.5, "rate": 2})
@@ -56,7 +56,7 @@
 	return path
 }
 
-func replay(b []byte, seed uint64) (Outcome, error) {
+func replay(b []byte, seed uint64) (ReplayResult, error) {
 	return Replay(NewReader(bytes.NewReader(b)), func(h balance.Host, s *Entry) divide.Module {
 		return balance.New(h, s.Settings.ModuleOf(int(s.No)), s.Seed+seed)
 	})
@@ -69,12 +69,12 @@
 		t.Fatal(err)
 	}
 	whole, err := replay(b, 0)
-	if err != nil || whole.Different != "" || whole.Events != 3 || whole.Torn {
+	if err != nil || whole.FirstDifference != "" || whole.Events != 3 || whole.Truncated {
 		t.Fatalf("%+v, %v", whole, err)
 	}
 	for n := range len(b) {
 		out, err := replay(b[:n], 0)
-		if err == nil && out.Different != "" {
+		if err == nil && out.FirstDifference != "" {
 			t.Fatalf("torn at byte %d: %+v", n, out)
 		}
 	}
@@ -84,9 +84,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if out.Different != "" {
+		if out.FirstDifference != "" {
 			found = true
-			if out.AtEvent < 2 || !strings.Contains(out.Different, "dispatch") {
+			if out.EventNumber < 2 || !strings.Contains(out.FirstDifference, "dispatch") {
 				t.Errorf("%+v", out)
 			}
 		}
@@ -113,8 +113,8 @@
 			t.Errorf("read %v", got)
 		}
 	}
-	if err != io.EOF || r.Read < 3 || r.Read > 9 || r.Torn {
-		t.Errorf("%d read, %v, torn %v", r.Read, err, r.Torn)
+	if err != io.EOF || r.MessagesRead < 3 || r.MessagesRead > 9 || r.Truncated {
+		t.Errorf("%d read, %v, torn %v", r.MessagesRead, err, r.Truncated)
 	}
 	if _, err := replay([]byte("not a record at all, but text"), 0); err == nil {
 		t.Error("text was taken for a record")
--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -11,17 +11,17 @@
 	"arrowcleat/divide"
 )
 
-// Outcome is what a replay found.
-type Outcome struct {
-	Events, Calls int
-	Torn          bool
-	Different     string // the first decision that came out different, empty for none
-	AtEvent       int    // and at which event, counted from 1
-	At            float64
+// ReplayResult is what a replay found.
+type ReplayResult struct {
+	Events, Calls   int
+	Truncated       bool
+	FirstDifference string // the first decision that came out different, empty for none
+	EventNumber     int    // and at which event, counted from 1
+	ClockMs         float64
 }
 
 // Replay drives a fresh module with a record's events and compares what it asks for with what was asked for then.
-func Replay(r *Reader, fresh func(h balance.Host, start *Entry) divide.Module) (Outcome, error) {
+func Replay(r *Reader, fresh func(h balance.Host, start *Entry) divide.Module) (ReplayResult, error) {
 	p := &player{r: r}
 	start := &Entry{}
 	if err := r.Next(start); err != nil || start.Kind != "start" {
@@ -30,18 +30,18 @@
 	p.now = start.Now
 	p.event = "start"
 	p.read()
-	m := fresh(&Tap{host: quiet{p}, put: p.call}, start)
-	for p.settle(); p.next != nil && p.out.Different == "" && p.err == nil; p.settle() {
+	m := fresh(&Recorder{host: quiet{p}, put: p.call}, start)
+	for p.settle(); p.next != nil && p.out.FirstDifference == "" && p.err == nil; p.settle() {
 		e := p.next
 		p.out.Events++
-		p.out.AtEvent, p.out.At, p.event = p.out.Events, e.Now, e.Kind+" "+e.Inv
+		p.out.EventNumber, p.out.ClockMs, p.event = p.out.Events, e.Now, e.Kind+" "+e.Inv
 		p.now = e.Now
 		p.read()
 		if err := e.tell(m); err != nil {
 			return p.out, err
 		}
 	}
-	p.out.Torn = r.Torn
+	p.out.Truncated = r.Truncated
 	return p.out, p.err
 }
 
@@ -50,7 +50,7 @@
 	now   float64
 	event string
 	next  *Entry
-	out   Outcome
+	out   ReplayResult
 	err   error
 }
 
@@ -77,8 +77,8 @@
 }
 
 func (p *player) differs(now string, then *Entry) {
-	if p.out.Different == "" {
-		p.out.Different = fmt.Sprintf("after %s: now %s, then %s", p.event, now, then.line())
+	if p.out.FirstDifference == "" {
+		p.out.FirstDifference = fmt.Sprintf("after %s: now %s, then %s", p.event, now, then.line())
 	}
 }
 
@@ -92,11 +92,11 @@
 // call compares one call with the record's next.
 func (p *player) call(e *Entry) {
 	p.out.Calls++
-	if p.out.Different != "" {
+	if p.out.FirstDifference != "" {
 		return
 	}
-	if p.next == nil && (p.r.Torn || p.r.Read > 0) { // the record ended in the middle of an event
-		p.r.Torn = true
+	if p.next == nil && (p.r.Truncated || p.r.MessagesRead > 0) { // the record ended in the middle of an event
+		p.r.Truncated = true
 		return
 	}
 	if p.next == nil || !proto.Equal(e, p.next) {
--- a/internal/serve/group.go
+++ b/internal/serve/group.go
@@ -200,8 +200,8 @@
 		if w.recorder == nil {
 			module = hooks.NewModule(h, moduleSettings, seed)
 		} else {
-			recording := record.NewTap(w.recorder, h, w.settings, w.instance, seed, func(err error) { w.m.Log.Warn("recording stopped", "err", err) })
-			module = recording.Before(hooks.NewModule(recording, moduleSettings, seed))
+			recording := record.NewRecorder(w.recorder, h, w.settings, w.instance, seed, func(err error) { w.m.Log.Warn("recording stopped", "err", err) })
+			module = recording.SetModule(hooks.NewModule(recording, moduleSettings, seed))
 		}
 		if w.account != nil {
 			return w.shard.Attach(module)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -44,14 +44,14 @@
 // Print writes a line for the run, and one for each finding.
 func (o *Outcome) Print(out io.Writer) {
 	fmt.Fprintf(out, "seed %d: %d taken, %d succeeded, %d throttled, %d terminated, %d left, %d not taken; %d unanswered, broken %v, held up %v\n",
-		o.Seed, o.Invocations, o.Succeeded, o.Throttled, o.Terminated, o.Left, o.NotTaken, o.Unanswered, o.RulesBroken, o.HeldUp.Round(time.Millisecond))
+		o.Seed, o.Invocations, o.Succeeded, o.Throttled, o.Terminated, o.ClientsLeft, o.NotAccepted, o.Unanswered, o.RulesBroken, o.HeldUp.Round(time.Millisecond))
 	for _, text := range append(append([]string{}, o.Faults...), o.Examples...) {
 		fmt.Fprintln(out, "  "+text)
 	}
 }
 
 // bounds are the platform's, from its protocol page.
-var bounds = audit.Bounds{LowerCap: 150, SpareSends: 2, SparePart: 0.04, ToldMs: 150, GoneMs: 100, StopMs: 700, ResendAtEnd: true}
+var bounds = audit.Bounds{LowerCapGraceMs: 150, ExtraAttempts: 2, ExtraAttemptsShare: 0.04, TimeLimitSlackMs: 150, ClientGoneGraceMs: 100, StopGraceMs: 700, ResendOnClose: true}
 
 // run is one run.
 type run struct {
@@ -108,7 +108,7 @@
 		m.close()
 	}
 	r.world.close()
-	outcome := &Outcome{Report: audit.CheckWithin(p.settings(), bounds, r.seen), Seed: p.Seed, Faults: r.faults, HeldUp: heldUp()}
+	outcome := &Outcome{Report: audit.CheckWithBounds(p.settings(), bounds, r.seen), Seed: p.Seed, Faults: r.faults, HeldUp: heldUp()}
 	return outcome, r.writeSeen()
 }
 
