--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -11,52 +11,53 @@
 	"arrowcleat/divide"
 )
 
-// ReplayResult is what a replay found.
+// ReplayResult is the result of a replay.
 type ReplayResult struct {
 	Events, Calls   int
 	Truncated       bool
-	FirstDifference string // the first decision that came out different, empty for none
-	EventNumber     int    // and at which event, counted from 1
-	ClockMs         float64
+	FirstDifference string  // the first decision that differs from the record; empty for none
+	EventNumber     int     // the last event delivered, counted from 1; with a difference, the event that led to it
+	ClockMs         float64 // the module's clock at that event
 }
 
-// Replay drives a fresh module with a record's events and compares what it asks for with what was asked for then.
-func Replay(r *Reader, fresh func(h balance.Host, start *Entry) divide.Module) (ReplayResult, error) {
-	p := &player{r: r}
+// Replay delivers the events of a record to a new module and compares the calls that it makes with the recorded ones.
+func Replay(r *Reader, newModule func(h balance.Host, start *Entry) divide.Module) (ReplayResult, error) {
+	p := &player{reader: r}
 	start := &Entry{}
 	if err := r.Next(start); err != nil || start.Kind != "start" {
-		return p.out, errors.Join(errors.New("replay: not a marshal's record: it does not begin with a start"), err)
+		return p.result, errors.Join(errors.New("replay: not the record of a marshal: the first entry is not a start"), err)
 	}
 	p.now = start.Now
 	p.event = "start"
-	p.read()
-	m := fresh(&Recorder{host: quiet{p}, put: p.call}, start)
-	for p.settle(); p.next != nil && p.out.FirstDifference == "" && p.err == nil; p.settle() {
+	p.readNext()
+	m := newModule(&Recorder{host: replayHost{p}, record: p.compareCall}, start)
+	for p.checkMissingCall(); p.next != nil && p.result.FirstDifference == "" && p.err == nil; p.checkMissingCall() {
 		e := p.next
-		p.out.Events++
-		p.out.EventNumber, p.out.ClockMs, p.event = p.out.Events, e.Now, e.Kind+" "+e.Inv
+		p.result.Events++
+		p.result.EventNumber, p.result.ClockMs, p.event = p.result.Events, e.Now, e.Kind+" "+e.Inv
 		p.now = e.Now
-		p.read()
-		if err := e.tell(m); err != nil {
-			return p.out, err
+		p.readNext()
+		if err := e.deliver(m); err != nil {
+			return p.result, err
 		}
 	}
-	p.out.Truncated = r.Truncated
-	return p.out, p.err
+	p.result.Truncated = r.Truncated
+	return p.result, p.err
 }
 
+// player is the state of a replay.
 type player struct {
-	r     *Reader
-	now   float64
-	event string
-	next  *Entry
-	out   ReplayResult
-	err   error
+	reader *Reader
+	now    float64 // clock of the module, ms
+	event  string  // the last event delivered, for messages
+	next   *Entry  // the next entry of the record; nil at its end
+	result ReplayResult
+	err    error
 }
 
-func (p *player) read() {
+func (p *player) readNext() {
 	e := &Entry{}
-	if err := p.r.Next(e); err != nil {
+	if err := p.reader.Next(e); err != nil {
 		if err != io.EOF {
 			p.err = err
 		}
@@ -66,54 +67,56 @@
 	p.next = e
 }
 
-var calls = map[string]bool{"dispatch": true, "cancel": true, "throttle": true, "terminate": true, "probe": true,
+// callKinds are the kinds of entries that are calls of the module; all others are events.
+var callKinds = map[string]bool{"dispatch": true, "cancel": true, "throttle": true, "terminate": true, "probe": true,
 	"fetch": true, "watch": true, "vote": true, "wake": true, "tell": true, "log": true}
 
-// settle finds what was asked for then and not now.
-func (p *player) settle() {
-	if p.next != nil && calls[p.next.Kind] {
-		p.differs("nothing", p.next)
+// checkMissingCall reports a recorded call that the replayed module did not make.
+func (p *player) checkMissingCall() {
+	if p.next != nil && callKinds[p.next.Kind] {
+		p.setDifference("nothing", p.next)
 	}
 }
 
-func (p *player) differs(now string, then *Entry) {
-	if p.out.FirstDifference == "" {
-		p.out.FirstDifference = fmt.Sprintf("after %s: now %s, then %s", p.event, now, then.line())
+// setDifference stores the first difference between the calls of the replay and the recorded ones.
+func (p *player) setDifference(now string, recorded *Entry) {
+	if p.result.FirstDifference == "" {
+		p.result.FirstDifference = fmt.Sprintf("after %s: now %s, recorded %s", p.event, now, recorded.describe())
 	}
 }
 
-func (e *Entry) line() string {
+func (e *Entry) describe() string {
 	if e == nil {
 		return "nothing"
 	}
 	return fmt.Sprint(proto.Clone(e))
 }
 
-// call compares one call with the record's next.
-func (p *player) call(e *Entry) {
-	p.out.Calls++
-	if p.out.FirstDifference != "" {
+// compareCall compares a call of the module with the next entry of the record.
+func (p *player) compareCall(e *Entry) {
+	p.result.Calls++
+	if p.result.FirstDifference != "" {
 		return
 	}
-	if p.next == nil && (p.r.Truncated || p.r.MessagesRead > 0) { // the record ended in the middle of an event
-		p.r.Truncated = true
+	if p.next == nil && (p.reader.Truncated || p.reader.MessagesRead > 0) { // the record ends between the calls of an event
+		p.reader.Truncated = true
 		return
 	}
 	if p.next == nil || !proto.Equal(e, p.next) {
-		p.differs(e.line(), p.next)
+		p.setDifference(e.describe(), p.next)
 		return
 	}
-	p.read()
+	p.readNext()
 }
 
-// tell gives an event to a module.
-func (e *Entry) tell(m divide.Module) error {
-	op, no, node, how := int(e.Op), int(e.No), uint32(e.Node), balance.Outcome(e.Code)
+// deliver calls the module with the event.
+func (e *Entry) deliver(m divide.Module) error {
+	op, no, node, outcome := int(e.Op), int(e.No), uint32(e.Node), balance.Outcome(e.Code)
 	switch e.Kind {
 	case "arrived":
 		m.InvocationArrived(e.Inv, op, int(e.Tenant), e.Key, e.Time, e.Cost, e.Yes, e.Write)
 	case "ended":
-		m.DispatchEnded(e.Inv, no, node, how, e.Time, e.Yes, e.Report)
+		m.DispatchEnded(e.Inv, no, node, outcome, e.Time, e.Yes, e.Report)
 	case "began":
 		m.ResponseStarted(e.Inv, no, node, e.Time)
 	case "lapsed":
@@ -130,13 +133,13 @@
 	case "staged":
 		m.StageUpdate(int(e.Ver), int(e.Stage), balance.Phase(e.Code), e.Share, e.Time, e.Yes)
 	case "vote-failed":
-		m.VoteFailed(how)
+		m.VoteFailed(outcome)
 	case "tallied":
 		m.BuildStats(int(e.Ver), op, int(e.Samples), int(e.Errors), e.Cost, e.Time)
 	case "flagged":
 		m.WrongAnswer(node, op, e.Time)
 	case "probed":
-		m.ProbeEnded(node, how, e.Time, e.Report)
+		m.ProbeEnded(node, outcome, e.Time, e.Report)
 	case "told":
 		m.PeerMessage(no, e.Text)
 	case "leased":
@@ -144,7 +147,7 @@
 	case "chair":
 		m.SetCoordinator(e.Yes)
 	case "elsewhere":
-		m.SiblingDispatchEnded(node, int(e.Ver), op, how, e.Time, e.Yes, e.Report)
+		m.SiblingDispatchEnded(node, int(e.Ver), op, outcome, e.Time, e.Yes, e.Report)
 	case "woke":
 		m.TimerFired(e.No)
 	default:
@@ -153,18 +156,18 @@
 	return nil
 }
 
-// quiet is the Host behind the tap of a replay: what is asked for has been compared already.
-type quiet struct{ p *player }
+// replayHost is the Host of a replayed module. It ignores all calls: the Recorder in front of it has compared them.
+type replayHost struct{ p *player }
 
-func (q quiet) Now() float64                     { return q.p.now }
-func (q quiet) Dispatch(string, uint32, float64) {}
-func (q quiet) Cancel(string, int)               {}
-func (q quiet) Throttle(string, float64)         {}
-func (q quiet) Terminate(string)                 {}
-func (q quiet) Probe(uint32)                     {}
-func (q quiet) FetchNodes()                      {}
-func (q quiet) WatchNodes(bool)                  {}
-func (q quiet) Vote(int, int, balance.Verdict)   {}
-func (q quiet) SetTimer(float64, int64)          {}
-func (q quiet) SendToPeer(int, string)           {}
-func (q quiet) Log(string)                       {}
+func (h replayHost) Now() float64                     { return h.p.now }
+func (h replayHost) Dispatch(string, uint32, float64) {}
+func (h replayHost) Cancel(string, int)               {}
+func (h replayHost) Throttle(string, float64)         {}
+func (h replayHost) Terminate(string)                 {}
+func (h replayHost) Probe(uint32)                     {}
+func (h replayHost) FetchNodes()                      {}
+func (h replayHost) WatchNodes(bool)                  {}
+func (h replayHost) Vote(int, int, balance.Verdict)   {}
+func (h replayHost) SetTimer(float64, int64)          {}
+func (h replayHost) SendToPeer(int, string)           {}
+func (h replayHost) Log(string)                       {}
