--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,5 +1,6 @@
-// Package audit checks the rules of a day from what passed on the sockets of clients, nodes, roster and conveyor.
-// It knows nothing of what a marshal says of itself.
+// Package audit checks the rules that marshals must keep, from the records of a test run or of a soak. The records hold
+// what clients, nodes, the service registry and the rollout service observed on their sockets. Nothing that a marshal
+// reports about itself is used.
 package audit
 
 import (
@@ -15,71 +16,77 @@
 	"arrowcleat/internal/settings"
 )
 
-// The rules, in the order of the brief's; the fourth is the limit on copies that are out at once.
+// The rules, in the order of the project's requirements. RuleOneInFlight is the limit on concurrent copies.
 const (
-	RuleAnswered    = "answered" // one final answer in the client's time, and nothing after it
-	RuleEffects     = "effects"  // no effect twice
-	RuleOneInFlight = "one-out"  // at most one dispatch of an invocation out
-	RuleDrain       = "drain"    // nothing new to a node that drains or is gone
-	RuleColdNodes   = "cold"     // no cold node pushed over
-	RuleExposure    = "exposure" // builds on trial within their caps
-	RuleForwardOnly = "forward"  // keys that may only go forward
+	RuleAnswered    = "answered" // exactly one final answer within the client's time limit, and nothing after it
+	RuleEffects     = "effects"  // no effect happens twice
+	RuleOneInFlight = "one-out"  // at most one dispatch of an invocation in flight
+	RuleDrain       = "drain"    // no new dispatches to nodes that are draining or gone
+	RuleColdNodes   = "cold"     // no node overloaded while warming up
+	RuleExposure    = "exposure" // traffic to trial builds stays within their caps
+	RuleForwardOnly = "forward"  // a key never returns to an earlier build
 )
 
-// Rules lists them.
+// Rules lists the rules that are always checked.
 var Rules = []string{RuleAnswered, RuleEffects, RuleOneInFlight, RuleDrain, RuleColdNodes, RuleExposure, RuleForwardOnly}
 
-// The rules that only the operators' platform has; checked where Bounds say so.
+// The rules that only the operators' platform has. They are checked where Bounds ask for it.
 const (
-	RuleTimeBudget = "budget" // the time that a node is told is no more than what its client has left
-	RuleClientGone = "gone"   // nothing begins for a client that has left
+	RuleTimeBudget = "budget" // the time limit passed to a node is within what its client has left
+	RuleClientGone = "gone"   // no dispatch starts for a client that has disconnected
 )
 
-// Bounds are what a platform's protocol says beyond the settings. The zero Bounds are the project's own protocol.
+// Bounds are tolerances and rules of a platform's protocol that the settings do not contain. The zero value stands for
+// the project's own protocol.
 type Bounds struct {
-	LowerCapGraceMs    float64 // ms after which a lower cap binds; 0: the settings' grace
-	ExtraAttempts      float64 // attempts over the cap that pass
-	ExtraAttemptsShare float64 // and the part of what the cap allows
-	TimeLimitSlackMs   float64 // slack on the time that a node is told; 0: not checked
-	ClientGoneGraceMs  float64 // after which nothing begins for a client that has left; 0: not checked
-	StopGraceMs        float64 // after the word to stop, from which on what a kill leaves unanswered counts as lost; 0: never
-	ResendOnClose      bool    // clients send again what crosses the end of a connection: no other loss at a stop is forgiven
-}
-
-// Report is what an audit found.
+	LowerCapGraceMs    float64 // time after which a lowered cap must be kept; 0: grace_ms of the settings
+	ExtraAttempts      float64 // dispatches allowed above the cap
+	ExtraAttemptsShare float64 // further dispatches allowed, as a share of what the cap allows
+	TimeLimitSlackMs   float64 // tolerance of RuleTimeBudget; 0: not checked
+	ClientGoneGraceMs  float64 // tolerance of RuleClientGone; 0: not checked
+	// StopGraceMs is how long after the signal to stop an invocation may still be lost to a kill. One that arrives later
+	// and gets no answer counts as unanswered. 0: a kill excuses every loss.
+	StopGraceMs float64
+	// ResendOnClose says that clients send a request again if its connection was closed while it was under way. Any other
+	// loss when a marshal stops is then a violation.
+	ResendOnClose bool
+}
+
+// Report is the result of an audit.
 type Report struct {
-	Invocations   int             `json:"invocations"` // that a marshal took
+	Invocations   int             `json:"invocations"` // accepted by a marshal
 	Succeeded     int             `json:"succeeded"`
-	WithinSLO     int             `json:"in_time"` // of those that succeeded, within the SLO time
+	WithinSLO     int             `json:"in_time"` // succeeded within the SLO time
 	Throttled     int             `json:"throttled"`
 	Terminated    int             `json:"terminated"`
 	Unanswered    int             `json:"unanswered"`
 	AnsweredTwice int             `json:"answered_twice"`
-	ClientsLeft   int             `json:"left"`      // clients that went before their answer
-	NotAccepted   int             `json:"not_taken"` // turned away, or lost with a marshal that was killed
+	ClientsLeft   int             `json:"left"`      // clients that disconnected before their answer
+	NotAccepted   int             `json:"not_taken"` // rejected, or lost with a marshal that was killed
 	Dispatches    int             `json:"dispatches"`
 	Repeats       int             `json:"repeats"`
-	Checked       map[string]int  `json:"checked"`      // things a rule was held against
-	Violations    map[string]int  `json:"found"`        // and how often it was broken
-	Examples      []string        `json:"examples"`     // the first few, for people
-	RulesBroken   []string        `json:"rules_broken"` // names of the rules
-	answerTimesUs map[int][]int64 // us of each operation's answers
+	Checked       map[string]int  `json:"checked"`      // by rule: how often it was checked
+	Violations    map[string]int  `json:"found"`        // by rule: how often it was broken
+	Examples      []string        `json:"examples"`     // descriptions of the first violations
+	RulesBroken   []string        `json:"rules_broken"` // rules with violations
+	answerTimesUs map[int][]int64 // by operation, of the invocations that succeeded
 }
 
-// Clean says that no rule was broken.
+// Clean reports whether no rule was broken.
 func (r *Report) Clean() bool {
 	return len(r.RulesBroken) == 0 && r.Unanswered == 0 && r.AnsweredTwice == 0
 }
 
 const (
-	// What two processes write down of one thing lies apart by the way between them and by how busy the machine
-	// is. Rules are checked with this much in the marshal's favour, in us.
-	skewUs             = 100_000
+	// skewUs is a tolerance in favour of the marshal. The times that two processes record for the same event differ by
+	// the latency between them and by scheduling delays on a busy machine.
+	skewUs = 100_000
+
 	maxExamples        = 40
 	maxExamplesPerRule = 6
 )
 
-// CheckDir audits a folder: settings.txtpb and every record that ends in .seen.
+// CheckDir audits the records of a directory: settings.txtpb and all *.seen files.
 func CheckDir(dir string) (*Report, error) {
 	set, err := settings.Load(filepath.Join(dir, "settings.txtpb"))
 	if err != nil {
@@ -87,7 +94,7 @@
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "*.seen"))
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s: no record here ends in .seen; is this the folder of a day?", dir)
+		return nil, fmt.Errorf("%s: no *.seen files; is this the directory of a recorded day?", dir)
 	}
 	var seen []*record.Seen
 	for _, file := range files {
@@ -112,16 +119,17 @@
 	return Check(set, seen), nil
 }
 
-// Check audits what was seen.
+// Check audits observations under the project's own protocol.
 func Check(set *settings.Settings, seen []*record.Seen) *Report {
 	return CheckWithBounds(set, Bounds{}, seen)
 }
 
-// CheckWithBounds audits what was seen on a platform with bounds of its own.
+// CheckWithBounds audits observations under the protocol of a platform with bounds of its own.
 func CheckWithBounds(set *settings.Settings, bounds Bounds, seen []*record.Seen) *Report {
 	slices.SortStableFunc(seen, func(a, b *record.Seen) int { return cmp.Compare(a.AtUs, b.AtUs) })
-	a := &auditor{set: set, bounds: bounds, byID: map[string]*invocation{}, marshals: map[int64]*marshal{}, nodeEndsUs: map[uint32][]int64{},
-		Report: Report{Checked: map[string]int{}, Violations: map[string]int{}, RulesBroken: []string{}, Examples: []string{}, answerTimesUs: map[int][]int64{}}}
+	a := &auditor{set: set, bounds: bounds, byID: map[string]*invocation{}, marshals: map[int64]*marshal{},
+		nodeEndsUs: map[uint32][]int64{}, Report: Report{Checked: map[string]int{}, Violations: map[string]int{}, RulesBroken: []string{},
+			Examples: []string{}, answerTimesUs: map[int][]int64{}}}
 	for _, s := range seen {
 		a.add(s)
 	}
@@ -140,6 +148,7 @@
 	return &a.Report
 }
 
+// auditor collects the observations by invocation and by marshal, and checks the rules on them.
 type auditor struct {
 	Report
 	set         *settings.Settings
@@ -147,32 +156,33 @@
 	byID        map[string]*invocation
 	invocations []*invocation
 	marshals    map[int64]*marshal
-	nodeEndsUs  map[uint32][]int64 // when a node's processes ended
+	nodeEndsUs  map[uint32][]int64 // by node: when its processes ended
 }
 
-// invocation is one invocation as its client and the nodes saw it.
+// invocation is one invocation as its client and the nodes observed it.
 type invocation struct {
-	*record.Seen // as the client asked it; nil if no client did
+	*record.Seen // the client's request; nil if no client sent one
 	id           string
 	dispatches   []*dispatch
-	answers      []*record.Seen
-	clientLeft   *record.Seen
-	noAnswer     *record.Seen
-	resent       *record.Seen // it crossed the end of a connection, and was sent again
-	extraAnswer  *record.Seen
+	answers      []*record.Seen // final answers, in the order of arrival
+	clientLeft   *record.Seen   // the client disconnected
+	noAnswer     *record.Seen   // time-out, broken connection or refused connection
+	resent       *record.Seen   // the connection was closed meanwhile, and the client sent the request again
+	extraAnswer  *record.Seen   // data after the final answer, or the answer to another request
 }
 
+// dispatch is one dispatch as the node observed it.
 type dispatch struct {
 	*record.Seen
-	endUs     int64 // when it was over, 0 if that was never seen
-	rejected  bool
-	succeeded bool
+	endUs     int64 // when the node saw it end; 0 if it did not
+	rejected  bool  // the node answered that it did not start it
+	succeeded bool  // answered with status 200
 }
 
-// marshal is what one marshal was told, over all its lives.
+// marshal is what is known of one marshal, over all its restarts.
 type marshal struct {
 	startsUs, killsUs, stopsUs []int64
-	nodeUpdates                map[uint32][]*record.Seen
+	nodeUpdates                map[uint32][]*record.Seen // by node: the states that the registry reported
 	stageUpdates               []*record.Seen
 	dispatches                 []*dispatch
 	accepted                   []*invocation
@@ -234,7 +244,7 @@
 	case "dies":
 		a.nodeEndsUs[s.Node] = append(a.nodeEndsUs[s.Node], s.AtUs)
 	case "fell":
-		a.violated(RuleColdNodes, "node %d was pushed over: %s", s.Node, s.Text)
+		a.violated(RuleColdNodes, "node %d was overloaded while warming up: %s", s.Node, s.Text)
 	case "told":
 		m := a.marshal(s.Instance)
 		m.nodeUpdates[s.Node] = append(m.nodeUpdates[s.Node], s)
@@ -260,17 +270,17 @@
 	}
 }
 
-// anyBetween says that one of some times lies in a span.
+// anyBetween reports whether one of the sorted times lies within [from, to].
 func anyBetween(times []int64, from, to int64) bool {
 	i := sort.Search(len(times), func(i int) bool { return times[i] >= from })
 	return i < len(times) && times[i] <= to
 }
 
-// checkAnswers checks the first rule.
+// checkAnswers checks RuleAnswered and counts the outcomes.
 func (a *auditor) checkAnswers() {
 	for _, i := range a.invocations {
 		if i.Seen == nil {
-			a.violated(RuleAnswered, "%s reached a node and no client asked it", i.id)
+			a.violated(RuleAnswered, "%s reached a node, but no client sent it", i.id)
 			continue
 		}
 		m, deadlineUs := a.marshal(i.Instance), i.AtUs+int64(i.LimitMs*1000)
@@ -280,18 +290,21 @@
 		}
 		if i.extraAnswer != nil {
 			a.AnsweredTwice++
-			a.violated(RuleAnswered, "%s got something after its answer, or another's (%s %s)", i.id, i.extraAnswer.Kind, i.extraAnswer.Text)
+			a.violated(RuleAnswered, "%s got data after its final answer, or the answer to another request (%s %s)", i.id,
+				i.extraAnswer.Kind, i.extraAnswer.Text)
 		} else if len(i.answers) > 1 {
 			a.AnsweredTwice++
 			a.violated(RuleAnswered, "%s got %d answers", i.id, len(i.answers))
 		}
-		if c := i.resent; c != nil && len(i.dispatches) > 0 && i.dispatches[0].AtUs < c.AtUs && !anyBetween(m.killsUs, c.AtUs-skewUs, c.AtUs+skewUs) {
-			a.violated(RuleAnswered, "%s was read, and node %d had it, but its connection ended without an answer", i.id, i.dispatches[0].Node)
+		if c := i.resent; c != nil && len(i.dispatches) > 0 && i.dispatches[0].AtUs < c.AtUs &&
+			!anyBetween(m.killsUs, c.AtUs-skewUs, c.AtUs+skewUs) {
+			a.violated(RuleAnswered, "%s was read and dispatched to node %d, but its connection was closed without an answer", i.id,
+				i.dispatches[0].Node)
 		}
 		if answer != nil && answer.Final == "not-taken" {
 			a.NotAccepted++
 			if len(i.dispatches) > 0 {
-				a.violated(RuleAnswered, "%s was not taken, its client was told, but node %d got it", i.id, i.dispatches[0].Node)
+				a.violated(RuleAnswered, "%s was answered as not accepted, but node %d received it", i.id, i.dispatches[0].Node)
 			}
 			continue
 		}
@@ -318,25 +331,27 @@
 				a.violated(RuleAnswered, "%s was answered as %q, which is no final answer", i.id, answer.Final)
 			}
 			if lateUs := answer.AtUs - deadlineUs - int64(a.set.Rules.AnswerSlackMs*1000); lateUs > 0 {
-				a.violated(RuleAnswered, "%s was answered %d ms after its client's time", i.id, lateUs/1000)
+				a.violated(RuleAnswered, "%s was answered %d ms after its client's deadline", i.id, lateUs/1000)
 			}
 		case i.clientLeft != nil:
 			accept()
 			a.ClientsLeft++
 		case i.noAnswer == nil:
-			a.NotAccepted++ // the client itself ended with the day
-		case i.noAnswer.Kind == "refused", anyBetween(m.killsUs, i.AtUs-skewUs, max(i.noAnswer.AtUs, deadlineUs)+skewUs) && !a.arrivedAfterStopGrace(m, i):
-			a.NotAccepted++ // nobody was there, or what was taken died with its marshal
+			a.NotAccepted++ // the client ended with the run
+		case i.noAnswer.Kind == "refused", anyBetween(m.killsUs, i.AtUs-skewUs, max(i.noAnswer.AtUs, deadlineUs)+skewUs) &&
+			!a.arrivedAfterStopGrace(m, i):
+			a.NotAccepted++ // the marshal was down, or was killed after it had accepted the invocation
 			if i.noAnswer.Kind != "refused" {
-				m.accepted = append(m.accepted, i) // in doubt for the marshal
+				m.accepted = append(m.accepted, i) // counted towards the caps in favour of the marshal
 			}
-		case !a.bounds.ResendOnClose && i.noAnswer.Kind == "broke" && len(i.dispatches) == 0 && anyBetween(m.stopsUs, i.AtUs-skewUs, i.noAnswer.AtUs):
-			a.NotAccepted++ // it crossed with the close of a marshal that takes nothing new
+		case !a.bounds.ResendOnClose && i.noAnswer.Kind == "broke" && len(i.dispatches) == 0 &&
+			anyBetween(m.stopsUs, i.AtUs-skewUs, i.noAnswer.AtUs):
+			a.NotAccepted++ // the request was under way while a stopping marshal closed the connection
 		default:
 			accept()
 			a.Checked[RuleAnswered]++
 			a.Unanswered++
-			a.violated(RuleAnswered, "%s at marshal %d had no answer (%s %s, %d dispatches)", i.id, i.Instance, i.noAnswer.Kind,
+			a.violated(RuleAnswered, "%s got no answer from marshal %d (%s %s, %d dispatches)", i.id, i.Instance, i.noAnswer.Kind,
 				i.noAnswer.Text, len(i.dispatches))
 		}
 	}
@@ -345,7 +360,8 @@
 	}
 }
 
-// arrivedAfterStopGrace says that an invocation came so long after the word to stop that a kill does not excuse its loss.
+// arrivedAfterStopGrace reports whether an invocation arrived so long after the signal to stop that a kill does not
+// excuse its loss.
 func (a *auditor) arrivedAfterStopGrace(m *marshal, i *invocation) bool {
 	if a.bounds.StopGraceMs == 0 {
 		return false
@@ -357,7 +373,7 @@
 	return i.AtUs-m.stopsUs[n-1] > int64(a.bounds.StopGraceMs*1000)+skewUs
 }
 
-// checkTimeBudgets checks what nodes are told of the time that is left.
+// checkTimeBudgets checks RuleTimeBudget.
 func (a *auditor) checkTimeBudgets() {
 	if a.bounds.TimeLimitSlackMs == 0 {
 		return
@@ -370,13 +386,13 @@
 			a.Checked[RuleTimeBudget]++
 			leftMs := i.LimitMs - float64(d.AtUs-i.AtUs)/1000
 			if d.LimitMs > leftMs+a.bounds.TimeLimitSlackMs+skewUs/1000 {
-				a.violated(RuleTimeBudget, "%s told node %d of %.0f ms when its client had %.0f left", i.id, d.Node, d.LimitMs, leftMs)
+				a.violated(RuleTimeBudget, "%s gave node %d %.0f ms when its client had %.0f ms left", i.id, d.Node, d.LimitMs, leftMs)
 			}
 		}
 	}
 }
 
-// checkDepartures checks that nothing begins for clients that have left.
+// checkDepartures checks RuleClientGone.
 func (a *auditor) checkDepartures() {
 	if a.bounds.ClientGoneGraceMs == 0 {
 		return
@@ -388,13 +404,13 @@
 		a.Checked[RuleClientGone]++
 		for _, d := range i.dispatches {
 			if lateUs := d.AtUs - i.clientLeft.AtUs; lateUs > int64(a.bounds.ClientGoneGraceMs*1000)+skewUs {
-				a.violated(RuleClientGone, "%s reached node %d %d ms after its client had left", i.id, d.Node, lateUs/1000)
+				a.violated(RuleClientGone, "%s reached node %d %d ms after its client had disconnected", i.id, d.Node, lateUs/1000)
 			}
 		}
 	}
 }
 
-// checkEffects checks the second rule, and that one dispatch at most is out.
+// checkEffects checks RuleEffects and RuleOneInFlight.
 func (a *auditor) checkEffects() {
 	for _, i := range a.invocations {
 		if len(i.dispatches) == 0 || i.Seen == nil || int(i.Op) >= len(a.set.Operation) {
@@ -406,7 +422,7 @@
 			for _, e := range i.dispatches[:n] {
 				a.Checked[RuleOneInFlight]++
 				if endUs := a.endUs(e); endUs == 0 || endUs > d.AtUs+skewUs/2 {
-					a.violated(RuleOneInFlight, "%s was sent to node %d %d ms before it was over at node %d", i.id, d.Node,
+					a.violated(RuleOneInFlight, "%s was sent to node %d %d ms before its dispatch to node %d ended", i.id, d.Node,
 						(endUs-d.AtUs)/1000, e.Node)
 				}
 				if e.rejected || o.Repeat == settings.Repeat_IDEMPOTENT {
@@ -416,10 +432,10 @@
 					a.violated(RuleEffects, "%s (%s) was sent to node %d though it may have run on node %d", i.id, o.Name, d.Node,
 						e.Node)
 				} else if d.AtUs-e.AtUs > int64(o.MemoryMs*1000)+skewUs {
-					a.violated(RuleEffects, "%s (%s) was sent again after %d ms, outside the memory of %g ms", i.id, o.Name,
+					a.violated(RuleEffects, "%s (%s) was repeated after %d ms; nodes remember idempotency keys for %g ms", i.id, o.Name,
 						(d.AtUs-e.AtUs)/1000, o.MemoryMs)
 				} else if o.Group == "zone" && d.Zone != e.Zone || o.Group == "cell" && d.Node != e.Node {
-					a.violated(RuleEffects, "%s (%s) was sent outside its group, from node %d to node %d", i.id, o.Name, e.Node, d.Node)
+					a.violated(RuleEffects, "%s (%s) was repeated outside its group: node %d, then node %d", i.id, o.Name, e.Node, d.Node)
 				}
 			}
 		}
@@ -431,7 +447,7 @@
 	}
 }
 
-// endUs is when a dispatch was endUs: answered, cut, or dead with its node; 0 if never.
+// endUs returns when a dispatch ended: answered, cut off, or with the process of its node; 0 if it did not end.
 func (a *auditor) endUs(d *dispatch) int64 {
 	end := d.endUs
 	for _, t := range a.nodeEndsUs[d.Node] {
@@ -442,7 +458,7 @@
 	return end
 }
 
-// checkDrains checks the third rule.
+// checkDrains checks RuleDrain.
 func (a *auditor) checkDrains() {
 	graceUs := int64(a.set.Rules.GraceMs*1000) + skewUs
 	for _, m := range a.marshals {
@@ -453,7 +469,7 @@
 				continue
 			}
 			a.Checked[RuleDrain]++
-			// The first word of the present row of words that it drains or is gone.
+			// Find the update since which the node has not been serving.
 			first := n
 			for first > 0 && updates[first-1].Text != "serving" {
 				first--
@@ -461,35 +477,38 @@
 			if first == n || d.AtUs-updates[first].AtUs <= graceUs || anyBetween(m.startsUs, updates[first].AtUs, d.AtUs) {
 				continue
 			}
-			a.violated(RuleDrain, "node %d got %s %d ms after marshal %d was told that it is %s", d.Node, d.Inv,
+			a.violated(RuleDrain, "node %d received %s %d ms after marshal %d was notified that it is %s", d.Node, d.Inv,
 				(d.AtUs-updates[first].AtUs)/1000, d.Instance, updates[first].Text)
 		}
 	}
 }
 
-// checkExposure checks the fifth rule.
+// checkExposure checks RuleExposure.
 func (a *auditor) checkExposure() {
 	for number, m := range a.marshals {
 		lowerCapGraceMs := a.bounds.LowerCapGraceMs
 		if lowerCapGraceMs == 0 {
 			lowerCapGraceMs = a.set.Rules.GraceMs
 		}
-		w := &exposureCheck{a: a, m: m, number: number, graceUs: int64(a.set.Rules.GraceMs * 1000), lowerCapGraceUs: int64(lowerCapGraceMs * 1000),
-			windowUs: int64(a.set.Rollout.CountedOverMs * 1000), perOperation: a.set.Rollout.CapScope == "each-operation"}
+		w := &exposureCheck{a: a, m: m, number: number, graceUs: int64(a.set.Rules.GraceMs * 1000),
+			lowerCapGraceUs: int64(lowerCapGraceMs * 1000), windowUs: int64(a.set.Rollout.CountedOverMs * 1000),
+			perOperation: a.set.Rollout.CapScope == "each-operation"}
 		w.check()
 	}
 }
 
+// exposureCheck checks the traffic of one marshal to trial builds.
 type exposureCheck struct {
 	a                 *auditor
 	m                 *marshal
 	number            int64
 	graceUs, windowUs int64
-	lowerCapGraceUs   int64 // after which a lower cap binds
+	lowerCapGraceUs   int64 // time after which a lowered cap must be kept
 	perOperation      bool
 }
 
-// lastStageUpdate is what a marshal had been told last at a time, in its present life.
+// lastStageUpdate returns the last stage update that the marshal had received by a time, and its index, or -1 and nil if
+// it had received none since its last start.
 func (w *exposureCheck) lastStageUpdate(atUs int64) (n int, s *record.Seen) {
 	n = sort.Search(len(w.m.stageUpdates), func(i int) bool { return w.m.stageUpdates[i].AtUs > atUs })
 	if n == 0 {
@@ -497,15 +516,16 @@
 	}
 	s = w.m.stageUpdates[n-1]
 	if anyBetween(w.m.startsUs, s.AtUs, atUs) {
-		return -1, nil // told to a life before
+		return -1, nil // received before the restart
 	}
 	return n - 1, s
 }
 
-// trialState is the stage and cap that count for a build at a time; onTrial false where none does.
+// trialState returns the stage and cap that apply to a build at a time; onTrial is false if the build has no cap. Where
+// sinceUs is not 0, only dispatches after it count.
 func (w *exposureCheck) trialState(ver, atUs int64) (stage int64, cap float64, sinceUs int64, onTrial bool) {
 	n, s := w.lastStageUpdate(atUs)
-	if s == nil { // nothing told in this life: all but the oldest build that it knows to serve may be on trial
+	if s == nil { // no update since the start: every build but the oldest that serves may be on trial
 		if ver <= w.oldestBuild(atUs) {
 			return 0, 1, 0, false
 		}
@@ -518,7 +538,7 @@
 		return 0, 1, 0, false
 	}
 	stage, cap = s.Stage, s.Cap
-	// A lower cap takes effect after the grace, and is counted afresh from then.
+	// A lowered cap takes effect after its grace period, and only dispatches after that count.
 	for ; n >= 0 && atUs-w.m.stageUpdates[n].AtUs <= w.windowUs+w.lowerCapGraceUs+skewUs; n-- {
 		if earlier := w.m.stageUpdates[n]; earlier.Ver == ver && earlier.Cap > cap {
 			loweredUs := w.m.stageUpdates[n+1].AtUs + w.lowerCapGraceUs + skewUs
@@ -531,7 +551,7 @@
 	return stage, cap, 0, true
 }
 
-// startUs is when the marshal's present life began.
+// startUs returns when the marshal was last started before a time.
 func (w *exposureCheck) startUs(atUs int64) int64 {
 	n := sort.Search(len(w.m.startsUs), func(i int) bool { return w.m.startsUs[i] > atUs })
 	if n == 0 {
@@ -540,16 +560,16 @@
 	return w.m.startsUs[n-1]
 }
 
-// oldestBuild is the oldestBuild build of the nodes that the marshal had been told to serve; what it was told in the life
-// before, it has from its disk.
+// oldestBuild returns the oldest build among the nodes that were serving by the marshal's last updates at a time. Updates
+// from before a restart count too: the marshal saves its list on disk.
 func (w *exposureCheck) oldestBuild(atUs int64) int64 {
-	least := int64(1) << 40
+	oldest := int64(1) << 40
 	for _, updates := range w.m.nodeUpdates {
 		if n := sort.Search(len(updates), func(i int) bool { return updates[i].AtUs > atUs }); n > 0 && updates[n-1].Text == "serving" {
-			least = min(least, updates[n-1].Ver)
+			oldest = min(oldest, updates[n-1].Ver)
 		}
 	}
-	return least
+	return oldest
 }
 
 func (w *exposureCheck) check() {
@@ -585,13 +605,13 @@
 		limit := r.Allowance + cap*float64(accepted)
 		limit += w.a.bounds.ExtraAttempts + w.a.bounds.ExtraAttemptsShare*limit
 		if float64(count) > limit {
-			w.a.violated(RuleExposure, "marshal %d sent %d to build %d in %d ms; %d taken at a cap of %g allow %.1f", w.number, count,
-				d.Ver, w.windowUs/1000, accepted, cap, limit)
+			w.a.violated(RuleExposure, "marshal %d sent %d dispatches to build %d in %d ms; %d accepted at a cap of %g allow %.1f", w.number,
+				count, d.Ver, w.windowUs/1000, accepted, cap, limit)
 		}
 	}
 }
 
-// zeroBeyondGrace says that the cap was 0 for longer than the grace.
+// zeroBeyondGrace reports whether the cap had been 0 for longer than the grace period when d was sent.
 func (w *exposureCheck) zeroBeyondGrace(d *dispatch) bool {
 	n, s := w.lastStageUpdate(d.AtUs)
 	for n > 0 && w.m.stageUpdates[n-1].Ver == s.Ver && w.m.stageUpdates[n-1].Cap == 0 {
@@ -601,6 +621,7 @@
 	return s != nil && d.AtUs-s.AtUs > w.lowerCapGraceUs+skewUs
 }
 
+// acceptedBetween counts the invocations of an operation, or of all with op -1, that the marshal accepted in a time span.
 func (w *exposureCheck) acceptedBetween(fromUs, toUs, op int64) (count int) {
 	accepted := w.m.accepted
 	for k := sort.Search(len(accepted), func(i int) bool { return accepted[i].AtUs > fromUs }); k < len(accepted) && accepted[k].AtUs <= toUs; k++ {
@@ -611,7 +632,7 @@
 	return count
 }
 
-// checkForwardOnly checks that a key which a build has answered goes to no earlier one.
+// checkForwardOnly checks RuleForwardOnly: a key that one build has answered is not sent to an earlier one.
 func (a *auditor) checkForwardOnly() {
 	if !a.set.Rollout.ForwardOnly {
 		return
@@ -619,7 +640,7 @@
 	for number, m := range a.marshals {
 		w := &exposureCheck{a: a, m: m, number: number}
 		type binding struct {
-			ver, at int64
+			ver, atUs int64
 		}
 		bindings := map[string]binding{}
 		var answers []*dispatch
@@ -637,7 +658,7 @@
 				}
 			}
 			b, ok := bindings[d.Key]
-			if !ok || d.Key == "" || anyBetween(m.startsUs, b.at, d.AtUs) {
+			if !ok || d.Key == "" || anyBetween(m.startsUs, b.atUs, d.AtUs) {
 				continue
 			}
 			_, s := w.lastStageUpdate(d.AtUs)
@@ -646,44 +667,45 @@
 			}
 			a.Checked[RuleForwardOnly]++
 			if d.Ver < b.ver {
-				a.violated(RuleForwardOnly, "key %s, answered by build %d, went to build %d", d.Key, b.ver, d.Ver)
+				a.violated(RuleForwardOnly, "key %s was answered by build %d and then sent to build %d", d.Key, b.ver, d.Ver)
 			}
 		}
 	}
 }
 
-// AnswerTimes gives the answer times of an operation's successes at some shares of them, in ms.
-func (r *Report) AnswerTimes(op int, shares ...float64) []float64 {
+// AnswerTimes returns quantiles, in ms, of the answer times of an operation's successful invocations.
+func (r *Report) AnswerTimes(op int, quantiles ...float64) []float64 {
 	t := slices.Clone(r.answerTimesUs[op])
 	slices.Sort(t)
 	var out []float64
-	for _, s := range shares {
+	for _, q := range quantiles {
 		if len(t) == 0 {
 			out = append(out, 0)
 			continue
 		}
-		out = append(out, float64(t[min(len(t)-1, int(s*float64(len(t))))])/1000)
+		out = append(out, float64(t[min(len(t)-1, int(q*float64(len(t))))])/1000)
 	}
 	return out
 }
 
+// ruleTexts describe the rules in the table.
 var ruleTexts = map[string]string{
-	RuleAnswered:    "one final answer each, in the client's time",
-	RuleEffects:     "no effect twice",
-	RuleOneInFlight: "one dispatch out at most",
-	RuleDrain:       "nothing new to a node that drains or is gone",
-	RuleColdNodes:   "no cold node pushed over",
-	RuleExposure:    "builds on trial within their caps",
-	RuleForwardOnly: "keys go forward only",
-	RuleTimeBudget:  "nodes told of no more time than there is",
-	RuleClientGone:  "nothing begun for clients that have left",
-}
-
-// WriteTable prints the audit, rule by rule.
+	RuleAnswered:    "exactly one final answer within the time limit",
+	RuleEffects:     "no effect happens twice",
+	RuleOneInFlight: "at most one dispatch in flight",
+	RuleDrain:       "no dispatch to draining or gone nodes",
+	RuleColdNodes:   "no node overloaded while warming up",
+	RuleExposure:    "trial builds within their caps",
+	RuleForwardOnly: "no key returns to an earlier build",
+	RuleTimeBudget:  "nodes get no more time than is left",
+	RuleClientGone:  "no dispatch for disconnected clients",
+}
+
+// WriteTable writes the report as text, with a line for each rule.
 func (r *Report) WriteTable(w io.Writer) {
-	fmt.Fprintf(w, "invocations %d: %d succeeded, %d throttled, %d terminated, %d clients left; %d unanswered, %d answered twice\n",
+	fmt.Fprintf(w, "invocations %d: %d succeeded, %d throttled, %d terminated, %d clients disconnected; %d unanswered, %d answered twice\n",
 		r.Invocations, r.Succeeded, r.Throttled, r.Terminated, r.ClientsLeft, r.Unanswered, r.AnsweredTwice)
-	fmt.Fprintf(w, "not taken %d, dispatches %d, of them repeats %d\n\n", r.NotAccepted, r.Dispatches, r.Repeats)
+	fmt.Fprintf(w, "not accepted %d, dispatches %d, of which repeats %d\n\n", r.NotAccepted, r.Dispatches, r.Repeats)
 	fmt.Fprintf(w, "%-9s %-46s %8s %7s\n", "rule", "", "checked", "broken")
 	rules := slices.DeleteFunc([]string{RuleTimeBudget, RuleClientGone}, func(rule string) bool { return r.Checked[rule] == 0 })
 	for _, rule := range append(slices.Clone(Rules), rules...) {
