--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -27,48 +27,48 @@
 // clients asks on an open loop: when an invocation comes does not hang on when others are answered. What is read
 // goes through net/http's reader of responses, not through the marshal's own code.
 type clients struct {
-	w      *world
-	pools  []*pool
-	wg     sync.WaitGroup
-	weight []float64
+	w          *testbed
+	pools      []*pool
+	wg         sync.WaitGroup
+	keyWeights []float64
 
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	seq     int
-	times   float64 // of the planned rate
-	hot     float64
-	hotKeys int
-	shifted float64
-	bad     float64
+	mu           sync.Mutex
+	rnd          *rand.Rand
+	seq          int
+	rateFactor   float64 // of the planned rate
+	hotShare     float64
+	hotKeys      int
+	shiftedShare float64
+	badShare     float64
 }
 
-func newClients(w *world) *clients {
-	c := &clients{w: w, rnd: rand.New(rand.NewPCG(w.Seed, 3)), times: 1}
+func newClients(w *testbed) *clients {
+	c := &clients{w: w, rnd: rand.New(rand.NewPCG(w.Seed, 3)), rateFactor: 1}
 	for _, m := range w.marshals {
-		c.pools = append(c.pools, &pool{m: m})
+		c.pools = append(c.pools, &pool{marshal: m})
 	}
 	sum := 0.0
 	for k := range max(1, int(w.Scenario.Keys)) {
 		sum += math.Pow(float64(k+1), -w.Scenario.Zipf)
-		c.weight = append(c.weight, sum)
+		c.keyWeights = append(c.keyWeights, sum)
 	}
 	return c
 }
 
-func (c *clients) set(f func(*clients)) {
+func (c *clients) update(f func(*clients)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c)
 }
 
 // run asks for as long as the day lasts, and waits until all is answered.
-func (c *clients) run(ctx context.Context, for_ time.Duration) {
-	begun := time.Now()
-	next := begun
-	for time.Since(begun) < for_ && ctx.Err() == nil {
+func (c *clients) run(ctx context.Context, duration time.Duration) {
+	start := time.Now()
+	next := start
+	for time.Since(start) < duration && ctx.Err() == nil {
 		c.mu.Lock()
-		next = next.Add(time.Duration(c.rnd.ExpFloat64() / (c.w.Scenario.Rate * c.times) * float64(time.Second)))
-		inv := c.draw()
+		next = next.Add(time.Duration(c.rnd.ExpFloat64() / (c.w.Scenario.Rate * c.rateFactor) * float64(time.Second)))
+		inv := c.newRequest()
 		c.mu.Unlock()
 		if wait := time.Until(next); wait > 0 {
 			time.Sleep(wait)
@@ -78,50 +78,50 @@
 	c.wg.Wait()
 }
 
-// wish is one invocation as a client means it.
-type wish struct {
-	id, key, mark string
-	op            int
-	work          float64
-	limit         time.Duration
-	left          int // repeats that the client would make
-	try           int
-	marshal       int
-	bad           bool
-	leave         time.Duration // when the client goes, 0 for never
-	trickle       bool
-	large, expect bool
-	head          bool
-	second        *wish // sent in one go with it
+// requestSpec is one invocation as a client means it.
+type requestSpec struct {
+	id, key, idempotencyKey string
+	op                      int
+	workMs                  float64
+	timeLimit               time.Duration
+	retriesLeft             int // repeats that the client would make
+	attempt                 int
+	marshal                 int
+	bad                     bool
+	leaveAfter              time.Duration // when the client goes, 0 for never
+	trickle                 bool
+	large, expect           bool
+	head                    bool
+	pipelined               *requestSpec // sent in one go with it
 }
 
-// draw makes up an invocation; c.mu is held.
-func (c *clients) draw() *wish {
+// newRequest makes up an invocation; c.mu is held.
+func (c *clients) newRequest() *requestSpec {
 	w, p, h := c.w, c.w.Scenario, c.w.Scenario.Habits
-	v := &wish{op: pick(p.Mix, c.rnd), left: c.rnd.IntN(int(h.Retries) + 1), try: 1}
-	v.work = p.WorkMs[v.op] * (0.6 + 0.8*c.rnd.Float64())
-	v.limit = time.Duration(p.Settings.Operation[v.op].LimitMs * (h.PatienceLeast + (1-h.PatienceLeast)*c.rnd.Float64()) *
+	v := &requestSpec{op: pickWeighted(p.Mix, c.rnd), retriesLeft: c.rnd.IntN(int(h.Retries) + 1), attempt: 1}
+	v.workMs = p.WorkMs[v.op] * (0.6 + 0.8*c.rnd.Float64())
+	v.timeLimit = time.Duration(p.Settings.Operation[v.op].LimitMs * (h.PatienceLeast + (1-h.PatienceLeast)*c.rnd.Float64()) *
 		float64(time.Millisecond))
-	v.key = "k" + strconv.Itoa(c.key())
-	if c.rnd.Float64() < c.hot {
+	v.key = "k" + strconv.Itoa(c.drawKey())
+	if c.rnd.Float64() < c.hotShare {
 		v.key = "hot" + strconv.Itoa(c.rnd.IntN(c.hotKeys))
 	}
 	v.marshal = c.rnd.IntN(len(c.pools))
-	for c.rnd.Float64() < c.shifted && w.marshals[v.marshal].zone != 0 {
+	for c.rnd.Float64() < c.shiftedShare && w.marshals[v.marshal].zone != 0 {
 		v.marshal = c.rnd.IntN(len(c.pools))
 	}
-	v.bad = c.rnd.Float64() < c.bad
-	c.name(v)
-	v.mark = v.id
+	v.bad = c.rnd.Float64() < c.badShare
+	c.assignID(v)
+	v.idempotencyKey = v.id
 	get := p.Settings.Operation[v.op].Match[0].Method == "GET"
 	switch u := c.rnd.Float64(); {
 	case u < h.Leave:
-		v.leave = time.Duration(c.rnd.Float64() * 0.15 * float64(v.limit))
+		v.leaveAfter = time.Duration(c.rnd.Float64() * 0.15 * float64(v.timeLimit))
 	case u < h.Leave+h.Pipeline:
 		second := *v
-		c.name(&second)
-		second.mark = second.id
-		v.second = &second
+		c.assignID(&second)
+		second.idempotencyKey = second.id
+		v.pipelined = &second
 	case u < h.Leave+h.Pipeline+h.Trickle:
 		v.trickle = true
 	case u < h.Leave+h.Pipeline+h.Trickle+h.Large:
@@ -134,14 +134,14 @@
 	return v
 }
 
-func (c *clients) name(v *wish) {
+func (c *clients) assignID(v *requestSpec) {
 	c.seq++
 	v.id = fmt.Sprintf("%d-%d", c.w.Seed, c.seq)
 }
 
-func (c *clients) key() int {
-	u := c.rnd.Float64() * c.weight[len(c.weight)-1]
-	for k, sum := range c.weight {
+func (c *clients) drawKey() int {
+	u := c.rnd.Float64() * c.keyWeights[len(c.keyWeights)-1]
+	for k, sum := range c.keyWeights {
 		if u < sum {
 			return k
 		}
@@ -149,7 +149,7 @@
 	return 0
 }
 
-func pick(shares []float64, rnd *rand.Rand) int {
+func pickWeighted(shares []float64, rnd *rand.Rand) int {
 	sum := 0.0
 	for _, s := range shares {
 		sum += s
@@ -164,8 +164,8 @@
 	return len(shares) - 1
 }
 
-// request writes an invocation as HTTP.
-func (v *wish) request(set *settings.Settings) []byte {
+// encode writes an invocation as HTTP.
+func (v *requestSpec) encode(set *settings.Settings) []byte {
 	o := set.Operation[v.op]
 	m := o.Match[0]
 	var b bytes.Buffer
@@ -175,16 +175,16 @@
 	}
 	fmt.Fprintf(&b, "%s %s HTTP/1.1\r\nHost: booking.example\r\n", method, strings.Replace(m.Path, "*", v.key, 1))
 	fmt.Fprintf(&b, "%s: %s\r\n%s: %d\r\n%s: %s\r\n%s: %.3f\r\n", standin.InvHeader, v.id, standin.OpHeader, v.op,
-		standin.KeyHeader, v.key, standin.WorkHeader, v.work)
-	fmt.Fprintf(&b, "%s: %d\r\n", set.Headers.TimeMs, v.limit.Milliseconds())
+		standin.KeyHeader, v.key, standin.WorkHeader, v.workMs)
+	fmt.Fprintf(&b, "%s: %d\r\n", set.Headers.TimeMs, v.timeLimit.Milliseconds())
 	if o.Repeat == settings.Repeat_FINGERPRINTED {
-		fmt.Fprintf(&b, "%s: %s\r\n", set.Headers.Mark, v.mark)
+		fmt.Fprintf(&b, "%s: %s\r\n", set.Headers.Mark, v.idempotencyKey)
 	}
 	if v.bad {
 		b.WriteString(standin.BadHeader + ": 1\r\n")
 	}
-	if v.try > 1 && set.Headers.Retry != "" {
-		fmt.Fprintf(&b, "%s: %d\r\n", set.Headers.Retry, v.try)
+	if v.attempt > 1 && set.Headers.Retry != "" {
+		fmt.Fprintf(&b, "%s: %d\r\n", set.Headers.Retry, v.attempt)
 	}
 	if m.Method == "GET" {
 		b.WriteString("\r\n")
@@ -197,7 +197,7 @@
 	if v.expect {
 		b.WriteString("Expect: 100-continue\r\n")
 	}
-	if v.work > 14 { // some in chunks
+	if v.workMs > 14 { // some in chunks
 		fmt.Fprintf(&b, "Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", size, strings.Repeat("b", size))
 	} else {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", size, strings.Repeat("b", size))
@@ -205,66 +205,66 @@
 	return b.Bytes()
 }
 
-func (c *clients) see(v *wish, kind, final, text string, at time.Time) {
-	c.w.see(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: v.id, Instance: int64(v.marshal), Op: int64(v.op), Key: v.key,
-		LimitMs: float64(v.limit) / float64(time.Millisecond), Final: final, Text: text})
+func (c *clients) record(v *requestSpec, kind, final, text string, at time.Time) {
+	c.w.record(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: v.id, Instance: int64(v.marshal), Op: int64(v.op), Key: v.key,
+		LimitMs: float64(v.timeLimit) / float64(time.Millisecond), Final: final, Text: text})
 }
 
 // invoke asks, and asks again as clients do.
-func (c *clients) invoke(v *wish) {
-	begun := time.Now()
+func (c *clients) invoke(v *requestSpec) {
+	start := time.Now()
 	for {
-		final, wait := c.ask(v)
+		final, wait := c.exchange(v)
 		o := c.w.Scenario.Settings.Operation[v.op]
-		again := final == front.Throttled || final == front.NotAccepted || final == front.Terminated && o.Repeat == settings.Repeat_IDEMPOTENT
-		rest := time.Duration(o.LimitMs*float64(time.Millisecond)) - time.Since(begun) - wait
-		if !again || v.left == 0 || rest < 50*time.Millisecond || v.second != nil {
+		mayRetry := final == front.Throttled || final == front.NotAccepted || final == front.Terminated && o.Repeat == settings.Repeat_IDEMPOTENT
+		remaining := time.Duration(o.LimitMs*float64(time.Millisecond)) - time.Since(start) - wait
+		if !mayRetry || v.retriesLeft == 0 || remaining < 50*time.Millisecond || v.pipelined != nil {
 			return
 		}
 		time.Sleep(wait)
 		next := *v
 		c.mu.Lock()
-		c.name(&next)
+		c.assignID(&next)
 		next.marshal = c.rnd.IntN(len(c.pools))
 		c.mu.Unlock()
-		next.left, next.try, next.limit, next.leave = v.left-1, v.try+1, min(v.limit, rest), 0
+		next.retriesLeft, next.attempt, next.timeLimit, next.leaveAfter = v.retriesLeft-1, v.attempt+1, min(v.timeLimit, remaining), 0
 		v = &next
 	}
 }
 
-// ask sends an invocation, with its second where it has one, and reads what comes.
-func (c *clients) ask(v *wish) (final string, wait time.Duration) {
+// exchange sends an invocation, with its second where it has one, and reads what comes.
+func (c *clients) exchange(v *requestSpec) (final string, wait time.Duration) {
 	cc, err := c.pools[v.marshal].get(c)
 	if err != nil {
-		c.see(v, "asked", "", "", time.Now())
-		c.see(v, "refused", "", err.Error(), time.Now())
+		c.record(v, "asked", "", "", time.Now())
+		c.record(v, "refused", "", err.Error(), time.Now())
 		return front.NotAccepted, 50 * time.Millisecond
 	}
-	text := v.request(c.w.Scenario.Settings)
-	begun := time.Now()
-	c.see(v, "asked", "", "", begun)
-	if v.second != nil {
-		c.see(v.second, "asked", "", "", begun)
-		text = append(text, v.second.request(c.w.Scenario.Settings)...)
-	}
-	cc.last = v
-	if err := cc.send(text, v.trickle); err != nil && !readable(err) {
-		c.see(v, "broke", "", "write: "+err.Error(), time.Now())
-		if v.second != nil {
-			c.see(v.second, "broke", "", "write: "+err.Error(), time.Now())
+	text := v.encode(c.w.Scenario.Settings)
+	start := time.Now()
+	c.record(v, "asked", "", "", start)
+	if v.pipelined != nil {
+		c.record(v.pipelined, "asked", "", "", start)
+		text = append(text, v.pipelined.encode(c.w.Scenario.Settings)...)
+	}
+	cc.lastRequest = v
+	if err := cc.send(text, v.trickle); err != nil && !mayHoldAnswer(err) {
+		c.record(v, "broke", "", "write: "+err.Error(), time.Now())
+		if v.pipelined != nil {
+			c.record(v.pipelined, "broke", "", "write: "+err.Error(), time.Now())
 		}
 		cc.Close()
 		return "", 0
 	}
-	final, wait, keep := c.read(cc, v, begun)
-	if v.second != nil {
-		if keep {
-			_, _, keep = c.read(cc, v.second, begun)
+	final, wait, keepOpen := c.readAnswer(cc, v, start)
+	if v.pipelined != nil {
+		if keepOpen {
+			_, _, keepOpen = c.readAnswer(cc, v.pipelined, start)
 		} else {
-			c.see(v.second, "left", "", "after the first of two failed", time.Now())
+			c.record(v.pipelined, "left", "", "after the first of two failed", time.Now())
 		}
 	}
-	if keep {
+	if keepOpen {
 		c.pools[v.marshal].put(cc)
 	} else {
 		cc.Close()
@@ -272,17 +272,17 @@
 	return final, wait
 }
 
-// readable says that a connection whose write failed may hold an answer all the same.
-func readable(err error) bool {
+// mayHoldAnswer says that a connection whose write failed may hold an answer all the same.
+func mayHoldAnswer(err error) bool {
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
 }
 
-func (c *clients) read(cc *conn, v *wish, begun time.Time) (final string, wait time.Duration, keep bool) {
-	until := begun.Add(v.limit)
-	if v.leave > 0 {
-		until = begun.Add(v.leave)
+func (c *clients) readAnswer(cc *conn, v *requestSpec, start time.Time) (final string, wait time.Duration, keepOpen bool) {
+	deadline := start.Add(v.timeLimit)
+	if v.leaveAfter > 0 {
+		deadline = start.Add(v.leaveAfter)
 	}
-	cc.SetReadDeadline(until)
+	cc.SetReadDeadline(deadline)
 	method := "POST"
 	if v.head {
 		method = "HEAD"
@@ -302,26 +302,26 @@
 	}
 	now := time.Now()
 	switch {
-	case err != nil && errors.Is(err, os.ErrDeadlineExceeded) && v.leave > 0:
-		c.see(v, "left", "", "", now)
+	case err != nil && errors.Is(err, os.ErrDeadlineExceeded) && v.leaveAfter > 0:
+		c.record(v, "left", "", "", now)
 		return "", 0, false
 	case err != nil && errors.Is(err, os.ErrDeadlineExceeded):
-		c.see(v, "silent", "", "", now)
+		c.record(v, "silent", "", "", now)
 		return "", 0, false
 	case err != nil:
-		c.see(v, "broke", "", err.Error(), now)
+		c.record(v, "broke", "", err.Error(), now)
 		return "", 0, false
 	}
 	final = resp.Header.Get(front.AnswerHeader)
-	c.see(v, "answered", final, strconv.Itoa(resp.StatusCode), now)
+	c.record(v, "answered", final, strconv.Itoa(resp.StatusCode), now)
 	if final == front.Succeeded && resp.Header.Get(standin.InvHeader) != v.id ||
 		final == front.Succeeded && !v.head && !strings.HasSuffix(strings.TrimSpace(string(body)), " "+v.id) {
-		c.see(v, "mixed", final, resp.Header.Get(standin.InvHeader), now)
+		c.record(v, "mixed", final, resp.Header.Get(standin.InvHeader), now)
 	}
 	if resp.Header.Get("X-Answer") == standin.WrongValue {
 		if node, err := strconv.ParseUint(resp.Header.Get("X-Node"), 10, 32); err == nil {
 			c.w.after(500*time.Millisecond, func() {
-				c.w.conveyor.Flag(v.marshal, uint32(node), v.op, time.Since(begun))
+				c.w.rollout.Flag(v.marshal, uint32(node), v.op, time.Since(start))
 			})
 		}
 	}
@@ -333,15 +333,15 @@
 
 // pool keeps a client's connections to one marshal.
 type pool struct {
-	m    *aMarshal
-	mu   sync.Mutex
-	idle []*conn
+	marshal *testMarshal
+	mu      sync.Mutex
+	idle    []*conn
 }
 
 type conn struct {
 	net.Conn
-	r    *bufio.Reader
-	last *wish
+	r           *bufio.Reader
+	lastRequest *requestSpec
 }
 
 func (p *pool) get(c *clients) (*conn, error) {
@@ -355,12 +355,12 @@
 		if cc == nil {
 			break
 		}
-		if cc.open(c) {
+		if cc.usable(c) {
 			return cc, nil
 		}
 		cc.Close()
 	}
-	nc, err := net.DialTimeout("tcp", p.m.address, 300*time.Millisecond)
+	nc, err := net.DialTimeout("tcp", p.marshal.address, 300*time.Millisecond)
 	if err != nil {
 		return nil, err
 	}
@@ -373,10 +373,10 @@
 	p.idle = append(p.idle, cc)
 }
 
-// open says that an idle connection can be used; what came on it unasked came after a final answer.
-func (cc *conn) open(c *clients) bool {
+// usable says that an idle connection can be used; what came on it unasked came after a final answer.
+func (cc *conn) usable(c *clients) bool {
 	if cc.r.Buffered() > 0 {
-		c.see(cc.last, "extra", "", "", time.Now())
+		c.record(cc.lastRequest, "extra", "", "", time.Now())
 		return false
 	}
 	open := false
@@ -389,7 +389,7 @@
 		n, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		open = err == syscall.EAGAIN
 		if n > 0 && err == nil {
-			c.see(cc.last, "extra", "", "", time.Now())
+			c.record(cc.lastRequest, "extra", "", "", time.Now())
 		}
 		return true
 	})
@@ -416,12 +416,12 @@
 	return nil
 }
 
-// close looks a last time for what came unasked.
-func (c *clients) close() {
+// closeIdle looks a last time for what came unasked.
+func (c *clients) closeIdle() {
 	for _, p := range c.pools {
 		p.mu.Lock()
 		for _, cc := range p.idle {
-			cc.open(c)
+			cc.usable(c)
 			cc.Close()
 		}
 		p.idle = nil
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -149,7 +149,7 @@
 				})
 			}
 		}()
-		all.end()
+		all.closeAndWait()
 		if b, e := begun.Load(), ended.Load(); b != e {
 			t.Fatalf("%d began and %d had ended", b, e)
 		}
--- a/internal/day/like.go
+++ b/internal/day/like.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	mostNodes, mostMarshals = 24, 5 // of a day taken over: what one machine carries among clients and all
-	mostSeconds             = 120
+	maxNodes, maxMarshals = 24, 5 // of a day taken over: what one machine carries among clients and all
+	maxSeconds            = 120
 )
 
 // LoadBenchScenario makes a day of the kinds, times and shares of a day that the bench drew or found, at a size for this machine.
@@ -22,30 +22,30 @@
 	if err != nil {
 		return nil, err
 	}
-	in := gjson.ParseBytes(text)
-	servers, marshals := len(in.Get("servers").Array()), len(in.Get("balancers").Array())
-	if !gjson.ValidBytes(text) || servers == 0 || marshals == 0 || !in.Get("length").Exists() {
+	bench := gjson.ParseBytes(text)
+	servers, marshals := len(bench.Get("servers").Array()), len(bench.Get("balancers").Array())
+	if !gjson.ValidBytes(text) || servers == 0 || marshals == 0 || !bench.Get("length").Exists() {
 		return nil, fmt.Errorf("%s: no day of the bench: length, servers and balancers are what one has", path)
 	}
 	d := DefaultScenario()
-	d.Seconds = min(in.Get("length").Num/1e6, mostSeconds)
-	d.Nodes, d.Marshals = uint32(min(servers, mostNodes)), uint32(min(marshals, mostMarshals))
+	d.Seconds = min(bench.Get("length").Num/1e6, maxSeconds)
+	d.Nodes, d.Marshals = uint32(min(servers, maxNodes)), uint32(min(marshals, maxMarshals))
 	d.Settings.Instance.Marshals = d.Marshals
 	d.Trouble, d.Build = nil, nil
-	for _, t := range in.Get("troubles").Array() {
+	for _, t := range bench.Get("troubles").Array() {
 		name := t.Get("kind").Str
 		if name == "bad_build" {
 			continue // it stands among the releases
 		}
-		if ours, ok := aliases[name]; ok {
-			name = ours
+		if alias, ok := benchNames[name]; ok {
+			name = alias
 		}
-		if kinds[name].begin == nil {
+		if faultKinds[name].start == nil {
 			return nil, fmt.Errorf("%s: no trouble is called %q", path, name)
 		}
-		n := &settings.Trouble{Kind: name, AtS: t.Get("at").Num / 1e6, ForS: t.Get("len").Num / 1e6, Size: t.Get("size").Num,
+		trouble := &settings.Trouble{Kind: name, AtS: t.Get("at").Num / 1e6, ForS: t.Get("len").Num / 1e6, Size: t.Get("size").Num,
 			Extra: t.Get("extra").Num, How: t.Get("how").Str}
-		of, count := servers, 0
+		total, count := servers, 0
 		for _, i := range t.Get("on").Array() {
 			if int(i.Num) < servers { // the others are places that come up later
 				count++
@@ -53,22 +53,22 @@
 		}
 		switch name {
 		case "marshal_stall":
-			of = marshals
+			total = marshals
 		case "marshal_roll":
-			of = marshals
-			n.How = ""
-			for _, s := range t.Get("steps").Array() {
-				count += len(s.Get("stop").Array())
+			total = marshals
+			trouble.How = ""
+			for _, strength := range t.Get("steps").Array() {
+				count += len(strength.Get("stop").Array())
 			}
 		case "slow_link": // the bench tells it in SLO times, the shortest
-			n.Size *= shortest(d.Settings)
+			trouble.Size *= shortestSLOMs(d.Settings)
 		case "roster_stale", "conveyor_down":
-			n.Extra = n.Size
+			trouble.Extra = trouble.Size
 		}
-		n.Part = math.Min(1, float64(count)/float64(of))
-		d.Trouble = append(d.Trouble, n)
+		trouble.Part = math.Min(1, float64(count)/float64(total))
+		d.Trouble = append(d.Trouble, trouble)
 	}
-	for _, r := range in.Get("fam.releases").Array() {
+	for _, r := range bench.Get("fam.releases").Array() {
 		at, s := r.Get("at").Num/1e6, r.Get("strength").Num
 		if at >= d.Seconds {
 			continue
@@ -95,7 +95,7 @@
 	return d, nil
 }
 
-func shortest(s *settings.Settings) float64 {
+func shortestSLOMs(s *settings.Settings) float64 {
 	least := math.Inf(1)
 	for _, o := range s.Operation {
 		least = math.Min(least, o.SloMs)
--- a/internal/day/parts.go
+++ b/internal/day/parts.go
@@ -28,29 +28,29 @@
 	Kill()
 }
 
-func (w *world) newNode(set *settings.Standin) (node, error) {
+func (w *testbed) launchNode(set *settings.Standin) (node, error) {
 	if w.Binary != "" {
 		set.Record = filepath.Join(w.Dir, fmt.Sprintf("node-%d-%d.seen", set.Node, set.Seed))
-		return w.spawn(fmt.Sprintf("node-%d-%d", set.Node, set.Seed), set, "standin", "node")
+		return w.spawnStandin(fmt.Sprintf("node-%d-%d", set.Node, set.Seed), set, "standin", "node")
 	}
 	n := standin.FromSettings(set)
-	n.Seen = w.see
+	n.Seen = w.record
 	return n, n.Start("127.0.0.1:0")
 }
 
 // process is a child process that prints its address, and dies with its standard input.
 type process struct {
 	cmd     *exec.Cmd
-	in      io.WriteCloser
+	stdin   io.WriteCloser
 	address string
 	once    sync.Once
-	done    chan error
-	node    uint32
-	w       *world
+	exited  chan error
+	nodeID  uint32
+	w       *testbed
 }
 
-// spawn starts this program again.
-func (w *world) spawn(name string, set *settings.Standin, args ...string) (*process, error) {
+// spawnStandin starts this program again.
+func (w *testbed) spawnStandin(name string, set *settings.Standin, args ...string) (*process, error) {
 	file := filepath.Join(w.Dir, name+".txtpb")
 	text, err := prototext.Marshal(set)
 	if err != nil {
@@ -59,15 +59,15 @@
 	if err := os.WriteFile(file, text, 0o644); err != nil {
 		return nil, err
 	}
-	p, err := w.run(name, append(args, "--config", file)...)
+	p, err := w.spawn(name, append(args, "--config", file)...)
 	if err == nil {
-		p.node = set.Node
+		p.nodeID = set.Node
 	}
 	return p, err
 }
 
-func (w *world) run(name string, args ...string) (*process, error) {
-	p := &process{cmd: exec.Command(w.Binary, args...), done: make(chan error, 1), w: w}
+func (w *testbed) spawn(name string, args ...string) (*process, error) {
+	p := &process{cmd: exec.Command(w.Binary, args...), exited: make(chan error, 1), w: w}
 	log, err := os.OpenFile(filepath.Join(w.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
@@ -75,7 +75,7 @@
 	defer log.Close()
 	p.cmd.Stderr = log
 	p.cmd.Env = append(os.Environ(), fmt.Sprint("GOMAXPROCS=", max(1, w.Scenario.Settings.Instance.Cores)))
-	if p.in, err = p.cmd.StdinPipe(); err != nil {
+	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
 	out, err := p.cmd.StdoutPipe()
@@ -92,69 +92,69 @@
 		return nil, fmt.Errorf("%s printed no address: see %s.log", name, name)
 	}
 	p.address = strings.TrimSpace(line)
-	go func() { p.done <- p.cmd.Wait() }()
+	go func() { p.exited <- p.cmd.Wait() }()
 	return p, nil
 }
 
 func (p *process) Address() string { return p.address }
 
 func (p *process) Do(line string) error {
-	_, err := io.WriteString(p.in, line+"\n")
+	_, err := io.WriteString(p.stdin, line+"\n")
 	return err
 }
 
-func (p *process) Kill() { p.kill("dies") }
+func (p *process) Kill() { p.end("dies") }
 
-func (p *process) kill(word string) {
+func (p *process) end(word string) {
 	p.once.Do(func() {
 		if word != "" {
-			p.w.see(&record.Seen{Kind: word, Node: p.node})
+			p.w.record(&record.Seen{Kind: word, Node: p.nodeID})
 		}
-		p.in.Close() // a node ends with its input, its record written out; a marshal does not mind
+		p.stdin.Close() // a node ends with its input, its record written out; a marshal does not mind
 		select {
-		case <-p.done:
+		case <-p.exited:
 		case <-time.After(500 * time.Millisecond):
 			p.cmd.Process.Kill()
-			<-p.done
+			<-p.exited
 		}
 	})
 }
 
-// aMarshal is a marshal of the day over its lives, each at the same address.
-type aMarshal struct {
-	w       *world
-	number  int
-	zone    int
-	set     *settings.Settings
-	own     *loopback.Reservation
-	address string
+// testMarshal is a marshal of the day over its lives, each at the same address.
+type testMarshal struct {
+	w           *testbed
+	number      int
+	zone        int
+	set         *settings.Settings
+	reservation *loopback.Reservation
+	address     string
 
-	mu   sync.Mutex
-	life int
-	up   bool
-	in   *serve.Marshal
-	out  *process
+	mu      sync.Mutex
+	life    int
+	running bool
+	local   *serve.Marshal
+	process *process
 
-	stalls int // of single cores
+	coreStalls int // of single cores
 }
 
 // newMarshal prepares the settings of a marshal; addresses are chosen here, so that all know where all are.
-func (w *world) newMarshal(number int) (*aMarshal, error) {
+func (w *testbed) newMarshal(number int) (*testMarshal, error) {
 	set := w.Scenario.Settings.Copy()
-	m := &aMarshal{w: w, number: number, zone: number % len(set.Zone), set: set}
+	m := &testMarshal{w: w, number: number, zone: number % len(set.Zone), set: set}
 	set.Instance.Number, set.Instance.Zone = uint32(number), set.Zone[m.zone]
-	set.Roster.Address, set.Conveyor.Address = w.roster.Address(), w.conveyor.Address()
+	set.Roster.Address, set.Conveyor.Address = w.registry.Address(), w.rollout.Address()
 	set.Roster.File = filepath.Join(w.Dir, fmt.Sprintf("marshal-%d.list", number))
-	own, err := loopback.Reserve()
+	reservation, err := loopback.Reserve()
 	if err != nil {
 		return nil, err
 	}
-	m.own, m.address = own, own.At(loopback.RequestPort)
+	m.reservation, m.address = reservation, reservation.At(loopback.RequestPort)
 	set.Listen.Invocations = m.address
 	return m, nil
 }
 
-func (m *aMarshal) start() error {
+func (m *testMarshal) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.life++
@@ -163,99 +163,99 @@
 	if m.w.RecordModules {
 		m.set.Record.File = filepath.Join(m.w.Dir, name+".record")
 	}
-	m.w.see(&record.Seen{Kind: "up", Instance: int64(m.number)})
+	m.w.record(&record.Seen{Kind: "up", Instance: int64(m.number)})
 	var err error
 	if m.w.Binary == "" {
-		m.in, err = serve.Start(m.set.Copy(), m.w.Logger, m.w.hooks)
+		m.local, err = serve.Start(m.set.Copy(), m.w.Logger, m.w.hooks)
 	} else {
 		file := filepath.Join(m.w.Dir, name+".txtpb")
 		if err = os.WriteFile(file, m.set.Text(), 0o644); err == nil {
-			m.out, err = m.w.run(name, "serve", "--config", file)
+			m.process, err = m.w.spawn(name, "serve", "--config", file)
 		}
 	}
-	m.up = err == nil
+	m.running = err == nil
 	return err
 }
 
 // restart ends a marshal, killed or told to stop, and starts it again after a while.
-func (m *aMarshal) restart(kill bool, down time.Duration) {
+func (m *testMarshal) restart(kill bool, pause time.Duration) {
 	m.mu.Lock()
-	if !m.up {
+	if !m.running {
 		m.mu.Unlock()
 		return
 	}
-	m.up = false
+	m.running = false
 	word := map[bool]string{true: "killed", false: "stopping"}[kill]
-	m.w.say("marshal %d %s", m.number, word)
-	m.w.see(&record.Seen{Kind: word, Instance: int64(m.number)})
+	m.w.logEvent("marshal %d %s", m.number, word)
+	m.w.record(&record.Seen{Kind: word, Instance: int64(m.number)})
 	switch {
-	case m.in != nil && kill:
-		m.in.Kill()
-	case m.in != nil:
-		m.in.Stop()
+	case m.local != nil && kill:
+		m.local.Kill()
+	case m.local != nil:
+		m.local.Stop()
 	case kill:
-		m.out.cmd.Process.Kill()
-		<-m.out.done
+		m.process.cmd.Process.Kill()
+		<-m.process.exited
 	default:
-		m.out.cmd.Process.Signal(syscall.SIGTERM)
-		<-m.out.done
+		m.process.cmd.Process.Signal(syscall.SIGTERM)
+		<-m.process.exited
 	}
 	m.mu.Unlock()
 	select {
-	case <-time.After(down):
+	case <-time.After(pause):
 	case <-m.w.ctx.Done():
 	}
 	if err := m.start(); err != nil {
-		m.w.say("marshal %d does not come back: %v", m.number, err)
+		m.w.logEvent("marshal %d does not come back: %v", m.number, err)
 	}
 }
 
 // stall lets a marshal stand still: its loop, or its process.
-func (m *aMarshal) stall(d time.Duration) {
+func (m *testMarshal) stall(d time.Duration) {
 	m.mu.Lock()
-	in, out, up := m.in, m.out, m.up
+	local, process, running := m.local, m.process, m.running
 	m.mu.Unlock()
 	switch {
-	case !up:
-	case in != nil:
-		for _, l := range in.Loops {
+	case !running:
+	case local != nil:
+		for _, l := range local.Loops {
 			l.Post(func() { time.Sleep(d) })
 		}
 	default:
-		out.cmd.Process.Signal(syscall.SIGSTOP)
+		process.cmd.Process.Signal(syscall.SIGSTOP)
 		time.Sleep(d)
-		out.cmd.Process.Signal(syscall.SIGCONT)
+		process.cmd.Process.Signal(syscall.SIGCONT)
 	}
 }
 
 // stallCore lets one core of a marshal stand still, another each time. It does nothing to a marshal that is a process.
-func (m *aMarshal) stallCore(d time.Duration) {
+func (m *testMarshal) stallCore(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.up && m.in != nil {
-		m.stalls++
-		m.in.Loops[m.stalls%len(m.in.Loops)].Post(func() { time.Sleep(d) })
+	if m.running && m.local != nil {
+		m.coreStalls++
+		m.local.Loops[m.coreStalls%len(m.local.Loops)].Post(func() { time.Sleep(d) })
 	}
 }
 
-// end ends a marshal with the day.
-func (m *aMarshal) end() {
+// shutdown ends a marshal with the day.
+func (m *testMarshal) shutdown() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.up {
+	if !m.running {
 		return
 	}
-	m.up = false
-	m.w.see(&record.Seen{Kind: "stopping", Instance: int64(m.number)})
-	if m.in != nil {
-		m.in.Stop()
+	m.running = false
+	m.w.record(&record.Seen{Kind: "stopping", Instance: int64(m.number)})
+	if m.local != nil {
+		m.local.Stop()
 		return
 	}
-	m.out.cmd.Process.Signal(syscall.SIGTERM)
+	m.process.cmd.Process.Signal(syscall.SIGTERM)
 	select {
-	case <-m.out.done:
+	case <-m.process.exited:
 	case <-time.After(5 * time.Second):
-		m.out.cmd.Process.Kill()
-		<-m.out.done
+		m.process.cmd.Process.Kill()
+		<-m.process.exited
 	}
 }
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -17,11 +17,11 @@
 )
 
 //go:embed default.txtpb
-var defaultPlan []byte
+var defaultScenario []byte
 
 // DefaultScenario is the day that is played when none is named.
 func DefaultScenario() *settings.Day {
-	d, err := parse("default.txtpb", defaultPlan)
+	d, err := parseScenario("default.txtpb", defaultScenario)
 	if err != nil {
 		panic(err) // it is part of the program
 	}
@@ -34,10 +34,10 @@
 	if err != nil {
 		return nil, err
 	}
-	return parse(path, text)
+	return parseScenario(path, text)
 }
 
-func parse(name string, text []byte) (*settings.Day, error) {
+func parseScenario(name string, text []byte) (*settings.Day, error) {
 	d := &settings.Day{}
 	if err := prototext.Unmarshal(text, d); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
@@ -51,11 +51,11 @@
 		return nil, err
 	}
 	d.Settings = set // with every block there
-	if err := sized(d); err != nil {
+	if err := validate(d); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	for i, t := range d.Trouble {
-		if kinds[t.Kind].begin == nil {
+		if faultKinds[t.Kind].start == nil {
 			return nil, fmt.Errorf("%s: trouble %d: no kind is called %q; there are %s", name, i+1, t.Kind,
 				strings.Join(FaultKinds(), ", "))
 		}
@@ -77,12 +77,12 @@
 	if rate != 0 {
 		d.Rate = rate
 	}
-	return sized(d)
+	return validate(d)
 }
 
-// sized checks a day's numbers.
-func sized(d *settings.Day) error {
-	for _, bad := range []struct {
+// validate checks a day's numbers.
+func validate(d *settings.Day) error {
+	for _, check := range []struct {
 		is   bool
 		what string
 	}{
@@ -95,8 +95,8 @@
 		{len(d.Mix) != len(d.Settings.Operation), "mix: one for each operation"},
 		{len(d.Speed) == 0, "speed: one at least"},
 	} {
-		if bad.is {
-			return errors.New(bad.what)
+		if check.is {
+			return errors.New(check.what)
 		}
 	}
 	return nil
@@ -105,34 +105,34 @@
 // FaultKinds lists the troubles.
 func FaultKinds() []string {
 	var all []string
-	for k := range kinds {
+	for k := range faultKinds {
 		all = append(all, k)
 	}
 	slices.Sort(all)
 	return append(all, "bad_build")
 }
 
-// aliases are names by which others know a trouble.
-var aliases = map[string]string{"balancer_roll": "marshal_roll", "balancer_stall": "marshal_stall",
+// benchNames are names by which others know a trouble.
+var benchNames = map[string]string{"balancer_roll": "marshal_roll", "balancer_stall": "marshal_stall",
 	"control_down": "conveyor_down", "discovery_stale": "roster_stale"}
 
 // DefaultWithFault gives the default day with one trouble only, at its middle strength, in place of the script.
 func DefaultWithFault(kind string) (*settings.Day, error) {
 	d := DefaultScenario()
-	if ours, ok := aliases[kind]; ok {
+	if ours, ok := benchNames[kind]; ok {
 		kind = ours
 	}
 	if kind == "bad_build" {
 		d.Trouble, d.Build = nil, []*settings.Build{{AtS: 2, Fault: &settings.Fault{Errors: 0.3}}}
 		return d, nil
 	}
-	k, ok := kinds[kind]
+	k, ok := faultKinds[kind]
 	if !ok {
 		return nil, fmt.Errorf("no trouble is called %q; there are %s", kind, strings.Join(FaultKinds(), ", "))
 	}
-	t := k.usual
+	t := k.defaults
 	d.Trouble = nil
-	for _, how := range append(k.hows, "")[:max(1, len(k.hows))] { // each way it can come, one after the other
+	for _, how := range append(k.variants, "")[:max(1, len(k.variants))] { // each way it can come, one after the other
 		n := &settings.Trouble{Kind: kind, ForS: t.ForS, Part: t.Part, Size: t.Size, Extra: t.Extra, How: how}
 		n.AtS = 4 + 5*float64(len(d.Trouble))
 		if n.AtS+n.ForS > d.Seconds-1 {
--- a/internal/day/world.go
+++ b/internal/day/world.go
@@ -48,34 +48,34 @@
 	MaxSchedulingDelayMs float64 `json:"held_up_ms"`
 }
 
-// world is what a day is played with.
-type world struct {
+// testbed is what a day is played with.
+type testbed struct {
 	Options
-	rules    *settings.Rules
-	w        *record.Writer
-	ctx      context.Context
-	cancel   context.CancelFunc
-	tasks    tasks
-	begun    time.Time
-	roster   *standin.Roster
-	conveyor *standin.Conveyor
-	marshals []*aMarshal
-	clients  *clients
-	hooks    serve.Hooks
-
-	rosterLag, conveyorLag atomic.Int64
-
-	mu     sync.Mutex
-	slots  []*slot
-	nodes  []node                  // all that ever ran, those that drain among them
-	faults map[int]*settings.Build // by build
-	nextID uint32
-	inc    uint64
-	events []string
-	closed bool
-
-	lagMu sync.Mutex
-	rnd   *rand.Rand // of lags
+	rules     *settings.Rules
+	seen      *record.Writer
+	ctx       context.Context
+	cancel    context.CancelFunc
+	tasks     tasks
+	startTime time.Time
+	registry  *standin.Roster
+	rollout   *standin.Conveyor
+	marshals  []*testMarshal
+	clients   *clients
+	hooks     serve.Hooks
+
+	extraRegistryDelay, extraRolloutDelay atomic.Int64
+
+	mu              sync.Mutex
+	slots           []*slot
+	nodes           []node                  // all that ever ran, those that drain among them
+	builds          map[int]*settings.Build // by build
+	lastNodeID      uint32
+	lastIncarnation uint64
+	events          []string
+	closed          bool
+
+	delayMu   sync.Mutex
+	delayRand *rand.Rand // of lags
 }
 
 // slot is a place in the fleet: a machine that runs one node after the other.
@@ -83,9 +83,9 @@
 	number, zone int
 	speed        float64
 	node         node
-	line         control.Line
-	ver, want    int
-	busy         bool // being replaced
+	entry        control.Line
+	ver, wantVer int
+	replacing    bool // being replaced
 	down         bool // killed by a trouble
 }
 
@@ -105,18 +105,18 @@
 	}
 }
 
-func (t *tasks) end() {
+func (t *tasks) closeAndWait() {
 	t.mu.Lock()
 	t.ended = true
 	t.mu.Unlock()
 	t.wg.Wait()
 }
 
-func (w *world) background(f func()) { w.tasks.start(f) }
+func (w *testbed) goTask(f func()) { w.tasks.start(f) }
 
 // after does something later, unless the day is over by then.
-func (w *world) after(d time.Duration, f func()) {
-	w.background(func() {
+func (w *testbed) after(d time.Duration, f func()) {
+	w.goTask(func() {
 		select {
 		case <-time.After(d):
 			f()
@@ -125,8 +125,8 @@
 	})
 }
 
-func (w *world) say(format string, a ...any) {
-	line := fmt.Sprintf("%5.1f s  ", time.Since(w.begun).Seconds()) + fmt.Sprintf(format, a...)
+func (w *testbed) logEvent(format string, a ...any) {
+	line := fmt.Sprintf("%5.1f s  ", time.Since(w.startTime).Seconds()) + fmt.Sprintf(format, a...)
 	w.mu.Lock()
 	w.events = append(w.events, line)
 	w.mu.Unlock()
@@ -135,11 +135,11 @@
 	}
 }
 
-func (w *world) see(s *record.Seen) {
+func (w *testbed) record(s *record.Seen) {
 	if s.AtUs == 0 {
 		s.AtUs = time.Now().UnixMicro()
 	}
-	w.w.Write(s)
+	w.seen.Write(s)
 }
 
 // Run plays a day and audits it.
@@ -160,8 +160,8 @@
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
 	}
-	w := &world{Options: o, rules: o.Scenario.Settings.Rules, hooks: hooks, begun: time.Now(), faults: map[int]*settings.Build{},
-		nextID: 100, rnd: rand.New(rand.NewPCG(o.Seed, 1))}
+	w := &testbed{Options: o, rules: o.Scenario.Settings.Rules, hooks: hooks, startTime: time.Now(), builds: map[int]*settings.Build{},
+		lastNodeID: 100, delayRand: rand.New(rand.NewPCG(o.Seed, 1))}
 	w.ctx, w.cancel = context.WithCancel(ctx)
 	defer w.cancel()
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
@@ -170,12 +170,12 @@
 	if err := os.WriteFile(filepath.Join(o.Dir, "settings.txtpb"), o.Scenario.Settings.Text(), 0o644); err != nil {
 		return nil, err
 	}
-	if w.w, err = record.Create(filepath.Join(o.Dir, "day.seen"), 0); err != nil {
+	if w.seen, err = record.Create(filepath.Join(o.Dir, "day.seen"), 0); err != nil {
 		return nil, err
 	}
 	heldUp := schedlag.Watch()
-	err = w.play()
-	w.stop()
+	err = w.run()
+	w.shutdown()
 	lag := heldUp()
 	if err != nil {
 		return nil, err
@@ -185,38 +185,38 @@
 		return nil, err
 	}
 	out := &Result{Seed: o.Seed, Report: report, Events: w.events, Dir: o.Dir, MaxSchedulingDelayMs: float64(lag.Microseconds()) / 1000}
-	_, _, _, out.Builds = w.conveyor.State()
+	_, _, _, out.Builds = w.rollout.State()
 	return out, nil
 }
 
-func (w *world) lag(plan float64, extra *atomic.Int64) func() time.Duration {
+func (w *testbed) delay(plan float64, extra *atomic.Int64) func() time.Duration {
 	return func() time.Duration {
-		w.lagMu.Lock()
-		defer w.lagMu.Unlock()
-		return time.Duration(plan*(0.5+w.rnd.Float64())*float64(time.Millisecond)) + time.Duration(extra.Load())
+		w.delayMu.Lock()
+		defer w.delayMu.Unlock()
+		return time.Duration(plan*(0.5+w.delayRand.Float64())*float64(time.Millisecond)) + time.Duration(extra.Load())
 	}
 }
 
-func (w *world) lagBy(extra *atomic.Int64, d time.Duration) { extra.Store(int64(d)) }
+func (w *testbed) setExtraDelay(extra *atomic.Int64, d time.Duration) { extra.Store(int64(d)) }
 
-func (w *world) play() error {
+func (w *testbed) run() error {
 	p := w.Scenario
-	w.roster = &standin.Roster{Lag: w.lag(p.RosterLagMs, &w.rosterLag), Seen: w.see}
-	if err := w.roster.Start("127.0.0.1:0"); err != nil {
+	w.registry = &standin.Roster{Lag: w.delay(p.RosterLagMs, &w.extraRegistryDelay), Seen: w.record}
+	if err := w.registry.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
-	w.conveyor = &standin.Conveyor{Rollout: p.Settings.Rollout, Lag: w.lag(p.ConveyorLagMs, &w.conveyorLag),
-		Every: 2 * time.Second, Seen: w.see, Fleet: w.fleet, Back: w.takeBack}
-	if err := w.conveyor.Start("127.0.0.1:0", 1); err != nil {
+	w.rollout = &standin.Conveyor{Rollout: p.Settings.Rollout, Lag: w.delay(p.ConveyorLagMs, &w.extraRolloutDelay),
+		Every: 2 * time.Second, Seen: w.record, Fleet: w.deployBuild, Back: w.rollBackBuild}
+	if err := w.rollout.Start("127.0.0.1:0", 1); err != nil {
 		return err
 	}
 	var starts sync.WaitGroup
 	errs := make(chan error, int(p.Nodes)+int(p.Marshals))
 	for i := range int(p.Nodes) {
-		s := &slot{number: i, zone: i % len(p.Settings.Zone), speed: p.Speed[i%len(p.Speed)], ver: 1, want: 1}
+		s := &slot{number: i, zone: i % len(p.Settings.Zone), speed: p.Speed[i%len(p.Speed)], ver: 1, wantVer: 1}
 		w.slots = append(w.slots, s)
 		starts.Go(func() {
-			if err := w.start(s, true); err != nil {
+			if err := w.startNode(s, true); err != nil {
 				errs <- err
 			}
 		})
@@ -241,53 +241,53 @@
 	default:
 	}
 	time.Sleep(2 * time.Duration(p.RosterLagMs+p.ConveyorLagMs) * time.Millisecond)
-	w.begun = time.Now()
+	w.startTime = time.Now()
 	w.clients = newClients(w)
-	w.script()
+	w.scheduleScript()
 	w.clients.run(w.ctx, time.Duration(p.Seconds*float64(time.Second)))
 	return w.ctx.Err()
 }
 
-// script sets the troubles and builds of the plan on their times.
-func (w *world) script() {
+// scheduleScript sets the troubles and builds of the plan on their times.
+func (w *testbed) scheduleScript() {
 	for i, t := range w.Scenario.Trouble {
 		rnd := rand.New(rand.NewPCG(w.Seed, uint64(i)+100))
 		w.after(seconds(t.AtS), func() {
-			w.say("%s %s begins", t.Kind, t.How)
-			end := kinds[t.Kind].begin(w, t, rnd)
+			w.logEvent("%s %s begins", t.Kind, t.How)
+			end := faultKinds[t.Kind].start(w, t, rnd)
 			select {
 			case <-time.After(seconds(t.ForS)):
 			case <-w.ctx.Done():
 			}
 			end()
-			w.say("%s ends", t.Kind)
+			w.logEvent("%s ends", t.Kind)
 		})
 	}
 	for i, b := range w.Scenario.Build {
 		ver := i + 2
-		w.faults[ver] = b
+		w.builds[ver] = b
 		w.after(seconds(b.AtS), func() {
-			w.say("build %d is offered (%s)", ver, faultText(b))
-			w.conveyor.Offer(ver)
+			w.logEvent("build %d is offered (%s)", ver, describeBuild(b))
+			w.rollout.Offer(ver)
 		})
 		if b.Shared > 0 {
-			w.background(func() { w.shared(ver, b.Shared) })
+			w.goTask(func() { w.slowAllNodes(ver, b.Shared) })
 		}
 	}
-	w.background(w.tallies)
+	w.goTask(w.reportBuildStats)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-func faultText(b *settings.Build) string {
+func describeBuild(b *settings.Build) string {
 	if b.Fault == nil && b.Shared == 0 {
 		return "good"
 	}
 	return "bad: " + strings.TrimSpace(fmt.Sprint(b.Fault, " shared ", b.Shared))
 }
 
-// shared slows all nodes in step with the traffic that a build gets.
-func (w *world) shared(ver int, times float64) {
+// slowAllNodes slows all nodes in step with the traffic that a build gets.
+func (w *testbed) slowAllNodes(ver int, times float64) {
 	for {
 		select {
 		case <-w.ctx.Done():
@@ -305,13 +305,13 @@
 		slots := slices.Clone(w.slots)
 		w.mu.Unlock()
 		for _, s := range slots {
-			w.do(s, fmt.Sprintf("slow %g", 1+(times-1)*with/all))
+			w.command(s, fmt.Sprintf("slow %g", 1+(times-1)*with/all))
 		}
 	}
 }
 
-// tallies has the conveyor tell what a part of all dispatches came to.
-func (w *world) tallies() {
+// reportBuildStats has the conveyor tell what a part of all dispatches came to.
+func (w *testbed) reportBuildStats() {
 	period := w.Scenario.Settings.Rollout.TallyMs
 	if period <= 0 || w.Binary != "" {
 		return
@@ -337,36 +337,36 @@
 		}
 		w.mu.Unlock()
 		for k, c := range sums {
-			w.conveyor.Tally(k.ver, k.op, c, 0)
+			w.rollout.Tally(k.ver, k.op, c, 0)
 		}
 	}
 }
 
-// start runs a node on a slot and puts it on the roster; old nodes have run for a long time.
-func (w *world) start(s *slot, old bool) error {
+// startNode runs a node on a slot and puts it on the roster; old nodes have run for a long time.
+func (w *testbed) startNode(s *slot, old bool) error {
 	w.mu.Lock()
 	if w.closed {
 		w.mu.Unlock()
 		return nil
 	}
-	if old || s.line.ID == 0 {
-		w.nextID++
-		s.line.ID = w.nextID
+	if old || s.entry.ID == 0 {
+		w.lastNodeID++
+		s.entry.ID = w.lastNodeID
 	}
-	w.inc++
-	set := &settings.Standin{Node: s.line.ID, Ver: int32(s.ver), Zone: int32(s.zone), Cores: w.Scenario.Cores, Speed: s.speed,
-		Queue: 200, Seed: w.Seed + w.inc}
+	w.lastIncarnation++
+	set := &settings.Standin{Node: s.entry.ID, Ver: int32(s.ver), Zone: int32(s.zone), Cores: w.Scenario.Cores, Speed: s.speed,
+		Queue: 200, Seed: w.Seed + w.lastIncarnation}
 	up := time.Hour
-	s.line.Up = 0
+	s.entry.Up = 0
 	if !old {
-		set.Rules, up, s.line.Up = w.rules, 0, 1
+		set.Rules, up, s.entry.Up = w.rules, 0, 1
 	}
-	if b := w.faults[s.ver]; b != nil {
+	if b := w.builds[s.ver]; b != nil {
 		set.Build = b.Fault
 	}
-	inc := w.inc
+	inc := w.lastIncarnation
 	w.mu.Unlock()
-	n, err := w.newNode(set)
+	n, err := w.launchNode(set)
 	if err != nil {
 		return err
 	}
@@ -374,138 +374,138 @@
 	defer w.mu.Unlock()
 	s.node = n
 	w.nodes = append(w.nodes, n)
-	s.line = control.Line{Node: balance.Node{ID: set.Node, Ver: s.ver, Zone: s.zone, Size: s.speed * float64(w.Scenario.Cores)},
-		Address: n.Address(), Incarnation: inc, Up: s.line.Up}
-	w.roster.Set(s.line, up)
+	s.entry = control.Line{Node: balance.Node{ID: set.Node, Ver: s.ver, Zone: s.zone, Size: s.speed * float64(w.Scenario.Cores)},
+		Address: n.Address(), Incarnation: inc, Up: s.entry.Up}
+	w.registry.Set(s.entry, up)
 	return nil
 }
 
-// fleet brings a part of the slots to a build.
-func (w *world) fleet(ver int, part float64) (ready func() bool) {
+// deployBuild brings a part of the slots to a build.
+func (w *testbed) deployBuild(ver int, part float64) (ready func() bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	most := int(math.Ceil(part * float64(len(w.slots))))
 	order := rand.New(rand.NewPCG(w.Seed, 7)).Perm(len(w.slots))
 	for _, i := range order[:most] {
-		w.slots[i].want = ver
-		w.replace(w.slots[i])
+		w.slots[i].wantVer = ver
+		w.replaceNode(w.slots[i])
 	}
 	some := order[:most]
 	return func() bool {
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		return !slices.ContainsFunc(some, func(i int) bool { return w.slots[i].ver != ver || w.slots[i].busy })
+		return !slices.ContainsFunc(some, func(i int) bool { return w.slots[i].ver != ver || w.slots[i].replacing })
 	}
 }
 
-// takeBack brings every slot that runs a build, or is to, back to the build released last.
-func (w *world) takeBack(ver int) {
+// rollBackBuild brings every slot that runs a build, or is to, back to the build released last.
+func (w *testbed) rollBackBuild(ver int) {
 	to := 0
-	for v := range w.conveyor.Released {
-		if v != ver && !w.conveyor.Taken[v] {
+	for v := range w.rollout.Released {
+		if v != ver && !w.rollout.Taken[v] {
 			to = max(to, v)
 		}
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, s := range w.slots {
-		if s.want == ver {
-			s.want = to
-			w.replace(s)
+		if s.wantVer == ver {
+			s.wantVer = to
+			w.replaceNode(s)
 		}
 	}
 }
 
-// replace starts a slot's next node and then drains the one before; w.mu is held.
-func (w *world) replace(s *slot) {
-	if s.busy || s.want == s.ver {
+// replaceNode starts a slot's next node and then drains the one before; w.mu is held.
+func (w *testbed) replaceNode(s *slot) {
+	if s.replacing || s.wantVer == s.ver {
 		return
 	}
-	s.busy = true
+	s.replacing = true
 	w.after(time.Duration(w.Scenario.StartMs)*time.Millisecond, func() {
 		w.mu.Lock()
 		if s.down {
-			s.busy = false // it comes up as what is wanted
+			s.replacing = false // it comes up as what is wanted
 			w.mu.Unlock()
 			return
 		}
-		before, line := s.node, s.line
-		s.ver, s.line.ID = s.want, 0
+		before, line := s.node, s.entry
+		s.ver, s.entry.ID = s.wantVer, 0
 		w.mu.Unlock()
-		if err := w.start(s, false); err != nil {
-			w.say("%v", err)
+		if err := w.startNode(s, false); err != nil {
+			w.logEvent("%v", err)
 			return
 		}
 		line.Health = balance.Draining
-		w.roster.Set(line, 0)
+		w.registry.Set(line, 0)
 		w.after(time.Duration(w.Scenario.DrainMs)*time.Millisecond, func() {
 			line.Health = balance.Gone
-			w.roster.Set(line, 0)
+			w.registry.Set(line, 0)
 			before.Kill()
 		})
 		w.mu.Lock()
-		s.busy = false
-		w.replace(s) // the wish may have changed meanwhile
+		s.replacing = false
+		w.replaceNode(s) // the wish may have changed meanwhile
 		w.mu.Unlock()
 	})
 }
 
-func (w *world) all() []*slot {
+func (w *testbed) allSlots() []*slot {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.slots)
 }
 
-// some picks a part of the slots, one at least.
-func (w *world) some(part float64, rnd *rand.Rand) (some []*slot) {
-	all := w.all()
+// pickSlots picks a part of the slots, one at least.
+func (w *testbed) pickSlots(part float64, rnd *rand.Rand) (some []*slot) {
+	all := w.allSlots()
 	for _, i := range rnd.Perm(len(all))[:min(len(all), max(1, int(part*float64(len(all))+0.5)))] {
 		some = append(some, all[i])
 	}
 	return some
 }
 
-func (w *world) do(s *slot, line string) {
+func (w *testbed) command(s *slot, line string) {
 	w.mu.Lock()
 	n := s.node
 	w.mu.Unlock()
 	if err := n.Do(line); err != nil {
-		w.say("%v", err)
+		w.logEvent("%v", err)
 	}
 }
 
-// kill ends a slot's node; the roster hears that its process is gone.
-func (w *world) kill(s *slot) {
+// killNode ends a slot's node; the roster hears that its process is gone.
+func (w *testbed) killNode(s *slot) {
 	w.mu.Lock()
-	n, line := s.node, s.line
+	n, line := s.node, s.entry
 	s.down = true
 	w.mu.Unlock()
 	n.Kill()
 	line.Health = balance.Gone
-	w.roster.Set(line, 0)
+	w.registry.Set(line, 0)
 }
 
-// revive starts a killed slot's node again, cold, as the build that is wanted by now.
-func (w *world) revive(s *slot) {
+// restartNode starts a killed slot's node again, cold, as the build that is wanted by now.
+func (w *testbed) restartNode(s *slot) {
 	w.mu.Lock()
 	s.down = false
-	s.ver = s.want
+	s.ver = s.wantVer
 	w.mu.Unlock()
-	if err := w.start(s, false); err != nil {
-		w.say("%v", err)
+	if err := w.startNode(s, false); err != nil {
+		w.logEvent("%v", err)
 	}
 }
 
-// stop ends everything, in the order in which nothing hangs.
-func (w *world) stop() {
+// shutdown ends everything, in the order in which nothing hangs.
+func (w *testbed) shutdown() {
 	w.cancel()
-	w.tasks.end()
+	w.tasks.closeAndWait()
 	for _, m := range w.marshals {
-		m.end()
-		m.own.Release()
+		m.shutdown()
+		m.reservation.Release()
 	}
 	if w.clients != nil {
-		w.clients.close()
+		w.clients.closeIdle()
 	}
 	w.mu.Lock()
 	w.closed = true
@@ -514,11 +514,11 @@
 	for _, n := range all {
 		n.Kill()
 	}
-	if w.conveyor != nil {
-		w.conveyor.Close()
+	if w.rollout != nil {
+		w.rollout.Close()
 	}
-	if w.roster != nil {
-		w.roster.Close()
+	if w.registry != nil {
+		w.registry.Close()
 	}
-	w.w.Close()
+	w.seen.Close()
 }
--- a/internal/measure/cores.go
+++ b/internal/measure/cores.go
@@ -27,32 +27,32 @@
 	}
 	defer nodes.close()
 	all := runtime.NumCPU()
-	defer bind(os.Getpid(), 0, all)
+	defer bindThreads(os.Getpid(), 0, all)
 	for _, n := range counts {
-		for _, way := range ways {
+		for _, target := range targets {
 			of := o
 			of.GoMaxProcs, of.Settings = n, o.Settings.Copy()
 			of.Settings.Instance.Cores = uint32(n)
-			c, err := way.start(of, nodes)
+			c, err := target.start(of, nodes)
 			if err != nil {
-				return fmt.Errorf("%s on %d cores: %w", way.name, n, err)
+				return fmt.Errorf("%s on %d cores: %w", target.name, n, err)
 			}
 			row := CoresResult{Cores: n, Isolated: n < all}
 			if row.Isolated {
-				err = bind(c.cmd.Process.Pid, 0, n)
+				err = bindThreads(c.cmd.Process.Pid, 0, n)
 				if err == nil {
-					err = bind(os.Getpid(), n, all)
+					err = bindThreads(os.Getpid(), n, all)
 				}
 			} else {
-				err = bind(os.Getpid(), 0, all)
+				err = bindThreads(os.Getpid(), 0, all)
 			}
 			if err == nil {
-				row.Target = way.name
-				err = of.loops(ctx, []string{c.address}, c, &row.Result)
+				row.Target = target.name
+				err = of.runLoops(ctx, []string{c.address}, c, &row.Result)
 			}
 			c.stop()
 			if err != nil {
-				return fmt.Errorf("%s on %d cores: %w", way.name, n, err)
+				return fmt.Errorf("%s on %d cores: %w", target.name, n, err)
 			}
 			each(row)
 		}
@@ -60,8 +60,8 @@
 	return nil
 }
 
-// own is the seconds of processor that this process has used.
-func own() float64 {
+// ownCPUSeconds is the seconds of processor that this process has used.
+func ownCPUSeconds() float64 {
 	var u unix.Rusage
 	if err := unix.Getrusage(unix.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -69,8 +69,8 @@
 	return float64(u.Utime.Sec+u.Stime.Sec) + float64(u.Utime.Usec+u.Stime.Usec)/1e6
 }
 
-// bind keeps all threads of a process to some processors; threads begun later are bound like the one that begins them.
-func bind(pid, from, to int) error {
+// bindThreads keeps all threads of a process to some processors; threads begun later are bound like the one that begins them.
+func bindThreads(pid, from, to int) error {
 	var set unix.CPUSet
 	for i := from; i < to; i++ {
 		set.Set(i)
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -66,69 +66,69 @@
 	}
 	defer nodes.close()
 	var rows []Result
-	direct, err := o.row(ctx, "direct", nodes.addresses, nil)
+	direct, err := o.measureTarget(ctx, "direct", nodes.addresses, nil)
 	if err != nil {
 		return nil, err
 	}
 	rows = append(rows, direct)
-	for _, way := range ways {
-		c, err := way.start(o, nodes)
+	for _, target := range targets {
+		c, err := target.start(o, nodes)
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", way.name, err)
+			return nil, fmt.Errorf("%s: %w", target.name, err)
 		}
-		row, err := o.row(ctx, way.name, []string{c.address}, c)
+		row, err := o.measureTarget(ctx, target.name, []string{c.address}, c)
 		c.stop()
 		if err != nil {
-			return nil, fmt.Errorf("%s: %w", way.name, err)
+			return nil, fmt.Errorf("%s: %w", target.name, err)
 		}
 		rows = append(rows, row)
 	}
 	return rows, nil
 }
 
-// ways are what is measured beside going direct.
-var ways = []struct {
+// targets are what is measured beside going direct.
+var targets = []struct {
 	name  string
-	start func(Options, *fleet) (*child, error)
+	start func(Options, *nodeSet) (*child, error)
 }{{"reverse proxy", startProxy}, {"marshal", startMarshal}}
 
-// fleet are stand-ins that answer at once: what is measured is the way, not they.
-type fleet struct {
+// nodeSet are stand-ins that answer at once: what is measured is the way, not they.
+type nodeSet struct {
 	addresses []string
-	lns       []net.Listener
+	listeners []net.Listener
 }
 
-func startNodes(count int) (*fleet, error) {
-	n := &fleet{}
+func startNodes(count int) (*nodeSet, error) {
+	n := &nodeSet{}
 	for range count {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			n.close()
 			return nil, err
 		}
-		n.lns, n.addresses = append(n.lns, ln), append(n.addresses, ln.Addr().String())
+		n.listeners, n.addresses = append(n.listeners, ln), append(n.addresses, ln.Addr().String())
 		go func() {
 			for {
 				c, err := ln.Accept()
 				if err != nil {
 					return
 				}
-				go answer(c)
+				go serveCanned(c)
 			}
 		}()
 	}
 	return n, nil
 }
 
-func (n *fleet) close() {
-	for _, ln := range n.lns {
+func (n *nodeSet) close() {
+	for _, ln := range n.listeners {
 		ln.Close()
 	}
 }
 
-var canned = []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 64\r\n\r\n" + strings.Repeat("a", 64))
+var cannedResponse = []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 64\r\n\r\n" + strings.Repeat("a", 64))
 
-func answer(c net.Conn) {
+func serveCanned(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
 	for {
@@ -137,7 +137,7 @@
 			return
 		}
 		if len(bytes.TrimSpace(line)) == 0 {
-			if _, err := c.Write(canned); err != nil {
+			if _, err := c.Write(cannedResponse); err != nil {
 				return
 			}
 		}
@@ -146,8 +146,8 @@
 
 const request = "GET /slots/1 HTTP/1.1\r\nHost: x\r\nUser-Agent: measure\r\nAccept: */*\r\n\r\n"
 
-// ask sends an invocation on a connection and reads its answer.
-func ask(c net.Conn, r *bufio.Reader) (ok bool, err error) {
+// exchange sends an invocation on a connection and reads its answer.
+func exchange(c net.Conn, r *bufio.Reader) (ok bool, err error) {
 	if _, err := io.WriteString(c, request); err != nil {
 		return false, err
 	}
@@ -159,12 +159,12 @@
 	return resp.StatusCode == 200, err
 }
 
-func (o Options) row(ctx context.Context, name string, addresses []string, c *child) (Result, error) {
+func (o Options) measureTarget(ctx context.Context, name string, addresses []string, c *child) (Result, error) {
 	row := Result{Target: name}
 	if c != nil { // before the load, whose memory would be used again
-		before := c.rss()
-		conns, err := o.idle(addresses[0])
-		row.KiBPerConn = (c.rss() - before) / float64(o.IdleConns)
+		before := c.rssKiB()
+		conns, err := o.openIdle(addresses[0])
+		row.KiBPerConn = (c.rssKiB() - before) / float64(o.IdleConns)
 		for _, c := range conns {
 			c.Close()
 		}
@@ -172,33 +172,33 @@
 			return row, err
 		}
 	}
-	return row, o.loops(ctx, addresses, c, &row)
+	return row, o.runLoops(ctx, addresses, c, &row)
 }
 
-// loops measures the closed loop and then the open one.
-func (o Options) loops(ctx context.Context, addresses []string, c *child, row *Result) error {
-	if err := o.closed(ctx, addresses, o.LoopDuration/3, &Result{}); err != nil { // warm
+// runLoops measures the closed loop and then the open one.
+func (o Options) runLoops(ctx context.Context, addresses []string, c *child, row *Result) error {
+	if err := o.closedLoop(ctx, addresses, o.LoopDuration/3, &Result{}); err != nil { // warm
 		return err
 	}
-	begun, cpu, mine := time.Now(), c.cpu(), own()
-	if err := o.closed(ctx, addresses, o.LoopDuration, row); err != nil {
+	start, targetCPU, ownCPU := time.Now(), c.cpuSeconds(), ownCPUSeconds()
+	if err := o.closedLoop(ctx, addresses, o.LoopDuration, row); err != nil {
 		return err
 	}
-	took, used := time.Since(begun).Seconds(), c.cpu()-cpu
-	row.TargetCPUs, row.LoadCPUs = used/took, (own()-mine)/took
+	elapsed, used := time.Since(start).Seconds(), c.cpuSeconds()-targetCPU
+	row.TargetCPUs, row.LoadCPUs = used/elapsed, (ownCPUSeconds()-ownCPU)/elapsed
 	if used > 0 {
 		row.InvocationsPerCPUS = float64(row.ClosedSuccesses) / used
 	}
-	return o.open(ctx, addresses, row)
+	return o.openLoop(ctx, addresses, row)
 }
 
-// closed has each client ask as soon as it is answered.
-func (o Options) closed(ctx context.Context, addresses []string, length time.Duration, row *Result) error {
+// closedLoop has each client ask as soon as it is answered.
+func (o Options) closedLoop(ctx context.Context, addresses []string, length time.Duration, row *Result) error {
 	var done, failed atomic.Int64
-	begun := time.Now()
-	err := connected(o.Clients, addresses, func(c net.Conn, r *bufio.Reader) error {
-		for time.Since(begun) < length && ctx.Err() == nil {
-			ok, err := ask(c, r)
+	start := time.Now()
+	err := runClients(o.Clients, addresses, func(c net.Conn, r *bufio.Reader) error {
+		for time.Since(start) < length && ctx.Err() == nil {
+			ok, err := exchange(c, r)
 			if err != nil {
 				return err
 			}
@@ -211,12 +211,12 @@
 		return nil
 	})
 	row.ClosedSuccesses, row.Failed = done.Load(), failed.Load()
-	row.InvocationsPerS = float64(done.Load()) / time.Since(begun).Seconds()
+	row.InvocationsPerS = float64(done.Load()) / time.Since(start).Seconds()
 	return err
 }
 
-// connected runs as many clients at once, each on a connection of its own, and gives the first error.
-func connected(clients int, addresses []string, each func(net.Conn, *bufio.Reader) error) error {
+// runClients runs as many clients at once, each on a connection of its own, and gives the first error.
+func runClients(clients int, addresses []string, each func(net.Conn, *bufio.Reader) error) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, clients)
 	for i := range clients {
@@ -240,24 +240,24 @@
 	}
 }
 
-// open asks at a steady rate, whoever is answered; times count from when each was due.
-func (o Options) open(ctx context.Context, addresses []string, row *Result) error {
+// openLoop asks at a steady rate, whoever is answered; times count from when each was due.
+func (o Options) openLoop(ctx context.Context, addresses []string, row *Result) error {
 	count := int(o.RatePerS * o.LoopDuration.Seconds())
 	due := make(chan time.Time, count)
 	h := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
-	var behind atomic.Int64
+	var lateSends atomic.Int64
 	ended := make(chan error, 1)
 	go func() {
-		ended <- connected(64, addresses, func(c net.Conn, r *bufio.Reader) error {
-			for at := range due {
-				if time.Since(at) > time.Millisecond {
-					behind.Add(1)
+		ended <- runClients(64, addresses, func(c net.Conn, r *bufio.Reader) error {
+			for dueAt := range due {
+				if time.Since(dueAt) > time.Millisecond {
+					lateSends.Add(1)
 				}
-				if _, err := ask(c, r); err != nil {
+				if _, err := exchange(c, r); err != nil {
 					return err
 				}
-				took := time.Since(at).Microseconds()
+				took := time.Since(dueAt).Microseconds()
 				mu.Lock()
 				h.RecordValue(max(1, took))
 				mu.Unlock()
@@ -265,9 +265,9 @@
 			return nil
 		})
 	}()
-	begun := time.Now()
+	start := time.Now()
 	for i := range count {
-		at := begun.Add(time.Duration(float64(i) / o.RatePerS * float64(time.Second)))
+		at := start.Add(time.Duration(float64(i) / o.RatePerS * float64(time.Second)))
 		if wait := time.Until(at); wait > 0 {
 			time.Sleep(wait)
 		}
@@ -278,20 +278,20 @@
 	}
 	close(due)
 	err := <-ended
-	row.LateSends = behind.Load()
+	row.LateSends = lateSends.Load()
 	row.P50Ms, row.P99Ms, row.P999Ms = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.ValueAtQuantile(99.9))/1000
 	return err
 }
 
-// idle opens connections that have each asked once.
-func (o Options) idle(address string) (conns []net.Conn, err error) {
+// openIdle opens connections that have each asked once.
+func (o Options) openIdle(address string) (conns []net.Conn, err error) {
 	for range o.IdleConns {
 		c, err := net.Dial("tcp", address)
 		if err != nil {
 			return conns, err
 		}
 		conns = append(conns, c)
-		if _, err := ask(c, bufio.NewReader(c)); err != nil {
+		if _, err := exchange(c, bufio.NewReader(c)); err != nil {
 			return conns, err
 		}
 	}
@@ -300,10 +300,10 @@
 
 // child is what is measured, a process of its own.
 type child struct {
-	cmd     *exec.Cmd
-	in      io.Closer
-	address string
-	roster  *standin.Roster
+	cmd      *exec.Cmd
+	stdin    io.Closer
+	address  string
+	registry *standin.Roster
 }
 
 func (o Options) spawn(args ...string) (*child, error) {
@@ -314,7 +314,7 @@
 	if err != nil {
 		return nil, err
 	}
-	c.in = in
+	c.stdin = in
 	out, err := c.cmd.StdoutPipe()
 	if err != nil {
 		return nil, err
@@ -332,7 +332,7 @@
 }
 
 func (c *child) stop() {
-	c.in.Close()
+	c.stdin.Close()
 	c.cmd.Process.Signal(os.Interrupt)
 	done := make(chan struct{})
 	go func() { c.cmd.Wait(); close(done) }()
@@ -342,13 +342,13 @@
 		c.cmd.Process.Kill()
 		<-done
 	}
-	if c.roster != nil {
-		c.roster.Close()
+	if c.registry != nil {
+		c.registry.Close()
 	}
 }
 
-// cpu is the seconds of processor that the process has used; field 14 and 15 of proc(5)'s stat, in ticks of 10 ms.
-func (c *child) cpu() float64 {
+// cpuSeconds is the seconds of processor that the process has used; field 14 and 15 of proc(5)'s stat, in ticks of 10 ms.
+func (c *child) cpuSeconds() float64 {
 	if c == nil {
 		return 0
 	}
@@ -365,8 +365,8 @@
 	return (user + system) / 100
 }
 
-// rss is the memory that the process has resident, in KiB.
-func (c *child) rss() float64 {
+// rssKiB is the memory that the process has resident, in KiB.
+func (c *child) rssKiB() float64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", c.cmd.Process.Pid))
 	if err != nil {
 		return 0
@@ -376,11 +376,11 @@
 	return pages * float64(os.Getpagesize()) / 1024
 }
 
-func startProxy(o Options, n *fleet) (*child, error) {
+func startProxy(o Options, n *nodeSet) (*child, error) {
 	return o.spawn(append([]string{"measure", "proxy"}, n.addresses...)...)
 }
 
-func startMarshal(o Options, n *fleet) (*child, error) {
+func startMarshal(o Options, n *nodeSet) (*child, error) {
 	r := &standin.Roster{}
 	if err := r.Start("127.0.0.1:0"); err != nil {
 		return nil, err
@@ -400,7 +400,7 @@
 		r.Close()
 		return nil, err
 	}
-	c.roster = r
+	c.registry = r
 	time.Sleep(300 * time.Millisecond) // until it has its list
 	return c, nil
 }
