--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -24,50 +24,51 @@
 	"arrowcleat/internal/standin"
 )
 
-// clients asks on an open loop: when an invocation comes does not hang on when others are answered. What is read
-// goes through net/http's reader of responses, not through the marshal's own code.
+// clients sends invocations in an open loop: their times do not depend on when others are answered. Answers are parsed
+// by net/http and not by the marshal's own code.
 type clients struct {
-	w          *testbed
+	tb         *testbed
 	pools      []*pool
 	wg         sync.WaitGroup
-	keyWeights []float64
+	keyWeights []float64 // cumulative Zipf weights
 
 	mu           sync.Mutex
 	rnd          *rand.Rand
 	seq          int
-	rateFactor   float64 // of the planned rate
-	hotShare     float64
+	rateFactor   float64 // factor on the scenario's rate
+	hotShare     float64 // share of the invocations that go to hot keys
 	hotKeys      int
-	shiftedShare float64
-	badShare     float64
+	shiftedShare float64 // share of the invocations of other zones that go to the marshals of zone 0 instead
+	badShare     float64 // share of invalid invocations
 }
 
-func newClients(w *testbed) *clients {
-	c := &clients{w: w, rnd: rand.New(rand.NewPCG(w.Seed, 3)), rateFactor: 1}
-	for _, m := range w.marshals {
+func newClients(tb *testbed) *clients {
+	c := &clients{tb: tb, rnd: rand.New(rand.NewPCG(tb.Seed, 3)), rateFactor: 1}
+	for _, m := range tb.marshals {
 		c.pools = append(c.pools, &pool{marshal: m})
 	}
 	sum := 0.0
-	for k := range max(1, int(w.Scenario.Keys)) {
-		sum += math.Pow(float64(k+1), -w.Scenario.Zipf)
+	for k := range max(1, int(tb.Scenario.Keys)) {
+		sum += math.Pow(float64(k+1), -tb.Scenario.Zipf)
 		c.keyWeights = append(c.keyWeights, sum)
 	}
 	return c
 }
 
+// update changes the rate and the shares while the clients run.
 func (c *clients) update(f func(*clients)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	f(c)
 }
 
-// run asks for as long as the day lasts, and waits until all is answered.
+// run sends invocations for a duration and waits until all have ended.
 func (c *clients) run(ctx context.Context, duration time.Duration) {
 	start := time.Now()
 	next := start
 	for time.Since(start) < duration && ctx.Err() == nil {
 		c.mu.Lock()
-		next = next.Add(time.Duration(c.rnd.ExpFloat64() / (c.w.Scenario.Rate * c.rateFactor) * float64(time.Second)))
+		next = next.Add(time.Duration(c.rnd.ExpFloat64() / (c.tb.Scenario.Rate * c.rateFactor) * float64(time.Second)))
 		inv := c.newRequest()
 		c.mu.Unlock()
 		if wait := time.Until(next); wait > 0 {
@@ -78,26 +79,26 @@
 	c.wg.Wait()
 }
 
-// requestSpec is one invocation as a client means it.
+// requestSpec specifies one invocation of a client.
 type requestSpec struct {
 	id, key, idempotencyKey string
 	op                      int
 	workMs                  float64
 	timeLimit               time.Duration
-	retriesLeft             int // repeats that the client would make
+	retriesLeft             int // retries that the client still makes
 	attempt                 int
 	marshal                 int
-	bad                     bool
-	leaveAfter              time.Duration // when the client goes, 0 for never
-	trickle                 bool
-	large, expect           bool
-	head                    bool
-	pipelined               *requestSpec // sent in one go with it
+	bad                     bool          // invalid: every node fails it
+	leaveAfter              time.Duration // when the client disconnects; 0 for never
+	trickle                 bool          // written in small pieces
+	large, expect           bool          // with a large body; with Expect: 100-continue
+	head                    bool          // method HEAD in place of GET
+	pipelined               *requestSpec  // a second invocation, sent in the same write
 }
 
-// newRequest makes up an invocation; c.mu is held.
+// newRequest draws a random invocation; c.mu is held.
 func (c *clients) newRequest() *requestSpec {
-	w, p, h := c.w, c.w.Scenario, c.w.Scenario.Habits
+	tb, p, h := c.tb, c.tb.Scenario, c.tb.Scenario.Habits
 	v := &requestSpec{op: pickWeighted(p.Mix, c.rnd), retriesLeft: c.rnd.IntN(int(h.Retries) + 1), attempt: 1}
 	v.workMs = p.WorkMs[v.op] * (0.6 + 0.8*c.rnd.Float64())
 	v.timeLimit = time.Duration(p.Settings.Operation[v.op].LimitMs * (h.PatienceLeast + (1-h.PatienceLeast)*c.rnd.Float64()) *
@@ -107,7 +108,7 @@
 		v.key = "hot" + strconv.Itoa(c.rnd.IntN(c.hotKeys))
 	}
 	v.marshal = c.rnd.IntN(len(c.pools))
-	for c.rnd.Float64() < c.shiftedShare && w.marshals[v.marshal].zone != 0 {
+	for c.rnd.Float64() < c.shiftedShare && tb.marshals[v.marshal].zone != 0 {
 		v.marshal = c.rnd.IntN(len(c.pools))
 	}
 	v.bad = c.rnd.Float64() < c.badShare
@@ -134,9 +135,10 @@
 	return v
 }
 
+// assignID gives a request a new identifier; c.mu is held.
 func (c *clients) assignID(v *requestSpec) {
 	c.seq++
-	v.id = fmt.Sprintf("%d-%d", c.w.Seed, c.seq)
+	v.id = fmt.Sprintf("%d-%d", c.tb.Seed, c.seq)
 }
 
 func (c *clients) drawKey() int {
@@ -149,6 +151,7 @@
 	return 0
 }
 
+// pickWeighted draws an index with the given weights.
 func pickWeighted(shares []float64, rnd *rand.Rand) int {
 	sum := 0.0
 	for _, s := range shares {
@@ -164,7 +167,7 @@
 	return len(shares) - 1
 }
 
-// encode writes an invocation as HTTP.
+// encode returns the invocation as an HTTP/1.1 request.
 func (v *requestSpec) encode(set *settings.Settings) []byte {
 	o := set.Operation[v.op]
 	m := o.Match[0]
@@ -197,7 +200,7 @@
 	if v.expect {
 		b.WriteString("Expect: 100-continue\r\n")
 	}
-	if v.workMs > 14 { // some in chunks
+	if v.workMs > 14 { // some bodies are chunked
 		fmt.Fprintf(&b, "Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", size, strings.Repeat("b", size))
 	} else {
 		fmt.Fprintf(&b, "Content-Length: %d\r\n\r\n%s", size, strings.Repeat("b", size))
@@ -206,17 +209,18 @@
 }
 
 func (c *clients) record(v *requestSpec, kind, final, text string, at time.Time) {
-	c.w.record(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: v.id, Instance: int64(v.marshal), Op: int64(v.op), Key: v.key,
+	c.tb.record(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: v.id, Instance: int64(v.marshal), Op: int64(v.op), Key: v.key,
 		LimitMs: float64(v.timeLimit) / float64(time.Millisecond), Final: final, Text: text})
 }
 
-// invoke asks, and asks again as clients do.
+// invoke sends an invocation and retries it as a client would.
 func (c *clients) invoke(v *requestSpec) {
 	start := time.Now()
 	for {
 		final, wait := c.exchange(v)
-		o := c.w.Scenario.Settings.Operation[v.op]
-		mayRetry := final == front.Throttled || final == front.NotAccepted || final == front.Terminated && o.Repeat == settings.Repeat_IDEMPOTENT
+		o := c.tb.Scenario.Settings.Operation[v.op]
+		mayRetry := final == front.Throttled || final == front.NotAccepted ||
+			final == front.Terminated && o.Repeat == settings.Repeat_IDEMPOTENT
 		remaining := time.Duration(o.LimitMs*float64(time.Millisecond)) - time.Since(start) - wait
 		if !mayRetry || v.retriesLeft == 0 || remaining < 50*time.Millisecond || v.pipelined != nil {
 			return
@@ -232,7 +236,7 @@
 	}
 }
 
-// exchange sends an invocation, with its second where it has one, and reads what comes.
+// exchange sends an invocation, and its pipelined one if any, and reads the answers.
 func (c *clients) exchange(v *requestSpec) (final string, wait time.Duration) {
 	cc, err := c.pools[v.marshal].get(c)
 	if err != nil {
@@ -240,12 +244,12 @@
 		c.record(v, "refused", "", err.Error(), time.Now())
 		return front.NotAccepted, 50 * time.Millisecond
 	}
-	text := v.encode(c.w.Scenario.Settings)
+	text := v.encode(c.tb.Scenario.Settings)
 	start := time.Now()
 	c.record(v, "asked", "", "", start)
 	if v.pipelined != nil {
 		c.record(v.pipelined, "asked", "", "", start)
-		text = append(text, v.pipelined.encode(c.w.Scenario.Settings)...)
+		text = append(text, v.pipelined.encode(c.tb.Scenario.Settings)...)
 	}
 	cc.lastRequest = v
 	if err := cc.send(text, v.trickle); err != nil && !mayHoldAnswer(err) {
@@ -261,7 +265,7 @@
 		if keepOpen {
 			_, _, keepOpen = c.readAnswer(cc, v.pipelined, start)
 		} else {
-			c.record(v.pipelined, "left", "", "after the first of two failed", time.Now())
+			c.record(v.pipelined, "left", "", "the first of two pipelined requests failed", time.Now())
 		}
 	}
 	if keepOpen {
@@ -272,11 +276,12 @@
 	return final, wait
 }
 
-// mayHoldAnswer says that a connection whose write failed may hold an answer all the same.
+// mayHoldAnswer reports whether a connection may hold an answer although a write to it has failed with err.
 func mayHoldAnswer(err error) bool {
 	return errors.Is(err, syscall.EPIPE) || errors.Is(err, syscall.ECONNRESET)
 }
 
+// readAnswer reads the final answer to v, which was sent at start, and records it.
 func (c *clients) readAnswer(cc *conn, v *requestSpec, start time.Time) (final string, wait time.Duration, keepOpen bool) {
 	deadline := start.Add(v.timeLimit)
 	if v.leaveAfter > 0 {
@@ -291,7 +296,7 @@
 	var body []byte
 	var err error
 	for {
-		resp, err = http.ReadResponse(cc.r, &http.Request{Method: method})
+		resp, err = http.ReadResponse(cc.reader, &http.Request{Method: method})
 		if err == nil && resp.StatusCode < 200 {
 			continue
 		}
@@ -320,8 +325,8 @@
 	}
 	if resp.Header.Get("X-Answer") == standin.WrongValue {
 		if node, err := strconv.ParseUint(resp.Header.Get("X-Node"), 10, 32); err == nil {
-			c.w.after(500*time.Millisecond, func() {
-				c.w.rollout.Flag(v.marshal, uint32(node), v.op, time.Since(start))
+			c.tb.after(500*time.Millisecond, func() {
+				c.tb.rollout.Flag(v.marshal, uint32(node), v.op, time.Since(start))
 			})
 		}
 	}
@@ -331,16 +336,17 @@
 	return final, wait, !resp.Close
 }
 
-// pool keeps a client's connections to one marshal.
+// pool keeps the clients' idle connections to one marshal.
 type pool struct {
 	marshal *testMarshal
 	mu      sync.Mutex
 	idle    []*conn
 }
 
+// conn is a connection of the clients to a marshal.
 type conn struct {
 	net.Conn
-	r           *bufio.Reader
+	reader      *bufio.Reader
 	lastRequest *requestSpec
 }
 
@@ -364,7 +370,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: nc, r: bufio.NewReader(nc)}, nil
+	return &conn{Conn: nc, reader: bufio.NewReader(nc)}, nil
 }
 
 func (p *pool) put(cc *conn) {
@@ -373,9 +379,9 @@
 	p.idle = append(p.idle, cc)
 }
 
-// usable says that an idle connection can be used; what came on it unasked came after a final answer.
+// usable reports whether an idle connection can be used again. It records data that arrived after the final answer.
 func (cc *conn) usable(c *clients) bool {
-	if cc.r.Buffered() > 0 {
+	if cc.reader.Buffered() > 0 {
 		c.record(cc.lastRequest, "extra", "", "", time.Now())
 		return false
 	}
@@ -396,7 +402,7 @@
 	return open
 }
 
-// send writes at once, or a few bytes at a time as a client on a bad line does.
+// send writes b in one go, or with trickle a few bytes at a time, as over a bad line.
 func (cc *conn) send(b []byte, trickle bool) error {
 	cc.SetWriteDeadline(time.Now().Add(5 * time.Second))
 	step := len(b)
@@ -416,7 +422,7 @@
 	return nil
 }
 
-// closeIdle looks a last time for what came unasked.
+// closeIdle closes the idle connections after a final check for unexpected data.
 func (c *clients) closeIdle() {
 	for _, p := range c.pools {
 		p.mu.Lock()
--- a/internal/day/like.go
+++ b/internal/day/like.go
@@ -11,12 +11,13 @@
 )
 
 const (
-	maxNodes, maxMarshals = 24, 5 // of a day taken over: what one machine carries among clients and all
+	maxNodes, maxMarshals = 24, 5 // what one machine can run together with the clients
 	maxSeconds            = 120
 )
 
-// LoadBenchScenario makes a day of the kinds, times and shares of a day that the bench drew or found, at a size for this machine.
-// The invocations and rules stay those of the default day, which are about ten times as fast.
+// LoadBenchScenario converts a scenario file of the bench into a scenario whose size fits one machine. It takes over the
+// kinds, times and shares of the faults and builds. Operations and rules stay those of the default scenario, which
+// are about ten times as fast.
 func LoadBenchScenario(path string) (*settings.Day, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -25,7 +26,7 @@
 	bench := gjson.ParseBytes(text)
 	servers, marshals := len(bench.Get("servers").Array()), len(bench.Get("balancers").Array())
 	if !gjson.ValidBytes(text) || servers == 0 || marshals == 0 || !bench.Get("length").Exists() {
-		return nil, fmt.Errorf("%s: no day of the bench: length, servers and balancers are what one has", path)
+		return nil, fmt.Errorf("%s: not a scenario of the bench: it needs length, servers and balancers", path)
 	}
 	d := DefaultScenario()
 	d.Seconds = min(bench.Get("length").Num/1e6, maxSeconds)
@@ -35,19 +36,19 @@
 	for _, t := range bench.Get("troubles").Array() {
 		name := t.Get("kind").Str
 		if name == "bad_build" {
-			continue // it stands among the releases
+			continue // listed among the releases
 		}
 		if alias, ok := benchNames[name]; ok {
 			name = alias
 		}
 		if faultKinds[name].start == nil {
-			return nil, fmt.Errorf("%s: no trouble is called %q", path, name)
+			return nil, fmt.Errorf("%s: unknown trouble %q", path, name)
 		}
 		trouble := &settings.Trouble{Kind: name, AtS: t.Get("at").Num / 1e6, ForS: t.Get("len").Num / 1e6, Size: t.Get("size").Num,
 			Extra: t.Get("extra").Num, How: t.Get("how").Str}
 		total, count := servers, 0
 		for _, i := range t.Get("on").Array() {
-			if int(i.Num) < servers { // the others are places that come up later
+			if int(i.Num) < servers { // larger numbers are servers that start later
 				count++
 			}
 		}
@@ -57,10 +58,10 @@
 		case "marshal_roll":
 			total = marshals
 			trouble.How = ""
-			for _, strength := range t.Get("steps").Array() {
-				count += len(strength.Get("stop").Array())
+			for _, step := range t.Get("steps").Array() {
+				count += len(step.Get("stop").Array())
 			}
-		case "slow_link": // the bench tells it in SLO times, the shortest
+		case "slow_link": // the bench gives it in units of the shortest SLO time
 			trouble.Size *= shortestSLOMs(d.Settings)
 		case "roster_stale", "conveyor_down":
 			trouble.Extra = trouble.Size
@@ -69,26 +70,26 @@
 		d.Trouble = append(d.Trouble, trouble)
 	}
 	for _, r := range bench.Get("fam.releases").Array() {
-		at, s := r.Get("at").Num/1e6, r.Get("strength").Num
+		at, strength := r.Get("at").Num/1e6, r.Get("strength").Num
 		if at >= d.Seconds {
 			continue
 		}
 		b := &settings.Build{AtS: at, Fault: &settings.Fault{}}
 		switch r.Get("bad").Str {
 		case "errors":
-			b.Fault.Errors = 0.05 + 0.3*s
+			b.Fault.Errors = 0.05 + 0.3*strength
 		case "class":
-			b.Fault.Errors, b.Fault.ErrorsOp = 0.3+0.6*s, uint32(min(r.Get("class").Int(), int64(len(d.WorkMs)-1)))+1
+			b.Fault.Errors, b.Fault.ErrorsOp = 0.3+0.6*strength, uint32(min(r.Get("class").Int(), int64(len(d.WorkMs)-1)))+1
 		case "slow":
-			b.Fault.Work = 1.8 + 2*s
+			b.Fault.Work = 1.8 + 2*strength
 		case "load":
-			b.Fault.Work, b.Fault.Errors, b.Fault.BusyOver = 2, 0.3, 0.6-0.3*s
+			b.Fault.Work, b.Fault.Errors, b.Fault.BusyOver = 2, 0.3, 0.6-0.3*strength
 		case "late":
-			b.Fault.Work, b.Fault.Errors, b.Fault.AfterMs = 2, 0.3, 5000+4000*s
+			b.Fault.Work, b.Fault.Errors, b.Fault.AfterMs = 2, 0.3, 5000+4000*strength
 		case "wrong":
-			b.Fault.Wrong = 0.1 + 0.3*s
+			b.Fault.Wrong = 0.1 + 0.3*strength
 		case "shared":
-			b.Shared = 1.5 + 1.5*s
+			b.Shared = 1.5 + 1.5*strength
 		}
 		d.Build = append(d.Build, b)
 	}
@@ -96,9 +97,9 @@
 }
 
 func shortestSLOMs(s *settings.Settings) float64 {
-	least := math.Inf(1)
+	shortest := math.Inf(1)
 	for _, o := range s.Operation {
-		least = math.Min(least, o.SloMs)
+		shortest = math.Min(shortest, o.SloMs)
 	}
-	return least
+	return shortest
 }
--- a/internal/day/parts.go
+++ b/internal/day/parts.go
@@ -21,24 +21,24 @@
 	"arrowcleat/internal/standin"
 )
 
-// node is a stand-in node, in this process or in one of its own.
+// node is a stand-in node, in this process or in a process of its own. Do runs a command that changes its behaviour.
 type node interface {
 	Address() string
 	Do(line string) error
 	Kill()
 }
 
-func (w *testbed) launchNode(set *settings.Standin) (node, error) {
-	if w.Binary != "" {
-		set.Record = filepath.Join(w.Dir, fmt.Sprintf("node-%d-%d.seen", set.Node, set.Seed))
-		return w.spawnStandin(fmt.Sprintf("node-%d-%d", set.Node, set.Seed), set, "standin", "node")
+func (tb *testbed) launchNode(set *settings.Standin) (node, error) {
+	if tb.Binary != "" {
+		set.Record = filepath.Join(tb.Dir, fmt.Sprintf("node-%d-%d.seen", set.Node, set.Seed))
+		return tb.spawnStandin(fmt.Sprintf("node-%d-%d", set.Node, set.Seed), set, "standin", "node")
 	}
 	n := standin.FromSettings(set)
-	n.Seen = w.record
+	n.Seen = tb.record
 	return n, n.Start("127.0.0.1:0")
 }
 
-// process is a child process that prints its address, and dies with its standard input.
+// process is a child process that prints its address. A node's process exits when its standard input is closed.
 type process struct {
 	cmd     *exec.Cmd
 	stdin   io.WriteCloser
@@ -46,12 +46,12 @@
 	once    sync.Once
 	exited  chan error
 	nodeID  uint32
-	w       *testbed
+	tb      *testbed
 }
 
-// spawnStandin starts this program again.
-func (w *testbed) spawnStandin(name string, set *settings.Standin, args ...string) (*process, error) {
-	file := filepath.Join(w.Dir, name+".txtpb")
+// spawnStandin starts a stand-in as a process of its own.
+func (tb *testbed) spawnStandin(name string, set *settings.Standin, args ...string) (*process, error) {
+	file := filepath.Join(tb.Dir, name+".txtpb")
 	text, err := prototext.Marshal(set)
 	if err != nil {
 		return nil, err
@@ -59,22 +59,23 @@
 	if err := os.WriteFile(file, text, 0o644); err != nil {
 		return nil, err
 	}
-	p, err := w.spawn(name, append(args, "--config", file)...)
+	p, err := tb.spawn(name, append(args, "--config", file)...)
 	if err == nil {
 		p.nodeID = set.Node
 	}
 	return p, err
 }
 
-func (w *testbed) spawn(name string, args ...string) (*process, error) {
-	p := &process{cmd: exec.Command(w.Binary, args...), exited: make(chan error, 1), w: w}
-	log, err := os.OpenFile(filepath.Join(w.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
+// spawn starts this program with the given arguments and waits until it prints its address.
+func (tb *testbed) spawn(name string, args ...string) (*process, error) {
+	p := &process{cmd: exec.Command(tb.Binary, args...), exited: make(chan error, 1), tb: tb}
+	log, err := os.OpenFile(filepath.Join(tb.Dir, name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o644)
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
 	p.cmd.Stderr = log
-	p.cmd.Env = append(os.Environ(), fmt.Sprint("GOMAXPROCS=", max(1, w.Scenario.Settings.Instance.Cores)))
+	p.cmd.Env = append(os.Environ(), fmt.Sprint("GOMAXPROCS=", max(1, tb.Scenario.Settings.Instance.Cores)))
 	if p.stdin, err = p.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
@@ -105,12 +106,13 @@
 
 func (p *process) Kill() { p.end("dies") }
 
-func (p *process) end(word string) {
+// end records an observation of the given kind, closes the input of the process, and kills it if it does not exit.
+func (p *process) end(kind string) {
 	p.once.Do(func() {
-		if word != "" {
-			p.w.record(&record.Seen{Kind: word, Node: p.nodeID})
+		if kind != "" {
+			p.tb.record(&record.Seen{Kind: kind, Node: p.nodeID})
 		}
-		p.stdin.Close() // a node ends with its input, its record written out; a marshal does not mind
+		p.stdin.Close() // a node writes out its record and exits; a marshal ignores it
 		select {
 		case <-p.exited:
 		case <-time.After(500 * time.Millisecond):
@@ -120,31 +122,32 @@
 	})
 }
 
-// testMarshal is a marshal of the day over its lives, each at the same address.
+// testMarshal is a marshal over all its restarts, each at the same address.
 type testMarshal struct {
-	w           *testbed
+	tb          *testbed
 	number      int
 	zone        int
 	set         *settings.Settings
 	reservation *loopback.Reservation
 	address     string
 
-	mu      sync.Mutex
-	life    int
-	running bool
-	local   *serve.Marshal
-	process *process
+	mu          sync.Mutex
+	incarnation int
+	running     bool
+	local       *serve.Marshal // in this process
+	process     *process       // in a process of its own
 
-	coreStalls int // of single cores
+	coreStalls int // of single cores, so far
 }
 
-// newMarshal prepares the settings of a marshal; addresses are chosen here, so that all know where all are.
-func (w *testbed) newMarshal(number int) (*testMarshal, error) {
-	set := w.Scenario.Settings.Copy()
-	m := &testMarshal{w: w, number: number, zone: number % len(set.Zone), set: set}
+// newMarshal prepares the settings of a marshal. Its address is reserved here, before any marshal starts, so that all
+// participants know all addresses.
+func (tb *testbed) newMarshal(number int) (*testMarshal, error) {
+	set := tb.Scenario.Settings.Copy()
+	m := &testMarshal{tb: tb, number: number, zone: number % len(set.Zone), set: set}
 	set.Instance.Number, set.Instance.Zone = uint32(number), set.Zone[m.zone]
-	set.Roster.Address, set.Conveyor.Address = w.registry.Address(), w.rollout.Address()
-	set.Roster.File = filepath.Join(w.Dir, fmt.Sprintf("marshal-%d.list", number))
+	set.Roster.Address, set.Conveyor.Address = tb.registry.Address(), tb.rollout.Address()
+	set.Roster.File = filepath.Join(tb.Dir, fmt.Sprintf("marshal-%d.list", number))
 	reservation, err := loopback.Reserve()
 	if err != nil {
 		return nil, err
@@ -157,27 +160,27 @@
 func (m *testMarshal) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.life++
-	m.set.Seed = m.w.Seed*1000 + uint64(m.number*50+m.life)
-	name := fmt.Sprintf("marshal-%d-%d", m.number, m.life)
-	if m.w.RecordModules {
-		m.set.Record.File = filepath.Join(m.w.Dir, name+".record")
+	m.incarnation++
+	m.set.Seed = m.tb.Seed*1000 + uint64(m.number*50+m.incarnation)
+	name := fmt.Sprintf("marshal-%d-%d", m.number, m.incarnation)
+	if m.tb.RecordModules {
+		m.set.Record.File = filepath.Join(m.tb.Dir, name+".record")
 	}
-	m.w.record(&record.Seen{Kind: "up", Instance: int64(m.number)})
+	m.tb.record(&record.Seen{Kind: "up", Instance: int64(m.number)})
 	var err error
-	if m.w.Binary == "" {
-		m.local, err = serve.Start(m.set.Copy(), m.w.Logger, m.w.hooks)
+	if m.tb.Binary == "" {
+		m.local, err = serve.Start(m.set.Copy(), m.tb.Logger, m.tb.hooks)
 	} else {
-		file := filepath.Join(m.w.Dir, name+".txtpb")
+		file := filepath.Join(m.tb.Dir, name+".txtpb")
 		if err = os.WriteFile(file, m.set.Text(), 0o644); err == nil {
-			m.process, err = m.w.spawn(name, "serve", "--config", file)
+			m.process, err = m.tb.spawn(name, "serve", "--config", file)
 		}
 	}
 	m.running = err == nil
 	return err
 }
 
-// restart ends a marshal, killed or told to stop, and starts it again after a while.
+// restart kills or stops a marshal and starts it again after a pause.
 func (m *testMarshal) restart(kill bool, pause time.Duration) {
 	m.mu.Lock()
 	if !m.running {
@@ -185,9 +188,9 @@
 		return
 	}
 	m.running = false
-	word := map[bool]string{true: "killed", false: "stopping"}[kill]
-	m.w.logEvent("marshal %d %s", m.number, word)
-	m.w.record(&record.Seen{Kind: word, Instance: int64(m.number)})
+	kind := map[bool]string{true: "killed", false: "stopping"}[kill]
+	m.tb.logEvent("marshal %d %s", m.number, kind)
+	m.tb.record(&record.Seen{Kind: kind, Instance: int64(m.number)})
 	switch {
 	case m.local != nil && kill:
 		m.local.Kill()
@@ -203,14 +206,14 @@
 	m.mu.Unlock()
 	select {
 	case <-time.After(pause):
-	case <-m.w.ctx.Done():
+	case <-m.tb.ctx.Done():
 	}
 	if err := m.start(); err != nil {
-		m.w.logEvent("marshal %d does not come back: %v", m.number, err)
+		m.tb.logEvent("marshal %d did not restart: %v", m.number, err)
 	}
 }
 
-// stall lets a marshal stand still: its loop, or its process.
+// stall stalls a marshal: its event loops, or its process.
 func (m *testMarshal) stall(d time.Duration) {
 	m.mu.Lock()
 	local, process, running := m.local, m.process, m.running
@@ -228,7 +231,7 @@
 	}
 }
 
-// stallCore lets one core of a marshal stand still, another each time. It does nothing to a marshal that is a process.
+// stallCore stalls one core of a marshal, another one each time. It does nothing if the marshal is a process.
 func (m *testMarshal) stallCore(d time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -238,7 +241,7 @@
 	}
 }
 
-// shutdown ends a marshal with the day.
+// shutdown stops a marshal at the end of the run.
 func (m *testMarshal) shutdown() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -246,7 +249,7 @@
 		return
 	}
 	m.running = false
-	m.w.record(&record.Seen{Kind: "stopping", Instance: int64(m.number)})
+	m.tb.record(&record.Seen{Kind: "stopping", Instance: int64(m.number)})
 	if m.local != nil {
 		m.local.Stop()
 		return
--- a/internal/day/plan.go
+++ b/internal/day/plan.go
@@ -1,5 +1,6 @@
-// Package day plays a scripted day on loopback sockets: stand-ins, marshals and clients, with troubles, as parts
-// of this process or as processes of their own, and hands what passed on the sockets to the audit.
+// Package day runs a scripted scenario on loopback sockets. It starts stand-in nodes, a service registry, a rollout
+// service, marshals and clients, in this process or as processes of their own, injects the faults of the scenario, and
+// has package audit check the records of the sockets.
 package day
 
 import (
@@ -19,16 +20,16 @@
 //go:embed default.txtpb
 var defaultScenario []byte
 
-// DefaultScenario is the day that is played when none is named.
+// DefaultScenario returns the built-in scenario.
 func DefaultScenario() *settings.Day {
 	d, err := parseScenario("default.txtpb", defaultScenario)
 	if err != nil {
-		panic(err) // it is part of the program
+		panic(err) // it is embedded in the program
 	}
 	return d
 }
 
-// LoadScenario reads a day from a file.
+// LoadScenario reads a scenario from a file.
 func LoadScenario(path string) (*settings.Day, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -43,20 +44,20 @@
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	if d.Settings == nil {
-		return nil, fmt.Errorf("%s: settings: the block is missing: which settings do the marshals have?", name)
+		return nil, fmt.Errorf("%s: settings: block is missing: it holds the settings of the marshals", name)
 	}
 	d.Settings.Instance.Marshals = d.Marshals
 	set, err := settings.Parse(name+": settings", d.Settings.Text())
 	if err != nil {
 		return nil, err
 	}
-	d.Settings = set // with every block there
+	d.Settings = set // with all blocks present
 	if err := validate(d); err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
 	for i, t := range d.Trouble {
 		if faultKinds[t.Kind].start == nil {
-			return nil, fmt.Errorf("%s: trouble %d: no kind is called %q; there are %s", name, i+1, t.Kind,
+			return nil, fmt.Errorf("%s: trouble %d: unknown kind %q; known kinds: %s", name, i+1, t.Kind,
 				strings.Join(FaultKinds(), ", "))
 		}
 	}
@@ -66,7 +67,7 @@
 	return d, nil
 }
 
-// Resize gives a day other numbers; 0 leaves one as it is.
+// Resize changes the numbers of nodes and marshals and the rate of a scenario; 0 leaves a number as it is.
 func Resize(d *settings.Day, nodes, marshals uint32, rate float64) error {
 	if nodes > 0 {
 		d.Nodes = nodes
@@ -80,29 +81,29 @@
 	return validate(d)
 }
 
-// validate checks a day's numbers.
+// validate checks the numbers of a scenario.
 func validate(d *settings.Day) error {
 	for _, check := range []struct {
-		is   bool
-		what string
+		invalid bool
+		message string
 	}{
-		{d.Seconds <= 0 || d.Seconds > 3600, "seconds: from above 0 to 3600"},
-		{d.Marshals == 0 || d.Marshals > 100, "marshals: from 1 to 100"},
-		{d.Nodes == 0 || d.Nodes > 1000, "nodes: from 1 to 1000"},
-		{d.Cores == 0, "cores: 1 at least"},
-		{d.Rate <= 0 || d.Rate > 20000, "rate: from above 0 to 20000 invocations a second"},
-		{len(d.WorkMs) != len(d.Settings.Operation), "work_ms: one for each operation"},
-		{len(d.Mix) != len(d.Settings.Operation), "mix: one for each operation"},
-		{len(d.Speed) == 0, "speed: one at least"},
+		{d.Seconds <= 0 || d.Seconds > 3600, "seconds: must be above 0 and at most 3600"},
+		{d.Marshals == 0 || d.Marshals > 100, "marshals: must be from 1 to 100"},
+		{d.Nodes == 0 || d.Nodes > 1000, "nodes: must be from 1 to 1000"},
+		{d.Cores == 0, "cores: must be at least 1"},
+		{d.Rate <= 0 || d.Rate > 20000, "rate: must be above 0 and at most 20000 invocations per second"},
+		{len(d.WorkMs) != len(d.Settings.Operation), "work_ms: needs one value for each operation"},
+		{len(d.Mix) != len(d.Settings.Operation), "mix: needs one value for each operation"},
+		{len(d.Speed) == 0, "speed: needs at least one value"},
 	} {
-		if check.is {
-			return errors.New(check.what)
+		if check.invalid {
+			return errors.New(check.message)
 		}
 	}
 	return nil
 }
 
-// FaultKinds lists the troubles.
+// FaultKinds lists the names of all kinds of faults.
 func FaultKinds() []string {
 	var all []string
 	for k := range faultKinds {
@@ -112,11 +113,11 @@
 	return append(all, "bad_build")
 }
 
-// benchNames are names by which others know a trouble.
+// benchNames maps the bench's names of faults to the names used here.
 var benchNames = map[string]string{"balancer_roll": "marshal_roll", "balancer_stall": "marshal_stall",
 	"control_down": "conveyor_down", "discovery_stale": "roster_stale"}
 
-// DefaultWithFault gives the default day with one trouble only, at its middle strength, in place of the script.
+// DefaultWithFault returns the default scenario with one kind of fault, at medium strength, in place of all others.
 func DefaultWithFault(kind string) (*settings.Day, error) {
 	d := DefaultScenario()
 	if ours, ok := benchNames[kind]; ok {
@@ -128,11 +129,11 @@
 	}
 	k, ok := faultKinds[kind]
 	if !ok {
-		return nil, fmt.Errorf("no trouble is called %q; there are %s", kind, strings.Join(FaultKinds(), ", "))
+		return nil, fmt.Errorf("unknown trouble %q; known troubles: %s", kind, strings.Join(FaultKinds(), ", "))
 	}
 	t := k.defaults
 	d.Trouble = nil
-	for _, how := range append(k.variants, "")[:max(1, len(k.variants))] { // each way it can come, one after the other
+	for _, how := range append(k.variants, "")[:max(1, len(k.variants))] { // all variants, one after the other
 		n := &settings.Trouble{Kind: kind, ForS: t.ForS, Part: t.Part, Size: t.Size, Extra: t.Extra, How: how}
 		n.AtS = 4 + 5*float64(len(d.Trouble))
 		if n.AtS+n.ForS > d.Seconds-1 {
--- a/internal/day/trouble.go
+++ b/internal/day/trouble.go
@@ -10,17 +10,20 @@
 	"arrowcleat/internal/settings"
 )
 
-// faultKind is a trouble: how it begins, what ends it, and what it is like when nobody says.
+// faultKind is a kind of fault. start injects it into the testbed and returns the function that ends it.
 type faultKind struct {
-	start    func(w *testbed, t *settings.Trouble, rnd *rand.Rand) (end func())
-	defaults *settings.Trouble
-	variants []string
+	start    func(tb *testbed, t *settings.Trouble, rnd *rand.Rand) (end func())
+	defaults *settings.Trouble // parameters in DefaultWithFault
+	variants []string          // values of the field how
 }
 
+// params returns the parameters of a fault: its duration, the share of what it affects, and what size and extra mean for
+// its kind.
 func params(forS, part, size, extra float64) *settings.Trouble {
 	return &settings.Trouble{ForS: forS, Part: part, Size: size, Extra: extra}
 }
 
+// faultKinds are all kinds, by the names that scenarios use.
 var faultKinds map[string]faultKind
 
 func init() {
@@ -49,152 +52,158 @@
 	}
 }
 
-// onNodes gives some onNodes a command, and later the word that they are well.
+// onNodes returns the start of a fault that sends a command to a share of the nodes, and ends it with "well".
 func onNodes(command func(*settings.Trouble) string) func(*testbed, *settings.Trouble, *rand.Rand) func() {
-	return func(w *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
-		some := w.pickSlots(t.Part, rnd)
+	return func(tb *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
+		some := tb.pickSlots(t.Part, rnd)
 		for _, s := range some {
-			w.command(s, command(t))
+			tb.command(s, command(t))
 		}
 		return func() {
 			for _, s := range some {
-				w.command(s, "well")
+				tb.command(s, "well")
 			}
 		}
 	}
 }
 
+// onAllNodes is onNodes for all nodes.
 func onAllNodes(command func(*settings.Trouble) string) func(*testbed, *settings.Trouble, *rand.Rand) func() {
-	return func(w *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
+	return func(tb *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
 		all := proto.CloneOf(t)
 		all.Part = 1
-		return onNodes(command)(w, all, rnd)
+		return onNodes(command)(tb, all, rnd)
 	}
 }
 
-func crash(w *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
-	some := w.pickSlots(t.Part, rnd)
+// crash kills a share of the nodes and starts them again.
+func crash(tb *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
+	some := tb.pickSlots(t.Part, rnd)
 	for _, s := range some {
-		w.killNode(s)
+		tb.killNode(s)
 	}
 	return func() {
 		for _, s := range some {
-			w.restartNode(s)
+			tb.restartNode(s)
 		}
 	}
 }
 
-// vanish makes nodes silent: nothing is refused, nothing answered; they come back as new processes.
-func vanish(w *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
-	some := w.pickSlots(t.Part, rnd)
+// vanish makes a share of the nodes unresponsive: they refuse and answer nothing. They come back as new processes.
+func vanish(tb *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
+	some := tb.pickSlots(t.Part, rnd)
 	for _, s := range some {
-		w.command(s, "hang")
+		tb.command(s, "hang")
 	}
 	return func() {
 		for _, s := range some {
-			w.killNode(s)
-			w.restartNode(s)
+			tb.killNode(s)
+			tb.restartNode(s)
 		}
 	}
 }
 
-// limitConnections bounds the connections that nodes take: size for each marshal.
-func limitConnections(w *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
-	some := w.pickSlots(t.Part, rnd)
+// limitConnections limits the connections that a share of the nodes accept, to size for each marshal.
+func limitConnections(tb *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
+	some := tb.pickSlots(t.Part, rnd)
 	for _, s := range some {
-		w.command(s, fmt.Sprintf("conns %d", max(1, int(t.Size*float64(len(w.marshals))))))
+		tb.command(s, fmt.Sprintf("conns %d", max(1, int(t.Size*float64(len(tb.marshals))))))
 	}
 	return func() {
 		for _, s := range some {
-			w.command(s, "well")
+			tb.command(s, "well")
 		}
 	}
 }
 
-func burst(w *testbed, t *settings.Trouble, _ *rand.Rand) func() {
-	w.clients.update(func(c *clients) { c.rateFactor *= t.Size })
-	return func() { w.clients.update(func(c *clients) { c.rateFactor /= t.Size }) }
+// burst multiplies the rate of the clients.
+func burst(tb *testbed, t *settings.Trouble, _ *rand.Rand) func() {
+	tb.clients.update(func(c *clients) { c.rateFactor *= t.Size })
+	return func() { tb.clients.update(func(c *clients) { c.rateFactor /= t.Size }) }
 }
 
-func hotKey(w *testbed, t *settings.Trouble, _ *rand.Rand) func() {
-	w.clients.update(func(c *clients) { c.hotShare, c.hotKeys = t.Size, max(1, int(t.Extra)) })
-	return func() { w.clients.update(func(c *clients) { c.hotShare = 0 }) }
+// hotKey directs a share of the traffic to a few keys.
+func hotKey(tb *testbed, t *settings.Trouble, _ *rand.Rand) func() {
+	tb.clients.update(func(c *clients) { c.hotShare, c.hotKeys = t.Size, max(1, int(t.Extra)) })
+	return func() { tb.clients.update(func(c *clients) { c.hotShare = 0 }) }
 }
 
-// shift moves a share of the traffic to the marshals of one data centre, for good.
-func shift(w *testbed, t *settings.Trouble, _ *rand.Rand) func() {
-	w.clients.update(func(c *clients) { c.shiftedShare = t.Size })
+// shift moves a share of the traffic to the marshals of one zone, permanently.
+func shift(tb *testbed, t *settings.Trouble, _ *rand.Rand) func() {
+	tb.clients.update(func(c *clients) { c.shiftedShare = t.Size })
 	return func() {}
 }
 
-func badRequests(w *testbed, t *settings.Trouble, _ *rand.Rand) func() {
-	w.clients.update(func(c *clients) { c.badShare = t.Size })
-	return func() { w.clients.update(func(c *clients) { c.badShare = 0 }) }
+// badRequests makes a share of the requests invalid.
+func badRequests(tb *testbed, t *settings.Trouble, _ *rand.Rand) func() {
+	tb.clients.update(func(c *clients) { c.badShare = t.Size })
+	return func() { tb.clients.update(func(c *clients) { c.badShare = 0 }) }
 }
 
-// slowLink makes the way between two data centres long and lossy.
-func slowLink(w *testbed, t *settings.Trouble, _ *rand.Rand) func() {
-	for _, s := range w.allSlots() {
+// slowLink makes the link between zones slow and lossy.
+func slowLink(tb *testbed, t *settings.Trouble, _ *rand.Rand) func() {
+	for _, s := range tb.allSlots() {
 		line := fmt.Sprintf("link %g %g", t.Size, t.Extra)
-		for _, m := range w.marshals {
+		for _, m := range tb.marshals {
 			if m.zone != s.zone {
 				line += fmt.Sprintf(" %d", m.number)
 			}
 		}
-		w.command(s, line)
+		tb.command(s, line)
 	}
 	return func() {
-		for _, s := range w.allSlots() {
-			w.command(s, "well")
+		for _, s := range tb.allSlots() {
+			tb.command(s, "well")
 		}
 	}
 }
 
-func staleRegistry(w *testbed, t *settings.Trouble, _ *rand.Rand) func() {
-	w.setExtraDelay(&w.extraRegistryDelay, time.Duration(t.Extra*float64(time.Second)))
-	return func() { w.setExtraDelay(&w.extraRegistryDelay, 0) }
+// staleRegistry delays the updates of the service registry.
+func staleRegistry(tb *testbed, t *settings.Trouble, _ *rand.Rand) func() {
+	tb.setExtraDelay(&tb.extraRegistryDelay, time.Duration(t.Extra*float64(time.Second)))
+	return func() { tb.setExtraDelay(&tb.extraRegistryDelay, 0) }
 }
 
-func rolloutServiceDown(w *testbed, t *settings.Trouble, _ *rand.Rand) func() {
+// rolloutServiceDown makes the rollout service unresponsive, failing or late with its updates.
+func rolloutServiceDown(tb *testbed, t *settings.Trouble, _ *rand.Rand) func() {
 	switch t.How {
 	case "errors":
-		w.rollout.Trouble(false, true)
+		tb.rollout.Trouble(false, true)
 	case "stale":
-		w.setExtraDelay(&w.extraRolloutDelay, time.Duration(t.Extra*float64(time.Second)))
+		tb.setExtraDelay(&tb.extraRolloutDelay, time.Duration(t.Extra*float64(time.Second)))
 	default:
-		w.rollout.Trouble(true, false)
+		tb.rollout.Trouble(true, false)
 	}
 	return func() {
-		w.rollout.Trouble(false, false)
-		w.setExtraDelay(&w.extraRolloutDelay, 0)
+		tb.rollout.Trouble(false, false)
+		tb.setExtraDelay(&tb.extraRolloutDelay, 0)
 	}
 }
 
-// rollMarshals restarts marshals one after the other, over the time it has.
-func rollMarshals(w *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
-	order := rnd.Perm(len(w.marshals))[:max(1, int(t.Part*float64(len(w.marshals))+0.5))]
+// rollMarshals restarts a share of the marshals one after the other, spread over the duration of the fault.
+func rollMarshals(tb *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
+	order := rnd.Perm(len(tb.marshals))[:max(1, int(t.Part*float64(len(tb.marshals))+0.5))]
 	step := time.Duration(t.ForS * float64(time.Second) / float64(len(order)))
 	down := time.Duration(max(0.05, t.Extra) * float64(time.Second))
 	for i, n := range order {
-		w.after(time.Duration(i)*step, func() { w.marshals[n].restart(t.How != "term", down) })
+		tb.after(time.Duration(i)*step, func() { tb.marshals[n].restart(t.How != "term", down) })
 	}
 	return func() {}
 }
 
-// marshalStall lets marshals stand still now and then.
-// stallRepeatedly has some marshals, or a core of each, stand still time and again.
+// stallRepeatedly stalls a share of the marshals, or a core of each, at regular intervals.
 func stallRepeatedly(stall func(*testMarshal, time.Duration)) func(*testbed, *settings.Trouble, *rand.Rand) func() {
-	return func(w *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
+	return func(tb *testbed, t *settings.Trouble, rnd *rand.Rand) func() {
 		done := make(chan struct{})
-		for _, n := range rnd.Perm(len(w.marshals))[:max(1, int(t.Part*float64(len(w.marshals))+0.5))] {
+		for _, n := range rnd.Perm(len(tb.marshals))[:max(1, int(t.Part*float64(len(tb.marshals))+0.5))] {
 			first := time.Duration(rnd.Float64() * t.Extra * float64(time.Second))
-			w.goTask(func() {
+			tb.goTask(func() {
 				for wait := first; ; wait = time.Duration(t.Extra * float64(time.Second)) {
 					select {
 					case <-done:
 						return
 					case <-time.After(wait):
-						stall(w.marshals[n], time.Duration(t.Size*float64(time.Millisecond)))
+						stall(tb.marshals[n], time.Duration(t.Size*float64(time.Millisecond)))
 					}
 				}
 			})
--- a/internal/day/world.go
+++ b/internal/day/world.go
@@ -25,30 +25,31 @@
 	"arrowcleat/internal/standin"
 )
 
-// Options is how a day is played.
+// Options are the options of a run.
 type Options struct {
 	Scenario      *settings.Day
 	Seed          uint64
-	Dir           string // of the records
-	InjectFault   string // the rule that the marshals are made to break
-	Binary        string // plays marshals and nodes as processes of this program; empty: in this process
-	RecordModules bool   // the marshals record what their modules are told and ask for
+	Dir           string // for the records
+	InjectFault   string // the rule that the marshals are made to break; empty for none
+	Binary        string // this program, to run marshals and nodes as processes of their own; empty: in this process
+	RecordModules bool   // the marshals record the events and calls of their modules
 	Logger        *slog.Logger
-	Progressf     func(format string, a ...any) // what happens, as it happens; nil for nothing
+	Progressf     func(format string, a ...any) // is called with each event of the run; may be nil
 }
 
-// Result is a day, audited.
+// Result is the result of a run with its audit.
 type Result struct {
 	Seed uint64 `json:"seed"`
 	*audit.Report
 	Builds []string `json:"builds"`
 	Events []string `json:"events"`
 	Dir    string   `json:"dir,omitempty"`
-	// MaxSchedulingDelayMs is the longest that this process was held up: rules bound to times say little beyond it.
+	// MaxSchedulingDelayMs is the longest time for which this process was not scheduled. Checks of times are unreliable
+	// where it is large.
 	MaxSchedulingDelayMs float64 `json:"held_up_ms"`
 }
 
-// testbed is what a day is played with.
+// testbed holds everything that takes part in a run.
 type testbed struct {
 	Options
 	rules     *settings.Rules
@@ -67,91 +68,94 @@
 
 	mu              sync.Mutex
 	slots           []*slot
-	nodes           []node                  // all that ever ran, those that drain among them
-	builds          map[int]*settings.Build // by build
+	nodes           []node                  // all that were ever started, also those that drain
+	builds          map[int]*settings.Build // by build number
 	lastNodeID      uint32
 	lastIncarnation uint64
 	events          []string
 	closed          bool
 
 	delayMu   sync.Mutex
-	delayRand *rand.Rand // of lags
+	delayRand *rand.Rand
 }
 
-// slot is a place in the fleet: a machine that runs one node after the other.
+// slot is a machine of the fleet, which runs one node after the other.
 type slot struct {
 	number, zone int
 	speed        float64
 	node         node
 	entry        control.Line
 	ver, wantVer int
-	replacing    bool // being replaced
-	down         bool // killed by a trouble
+	replacing    bool // its node is being replaced
+	down         bool // its node was killed by a fault
 }
 
-// tasks are what goes on in the background. Once they are waited for, none begins any more: what would begin then has nobody left to
-// wait for it (the race detector found that of the stand-in conveyor, which goes on for a moment after the end).
+// tasks are background goroutines. No task starts once closeAndWait has been called, since nothing would wait for it.
+// Without this the race detector found the stand-in rollout service starting tasks shortly after the end of a run.
 type tasks struct {
-	mu    sync.Mutex
-	ended bool
-	wg    sync.WaitGroup
+	mu     sync.Mutex
+	closed bool
+	wg     sync.WaitGroup
 }
 
 func (t *tasks) start(f func()) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !t.ended {
+	if !t.closed {
 		t.wg.Go(f)
 	}
 }
 
 func (t *tasks) closeAndWait() {
 	t.mu.Lock()
-	t.ended = true
+	t.closed = true
 	t.mu.Unlock()
 	t.wg.Wait()
 }
 
-func (w *testbed) goTask(f func()) { w.tasks.start(f) }
+// goTask starts a background task, unless the run has ended.
+func (tb *testbed) goTask(f func()) { tb.tasks.start(f) }
 
-// after does something later, unless the day is over by then.
-func (w *testbed) after(d time.Duration, f func()) {
-	w.goTask(func() {
+// after calls f after a delay, unless the run has ended by then.
+func (tb *testbed) after(d time.Duration, f func()) {
+	tb.goTask(func() {
 		select {
 		case <-time.After(d):
 			f()
-		case <-w.ctx.Done():
+		case <-tb.ctx.Done():
 		}
 	})
 }
 
-func (w *testbed) logEvent(format string, a ...any) {
-	line := fmt.Sprintf("%5.1f s  ", time.Since(w.startTime).Seconds()) + fmt.Sprintf(format, a...)
-	w.mu.Lock()
-	w.events = append(w.events, line)
-	w.mu.Unlock()
-	if w.Progressf != nil {
-		w.Progressf("%s", line)
+// logEvent adds a line to the events of the run.
+func (tb *testbed) logEvent(format string, a ...any) {
+	line := fmt.Sprintf("%5.1f s  ", time.Since(tb.startTime).Seconds()) + fmt.Sprintf(format, a...)
+	tb.mu.Lock()
+	tb.events = append(tb.events, line)
+	tb.mu.Unlock()
+	if tb.Progressf != nil {
+		tb.Progressf("%s", line)
 	}
 }
 
-func (w *testbed) record(s *record.Seen) {
+// record writes an observation to the record of the run.
+func (tb *testbed) record(s *record.Seen) {
 	if s.AtUs == 0 {
 		s.AtUs = time.Now().UnixMicro()
 	}
-	w.seen.Write(s)
+	tb.seen.Write(s)
 }
 
-// Run plays a day and audits it.
+// Run runs a scenario and audits its records.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	hooks, err := plant.Hooks(o.InjectFault)
 	if err != nil {
 		return nil, err
 	}
 	if o.InjectFault != "" && o.Binary != "" {
-		return nil, fmt.Errorf("a fault can be planted only where marshals run in this process")
+		return nil, fmt.Errorf("faults can be injected only into marshals that run in this process")
 	}
-	switch o.InjectFault { // what the fault needs to show; a marshal without it keeps the rules on such a day too
+	switch o.InjectFault { // the settings that make the fault visible; correct marshals keep the rules with them too
 	case audit.RuleForwardOnly:
 		o.Scenario.Settings.Rollout.ForwardOnly = true
 	case audit.RuleColdNodes:
@@ -160,23 +164,23 @@
 	if o.Logger == nil {
 		o.Logger = slog.New(slog.DiscardHandler)
 	}
-	w := &testbed{Options: o, rules: o.Scenario.Settings.Rules, hooks: hooks, startTime: time.Now(), builds: map[int]*settings.Build{},
-		lastNodeID: 100, delayRand: rand.New(rand.NewPCG(o.Seed, 1))}
-	w.ctx, w.cancel = context.WithCancel(ctx)
-	defer w.cancel()
+	tb := &testbed{Options: o, rules: o.Scenario.Settings.Rules, hooks: hooks, startTime: time.Now(),
+		builds: map[int]*settings.Build{}, lastNodeID: 100, delayRand: rand.New(rand.NewPCG(o.Seed, 1))}
+	tb.ctx, tb.cancel = context.WithCancel(ctx)
+	defer tb.cancel()
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
 	if err := os.WriteFile(filepath.Join(o.Dir, "settings.txtpb"), o.Scenario.Settings.Text(), 0o644); err != nil {
 		return nil, err
 	}
-	if w.seen, err = record.Create(filepath.Join(o.Dir, "day.seen"), 0); err != nil {
+	if tb.seen, err = record.Create(filepath.Join(o.Dir, "day.seen"), 0); err != nil {
 		return nil, err
 	}
-	heldUp := schedlag.Watch()
-	err = w.run()
-	w.shutdown()
-	lag := heldUp()
+	longestDelay := schedlag.Watch()
+	err = tb.run()
+	tb.shutdown()
+	schedulingDelay := longestDelay()
 	if err != nil {
 		return nil, err
 	}
@@ -184,50 +188,53 @@
 	if err != nil {
 		return nil, err
 	}
-	out := &Result{Seed: o.Seed, Report: report, Events: w.events, Dir: o.Dir, MaxSchedulingDelayMs: float64(lag.Microseconds()) / 1000}
-	_, _, _, out.Builds = w.rollout.State()
+	out := &Result{Seed: o.Seed, Report: report, Events: tb.events, Dir: o.Dir,
+		MaxSchedulingDelayMs: float64(schedulingDelay.Microseconds()) / 1000}
+	_, _, _, out.Builds = tb.rollout.State()
 	return out, nil
 }
 
-func (w *testbed) delay(plan float64, extra *atomic.Int64) func() time.Duration {
+// delay returns the random delays of a stand-in's updates: around a mean in ms, plus an extra delay.
+func (tb *testbed) delay(meanMs float64, extra *atomic.Int64) func() time.Duration {
 	return func() time.Duration {
-		w.delayMu.Lock()
-		defer w.delayMu.Unlock()
-		return time.Duration(plan*(0.5+w.delayRand.Float64())*float64(time.Millisecond)) + time.Duration(extra.Load())
+		tb.delayMu.Lock()
+		defer tb.delayMu.Unlock()
+		return time.Duration(meanMs*(0.5+tb.delayRand.Float64())*float64(time.Millisecond)) + time.Duration(extra.Load())
 	}
 }
 
-func (w *testbed) setExtraDelay(extra *atomic.Int64, d time.Duration) { extra.Store(int64(d)) }
+func (tb *testbed) setExtraDelay(extra *atomic.Int64, d time.Duration) { extra.Store(int64(d)) }
 
-func (w *testbed) run() error {
-	p := w.Scenario
-	w.registry = &standin.Roster{Lag: w.delay(p.RosterLagMs, &w.extraRegistryDelay), Seen: w.record}
-	if err := w.registry.Start("127.0.0.1:0"); err != nil {
+// run starts everything and runs the scenario to its end.
+func (tb *testbed) run() error {
+	p := tb.Scenario
+	tb.registry = &standin.Roster{Lag: tb.delay(p.RosterLagMs, &tb.extraRegistryDelay), Seen: tb.record}
+	if err := tb.registry.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
-	w.rollout = &standin.Conveyor{Rollout: p.Settings.Rollout, Lag: w.delay(p.ConveyorLagMs, &w.extraRolloutDelay),
-		Every: 2 * time.Second, Seen: w.record, Fleet: w.deployBuild, Back: w.rollBackBuild}
-	if err := w.rollout.Start("127.0.0.1:0", 1); err != nil {
+	tb.rollout = &standin.Conveyor{Rollout: p.Settings.Rollout, Lag: tb.delay(p.ConveyorLagMs, &tb.extraRolloutDelay),
+		Every: 2 * time.Second, Seen: tb.record, Fleet: tb.deployBuild, Back: tb.rollBackBuild}
+	if err := tb.rollout.Start("127.0.0.1:0", 1); err != nil {
 		return err
 	}
 	var starts sync.WaitGroup
 	errs := make(chan error, int(p.Nodes)+int(p.Marshals))
 	for i := range int(p.Nodes) {
 		s := &slot{number: i, zone: i % len(p.Settings.Zone), speed: p.Speed[i%len(p.Speed)], ver: 1, wantVer: 1}
-		w.slots = append(w.slots, s)
+		tb.slots = append(tb.slots, s)
 		starts.Go(func() {
-			if err := w.startNode(s, true); err != nil {
+			if err := tb.startNode(s, true); err != nil {
 				errs <- err
 			}
 		})
 	}
 	starts.Wait()
 	for i := range int(p.Marshals) {
-		m, err := w.newMarshal(i)
+		m, err := tb.newMarshal(i)
 		if err != nil {
 			return err
 		}
-		w.marshals = append(w.marshals, m)
+		tb.marshals = append(tb.marshals, m)
 		starts.Go(func() {
 			if err := m.start(); err != nil {
 				errs <- err
@@ -241,40 +248,40 @@
 	default:
 	}
 	time.Sleep(2 * time.Duration(p.RosterLagMs+p.ConveyorLagMs) * time.Millisecond)
-	w.startTime = time.Now()
-	w.clients = newClients(w)
-	w.scheduleScript()
-	w.clients.run(w.ctx, time.Duration(p.Seconds*float64(time.Second)))
-	return w.ctx.Err()
+	tb.startTime = time.Now()
+	tb.clients = newClients(tb)
+	tb.scheduleScript()
+	tb.clients.run(tb.ctx, time.Duration(p.Seconds*float64(time.Second)))
+	return tb.ctx.Err()
 }
 
-// scheduleScript sets the troubles and builds of the plan on their times.
-func (w *testbed) scheduleScript() {
-	for i, t := range w.Scenario.Trouble {
-		rnd := rand.New(rand.NewPCG(w.Seed, uint64(i)+100))
-		w.after(seconds(t.AtS), func() {
-			w.logEvent("%s %s begins", t.Kind, t.How)
-			end := faultKinds[t.Kind].start(w, t, rnd)
+// scheduleScript schedules the faults and builds of the scenario.
+func (tb *testbed) scheduleScript() {
+	for i, t := range tb.Scenario.Trouble {
+		rnd := rand.New(rand.NewPCG(tb.Seed, uint64(i)+100))
+		tb.after(seconds(t.AtS), func() {
+			tb.logEvent("%s %s begins", t.Kind, t.How)
+			end := faultKinds[t.Kind].start(tb, t, rnd)
 			select {
 			case <-time.After(seconds(t.ForS)):
-			case <-w.ctx.Done():
+			case <-tb.ctx.Done():
 			}
 			end()
-			w.logEvent("%s ends", t.Kind)
+			tb.logEvent("%s ends", t.Kind)
 		})
 	}
-	for i, b := range w.Scenario.Build {
+	for i, b := range tb.Scenario.Build {
 		ver := i + 2
-		w.builds[ver] = b
-		w.after(seconds(b.AtS), func() {
-			w.logEvent("build %d is offered (%s)", ver, describeBuild(b))
-			w.rollout.Offer(ver)
+		tb.builds[ver] = b
+		tb.after(seconds(b.AtS), func() {
+			tb.logEvent("build %d is offered (%s)", ver, describeBuild(b))
+			tb.rollout.Offer(ver)
 		})
 		if b.Shared > 0 {
-			w.goTask(func() { w.slowAllNodes(ver, b.Shared) })
+			tb.goTask(func() { tb.slowAllNodes(ver, b.Shared) })
 		}
 	}
-	w.goTask(w.reportBuildStats)
+	tb.goTask(tb.reportBuildStats)
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -286,239 +293,239 @@
 	return "bad: " + strings.TrimSpace(fmt.Sprint(b.Fault, " shared ", b.Shared))
 }
 
-// slowAllNodes slows all nodes in step with the traffic that a build gets.
-func (w *testbed) slowAllNodes(ver int, times float64) {
+// slowAllNodes slows all nodes in proportion to the share of slots that run a build, up to a factor.
+func (tb *testbed) slowAllNodes(ver int, factor float64) {
 	for {
 		select {
-		case <-w.ctx.Done():
+		case <-tb.ctx.Done():
 			return
 		case <-time.After(200 * time.Millisecond):
 		}
-		w.mu.Lock()
+		tb.mu.Lock()
 		var with, all float64
-		for _, s := range w.slots {
+		for _, s := range tb.slots {
 			all++
 			if s.ver == ver && !s.down {
 				with++
 			}
 		}
-		slots := slices.Clone(w.slots)
-		w.mu.Unlock()
+		slots := slices.Clone(tb.slots)
+		tb.mu.Unlock()
 		for _, s := range slots {
-			w.command(s, fmt.Sprintf("slow %g", 1+(times-1)*with/all))
+			tb.command(s, fmt.Sprintf("slow %g", 1+(factor-1)*with/all))
 		}
 	}
 }
 
-// reportBuildStats has the conveyor tell what a part of all dispatches came to.
-func (w *testbed) reportBuildStats() {
-	period := w.Scenario.Settings.Rollout.TallyMs
-	if period <= 0 || w.Binary != "" {
+// reportBuildStats has the rollout service report statistics of the dispatches to each build.
+func (tb *testbed) reportBuildStats() {
+	period := tb.Scenario.Settings.Rollout.TallyMs
+	if period <= 0 || tb.Binary != "" {
 		return
 	}
 	for {
 		select {
-		case <-w.ctx.Done():
+		case <-tb.ctx.Done():
 			return
 		case <-time.After(time.Duration(period * float64(time.Millisecond))):
 		}
-		type of struct{ ver, op int }
-		sums := map[of]standin.Count{}
-		w.mu.Lock()
-		for _, s := range w.slots {
+		type scope struct{ ver, op int }
+		sums := map[scope]standin.Count{}
+		tb.mu.Lock()
+		for _, s := range tb.slots {
 			if n, ok := s.node.(*standin.Node); ok {
 				for op, c := range n.Counts() {
-					k := of{n.Ver, op}
+					k := scope{n.Ver, op}
 					sum := sums[k]
 					sum.Samples, sum.Errors, sum.Time = sum.Samples+c.Samples, sum.Errors+c.Errors, sum.Time+c.Time
 					sums[k] = sum
 				}
 			}
 		}
-		w.mu.Unlock()
+		tb.mu.Unlock()
 		for k, c := range sums {
-			w.rollout.Tally(k.ver, k.op, c, 0)
+			tb.rollout.Tally(k.ver, k.op, c, 0)
 		}
 	}
 }
 
-// startNode runs a node on a slot and puts it on the roster; old nodes have run for a long time.
-func (w *testbed) startNode(s *slot, old bool) error {
-	w.mu.Lock()
-	if w.closed {
-		w.mu.Unlock()
+// startNode starts a node on a slot and registers it. An old node is registered as warmed up long ago.
+func (tb *testbed) startNode(s *slot, old bool) error {
+	tb.mu.Lock()
+	if tb.closed {
+		tb.mu.Unlock()
 		return nil
 	}
 	if old || s.entry.ID == 0 {
-		w.lastNodeID++
-		s.entry.ID = w.lastNodeID
+		tb.lastNodeID++
+		s.entry.ID = tb.lastNodeID
 	}
-	w.lastIncarnation++
-	set := &settings.Standin{Node: s.entry.ID, Ver: int32(s.ver), Zone: int32(s.zone), Cores: w.Scenario.Cores, Speed: s.speed,
-		Queue: 200, Seed: w.Seed + w.lastIncarnation}
+	tb.lastIncarnation++
+	set := &settings.Standin{Node: s.entry.ID, Ver: int32(s.ver), Zone: int32(s.zone), Cores: tb.Scenario.Cores, Speed: s.speed,
+		Queue: 200, Seed: tb.Seed + tb.lastIncarnation}
 	up := time.Hour
 	s.entry.Up = 0
 	if !old {
-		set.Rules, up, s.entry.Up = w.rules, 0, 1
+		set.Rules, up, s.entry.Up = tb.rules, 0, 1
 	}
-	if b := w.builds[s.ver]; b != nil {
+	if b := tb.builds[s.ver]; b != nil {
 		set.Build = b.Fault
 	}
-	inc := w.lastIncarnation
-	w.mu.Unlock()
-	n, err := w.launchNode(set)
+	inc := tb.lastIncarnation
+	tb.mu.Unlock()
+	n, err := tb.launchNode(set)
 	if err != nil {
 		return err
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
 	s.node = n
-	w.nodes = append(w.nodes, n)
-	s.entry = control.Line{Node: balance.Node{ID: set.Node, Ver: s.ver, Zone: s.zone, Size: s.speed * float64(w.Scenario.Cores)},
+	tb.nodes = append(tb.nodes, n)
+	s.entry = control.Line{Node: balance.Node{ID: set.Node, Ver: s.ver, Zone: s.zone, Size: s.speed * float64(tb.Scenario.Cores)},
 		Address: n.Address(), Incarnation: inc, Up: s.entry.Up}
-	w.registry.Set(s.entry, up)
+	tb.registry.Set(s.entry, up)
 	return nil
 }
 
-// deployBuild brings a part of the slots to a build.
-func (w *testbed) deployBuild(ver int, part float64) (ready func() bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	most := int(math.Ceil(part * float64(len(w.slots))))
-	order := rand.New(rand.NewPCG(w.Seed, 7)).Perm(len(w.slots))
-	for _, i := range order[:most] {
-		w.slots[i].wantVer = ver
-		w.replaceNode(w.slots[i])
-	}
-	some := order[:most]
+// deployBuild brings a share of the slots to a build; ready reports whether all of them run it.
+func (tb *testbed) deployBuild(ver int, share float64) (ready func() bool) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	count := int(math.Ceil(share * float64(len(tb.slots))))
+	order := rand.New(rand.NewPCG(tb.Seed, 7)).Perm(len(tb.slots))
+	for _, i := range order[:count] {
+		tb.slots[i].wantVer = ver
+		tb.replaceNode(tb.slots[i])
+	}
+	some := order[:count]
 	return func() bool {
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		return !slices.ContainsFunc(some, func(i int) bool { return w.slots[i].ver != ver || w.slots[i].replacing })
+		tb.mu.Lock()
+		defer tb.mu.Unlock()
+		return !slices.ContainsFunc(some, func(i int) bool { return tb.slots[i].ver != ver || tb.slots[i].replacing })
 	}
 }
 
-// rollBackBuild brings every slot that runs a build, or is to, back to the build released last.
-func (w *testbed) rollBackBuild(ver int) {
+// rollBackBuild brings all slots that run a build, or are to run it, back to the last released build.
+func (tb *testbed) rollBackBuild(ver int) {
 	to := 0
-	for v := range w.rollout.Released {
-		if v != ver && !w.rollout.Taken[v] {
+	for v := range tb.rollout.Released {
+		if v != ver && !tb.rollout.Taken[v] {
 			to = max(to, v)
 		}
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, s := range w.slots {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	for _, s := range tb.slots {
 		if s.wantVer == ver {
 			s.wantVer = to
-			w.replaceNode(s)
+			tb.replaceNode(s)
 		}
 	}
 }
 
-// replaceNode starts a slot's next node and then drains the one before; w.mu is held.
-func (w *testbed) replaceNode(s *slot) {
+// replaceNode starts the next node of a slot and then drains the current one; tb.mu is held.
+func (tb *testbed) replaceNode(s *slot) {
 	if s.replacing || s.wantVer == s.ver {
 		return
 	}
 	s.replacing = true
-	w.after(time.Duration(w.Scenario.StartMs)*time.Millisecond, func() {
-		w.mu.Lock()
+	tb.after(time.Duration(tb.Scenario.StartMs)*time.Millisecond, func() {
+		tb.mu.Lock()
 		if s.down {
-			s.replacing = false // it comes up as what is wanted
-			w.mu.Unlock()
+			s.replacing = false // restartNode will start the wanted build
+			tb.mu.Unlock()
 			return
 		}
-		before, line := s.node, s.entry
+		previous, entry := s.node, s.entry
 		s.ver, s.entry.ID = s.wantVer, 0
-		w.mu.Unlock()
-		if err := w.startNode(s, false); err != nil {
-			w.logEvent("%v", err)
+		tb.mu.Unlock()
+		if err := tb.startNode(s, false); err != nil {
+			tb.logEvent("%v", err)
 			return
 		}
-		line.Health = balance.Draining
-		w.registry.Set(line, 0)
-		w.after(time.Duration(w.Scenario.DrainMs)*time.Millisecond, func() {
-			line.Health = balance.Gone
-			w.registry.Set(line, 0)
-			before.Kill()
+		entry.Health = balance.Draining
+		tb.registry.Set(entry, 0)
+		tb.after(time.Duration(tb.Scenario.DrainMs)*time.Millisecond, func() {
+			entry.Health = balance.Gone
+			tb.registry.Set(entry, 0)
+			previous.Kill()
 		})
-		w.mu.Lock()
+		tb.mu.Lock()
 		s.replacing = false
-		w.replaceNode(s) // the wish may have changed meanwhile
-		w.mu.Unlock()
+		tb.replaceNode(s) // the wanted build may have changed meanwhile
+		tb.mu.Unlock()
 	})
 }
 
-func (w *testbed) allSlots() []*slot {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.slots)
+func (tb *testbed) allSlots() []*slot {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	return slices.Clone(tb.slots)
 }
 
-// pickSlots picks a part of the slots, one at least.
-func (w *testbed) pickSlots(part float64, rnd *rand.Rand) (some []*slot) {
-	all := w.allSlots()
-	for _, i := range rnd.Perm(len(all))[:min(len(all), max(1, int(part*float64(len(all))+0.5)))] {
+// pickSlots picks a random share of the slots, at least one.
+func (tb *testbed) pickSlots(share float64, rnd *rand.Rand) (some []*slot) {
+	all := tb.allSlots()
+	for _, i := range rnd.Perm(len(all))[:min(len(all), max(1, int(share*float64(len(all))+0.5)))] {
 		some = append(some, all[i])
 	}
 	return some
 }
 
-func (w *testbed) command(s *slot, line string) {
-	w.mu.Lock()
+func (tb *testbed) command(s *slot, line string) {
+	tb.mu.Lock()
 	n := s.node
-	w.mu.Unlock()
+	tb.mu.Unlock()
 	if err := n.Do(line); err != nil {
-		w.logEvent("%v", err)
+		tb.logEvent("%v", err)
 	}
 }
 
-// killNode ends a slot's node; the roster hears that its process is gone.
-func (w *testbed) killNode(s *slot) {
-	w.mu.Lock()
-	n, line := s.node, s.entry
+// killNode kills the node of a slot and reports to the registry that it is gone.
+func (tb *testbed) killNode(s *slot) {
+	tb.mu.Lock()
+	n, entry := s.node, s.entry
 	s.down = true
-	w.mu.Unlock()
+	tb.mu.Unlock()
 	n.Kill()
-	line.Health = balance.Gone
-	w.registry.Set(line, 0)
+	entry.Health = balance.Gone
+	tb.registry.Set(entry, 0)
 }
 
-// restartNode starts a killed slot's node again, cold, as the build that is wanted by now.
-func (w *testbed) restartNode(s *slot) {
-	w.mu.Lock()
+// restartNode starts a killed slot again, with a cold node of the wanted build.
+func (tb *testbed) restartNode(s *slot) {
+	tb.mu.Lock()
 	s.down = false
 	s.ver = s.wantVer
-	w.mu.Unlock()
-	if err := w.startNode(s, false); err != nil {
-		w.logEvent("%v", err)
+	tb.mu.Unlock()
+	if err := tb.startNode(s, false); err != nil {
+		tb.logEvent("%v", err)
 	}
 }
 
-// shutdown ends everything, in the order in which nothing hangs.
-func (w *testbed) shutdown() {
-	w.cancel()
-	w.tasks.closeAndWait()
-	for _, m := range w.marshals {
+// shutdown stops everything, in an order in which nothing waits for what has been stopped already.
+func (tb *testbed) shutdown() {
+	tb.cancel()
+	tb.tasks.closeAndWait()
+	for _, m := range tb.marshals {
 		m.shutdown()
 		m.reservation.Release()
 	}
-	if w.clients != nil {
-		w.clients.closeIdle()
+	if tb.clients != nil {
+		tb.clients.closeIdle()
 	}
-	w.mu.Lock()
-	w.closed = true
-	all := slices.Clone(w.nodes)
-	w.mu.Unlock()
+	tb.mu.Lock()
+	tb.closed = true
+	all := slices.Clone(tb.nodes)
+	tb.mu.Unlock()
 	for _, n := range all {
 		n.Kill()
 	}
-	if w.rollout != nil {
-		w.rollout.Close()
+	if tb.rollout != nil {
+		tb.rollout.Close()
 	}
-	if w.registry != nil {
-		w.registry.Close()
+	if tb.registry != nil {
+		tb.registry.Close()
 	}
-	w.seen.Close()
+	tb.seen.Close()
 }
