--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -1,4 +1,4 @@
-// Package measure sets a marshal beside a plain reverse proxy and beside no proxy at all: the same nodes, the same
+// Package measure compares a marshal with a plain reverse proxy and with direct connections. All get the same nodes and
 // clients, one after the other in one run.
 package measure
 
@@ -32,33 +32,33 @@
 	"arrowcleat/internal/standin"
 )
 
-// Options is what is measured.
+// Options are the options of a measurement.
 type Options struct {
-	Binary       string // this program, started again as what is measured
-	Dir          string
+	Binary       string // this program, which is started again as each target
+	Dir          string // for the settings file of the marshal
 	Settings     *settings.Settings
 	Nodes        int
-	Clients      int           // connections that ask one invocation after the other
-	RatePerS     float64       // invocations a second of the open loop
-	LoopDuration time.Duration // of each of the two
-	IdleConns    int           // connections whose memory is weighed
-	GoMaxProcs   int           // GOMAXPROCS of what is measured
+	Clients      int           // connections of the closed loop
+	RatePerS     float64       // invocations per second of the open loop
+	LoopDuration time.Duration // of each of the two loops
+	IdleConns    int           // connections for the measurement of memory
+	GoMaxProcs   int           // GOMAXPROCS of the target
 }
 
-// Result is what one way came to.
+// Result is what was measured of one target.
 type Result struct {
 	Target               string
 	InvocationsPerS      float64 // closed loop
-	InvocationsPerCPUS   float64 // invocations for each second of the way's CPU; 0 where it has none
-	P50Ms, P99Ms, P999Ms float64 // ms from when an invocation was due, open loop
+	InvocationsPerCPUS   float64 // invocations per CPU second of the target; 0 for direct connections
+	P50Ms, P99Ms, P999Ms float64 // latency from the scheduled send time, open loop
 	LateSends            int64   // invocations that the open loop sent over 1 ms late
 	KiBPerConn           float64
-	TargetCPUs, LoadCPUs float64 // processors that the way used in the closed loop, and that load and nodes did
-	Failed               int64   // answers other than 200
+	TargetCPUs, LoadCPUs float64 // processors used in the closed loop: by the target, and by clients and nodes
+	Failed               int64   // answers with a status other than 200
 	ClosedSuccesses      int64
 }
 
-// Run measures each way in turn.
+// Run measures direct connections and then each target.
 func Run(ctx context.Context, o Options) ([]Result, error) {
 	nodes, err := startNodes(o.Nodes)
 	if err != nil {
@@ -86,13 +86,13 @@
 	return rows, nil
 }
 
-// targets are what is measured beside going direct.
+// targets are what is measured besides direct connections.
 var targets = []struct {
 	name  string
 	start func(Options, *nodeSet) (*child, error)
 }{{"reverse proxy", startProxy}, {"marshal", startMarshal}}
 
-// nodeSet are stand-ins that answer at once: what is measured is the way, not they.
+// nodeSet holds stand-in nodes that answer at once, so that the target is measured and not the nodes.
 type nodeSet struct {
 	addresses []string
 	listeners []net.Listener
@@ -126,8 +126,10 @@
 	}
 }
 
+// cannedResponse is the answer of all nodes.
 var cannedResponse = []byte("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\nContent-Length: 64\r\n\r\n" + strings.Repeat("a", 64))
 
+// serveCanned answers each request on a connection with cannedResponse.
 func serveCanned(c net.Conn) {
 	defer c.Close()
 	r := bufio.NewReader(c)
@@ -144,6 +146,7 @@
 	}
 }
 
+// request is the invocation that all clients send.
 const request = "GET /slots/1 HTTP/1.1\r\nHost: x\r\nUser-Agent: measure\r\nAccept: */*\r\n\r\n"
 
 // exchange sends an invocation on a connection and reads its answer.
@@ -161,7 +164,7 @@
 
 func (o Options) measureTarget(ctx context.Context, name string, addresses []string, c *child) (Result, error) {
 	row := Result{Target: name}
-	if c != nil { // before the load, whose memory would be used again
+	if c != nil { // before the load, since connections would reuse memory that it has left
 		before := c.rssKiB()
 		conns, err := o.openIdle(addresses[0])
 		row.KiBPerConn = (c.rssKiB() - before) / float64(o.IdleConns)
@@ -175,9 +178,9 @@
 	return row, o.runLoops(ctx, addresses, c, &row)
 }
 
-// runLoops measures the closed loop and then the open one.
+// runLoops runs the closed loop, after a warm-up, and then the open loop.
 func (o Options) runLoops(ctx context.Context, addresses []string, c *child, row *Result) error {
-	if err := o.closedLoop(ctx, addresses, o.LoopDuration/3, &Result{}); err != nil { // warm
+	if err := o.closedLoop(ctx, addresses, o.LoopDuration/3, &Result{}); err != nil { // warm-up
 		return err
 	}
 	start, targetCPU, ownCPU := time.Now(), c.cpuSeconds(), ownCPUSeconds()
@@ -192,7 +195,7 @@
 	return o.openLoop(ctx, addresses, row)
 }
 
-// closedLoop has each client ask as soon as it is answered.
+// closedLoop runs clients that send the next invocation as soon as the last one is answered.
 func (o Options) closedLoop(ctx context.Context, addresses []string, length time.Duration, row *Result) error {
 	var done, failed atomic.Int64
 	start := time.Now()
@@ -215,7 +218,7 @@
 	return err
 }
 
-// runClients runs as many clients at once, each on a connection of its own, and gives the first error.
+// runClients runs clients concurrently, each on a connection of its own, and returns the first error.
 func runClients(clients int, addresses []string, each func(net.Conn, *bufio.Reader) error) error {
 	var wg sync.WaitGroup
 	errs := make(chan error, clients)
@@ -240,11 +243,11 @@
 	}
 }
 
-// openLoop asks at a steady rate, whoever is answered; times count from when each was due.
+// openLoop sends at a steady rate, independent of answers. Latencies count from the scheduled send times.
 func (o Options) openLoop(ctx context.Context, addresses []string, row *Result) error {
 	count := int(o.RatePerS * o.LoopDuration.Seconds())
 	due := make(chan time.Time, count)
-	h := hdrhistogram.New(1, 60_000_000, 3)
+	latencies := hdrhistogram.New(1, 60_000_000, 3)
 	var mu sync.Mutex
 	var lateSends atomic.Int64
 	ended := make(chan error, 1)
@@ -257,9 +260,9 @@
 				if _, err := exchange(c, r); err != nil {
 					return err
 				}
-				took := time.Since(dueAt).Microseconds()
+				latencyUs := time.Since(dueAt).Microseconds()
 				mu.Lock()
-				h.RecordValue(max(1, took))
+				latencies.RecordValue(max(1, latencyUs))
 				mu.Unlock()
 			}
 			return nil
@@ -267,23 +270,24 @@
 	}()
 	start := time.Now()
 	for i := range count {
-		at := start.Add(time.Duration(float64(i) / o.RatePerS * float64(time.Second)))
-		if wait := time.Until(at); wait > 0 {
+		dueAt := start.Add(time.Duration(float64(i) / o.RatePerS * float64(time.Second)))
+		if wait := time.Until(dueAt); wait > 0 {
 			time.Sleep(wait)
 		}
 		if ctx.Err() != nil {
 			break
 		}
-		due <- at
+		due <- dueAt
 	}
 	close(due)
 	err := <-ended
 	row.LateSends = lateSends.Load()
-	row.P50Ms, row.P99Ms, row.P999Ms = float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000, float64(h.ValueAtQuantile(99.9))/1000
+	row.P50Ms, row.P99Ms, row.P999Ms = float64(latencies.ValueAtQuantile(50))/1000, float64(latencies.ValueAtQuantile(99))/1000,
+		float64(latencies.ValueAtQuantile(99.9))/1000
 	return err
 }
 
-// openIdle opens connections that have each asked once.
+// openIdle opens idle connections that have each sent one invocation.
 func (o Options) openIdle(address string) (conns []net.Conn, err error) {
 	for range o.IdleConns {
 		c, err := net.Dial("tcp", address)
@@ -298,7 +302,7 @@
 	return conns, nil
 }
 
-// child is what is measured, a process of its own.
+// child is the process of a target.
 type child struct {
 	cmd      *exec.Cmd
 	stdin    io.Closer
@@ -325,7 +329,7 @@
 	line, err := bufio.NewReader(out).ReadString('\n')
 	if err != nil {
 		c.stop()
-		return nil, errors.New("it printed no address")
+		return nil, errors.New("process printed no address")
 	}
 	c.address = strings.TrimSpace(line)
 	return c, nil
@@ -347,7 +351,7 @@
 	}
 }
 
-// cpuSeconds is the seconds of processor that the process has used; field 14 and 15 of proc(5)'s stat, in ticks of 10 ms.
+// cpuSeconds returns the CPU time that the process has used: fields 14 and 15 of stat, see proc(5), in ticks of 10 ms.
 func (c *child) cpuSeconds() float64 {
 	if c == nil {
 		return 0
@@ -365,7 +369,7 @@
 	return (user + system) / 100
 }
 
-// rssKiB is the memory that the process has resident, in KiB.
+// rssKiB returns the resident memory of the process.
 func (c *child) rssKiB() float64 {
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", c.cmd.Process.Pid))
 	if err != nil {
@@ -401,11 +405,12 @@
 		return nil, err
 	}
 	c.registry = r
-	time.Sleep(300 * time.Millisecond) // until it has its list
+	time.Sleep(300 * time.Millisecond) // until it has received the node list
 	return c, nil
 }
 
-// Proxy serves as a plain reverse proxy with random choice until its input ends: net/http/httputil's own.
+// Proxy runs net/http/httputil's reverse proxy with a random node for each request. It prints its address on out and
+// stops when in ends.
 func Proxy(addresses []string, in io.Reader, out io.Writer) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
