--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -231,7 +231,8 @@
 		c.assignID(&next)
 		next.marshal = c.rnd.IntN(len(c.pools))
 		c.mu.Unlock()
-		next.retriesLeft, next.attempt, next.timeLimit, next.leaveAfter = v.retriesLeft-1, v.attempt+1, min(v.timeLimit, remaining), 0
+		next.retriesLeft, next.attempt, next.timeLimit, next.leaveAfter =
+			v.retriesLeft-1, v.attempt+1, min(v.timeLimit, remaining), 0
 		v = &next
 	}
 }
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -46,10 +46,11 @@
 		t.Fatal(err)
 	}
 	if !out.Clean() || out.Invocations < 500 || out.Succeeded < out.Invocations/2 || out.Repeats == 0 {
-		t.Errorf("%d accepted, %d succeeded, %d repeats, rules broken %v: %v", out.Invocations, out.Succeeded, out.Repeats, out.RulesBroken,
-			out.Examples)
+		t.Errorf("%d accepted, %d succeeded, %d repeats, rules broken %v: %v", out.Invocations, out.Succeeded, out.Repeats,
+			out.RulesBroken, out.Examples)
 	}
-	for _, rule := range []string{audit.RuleAnswered, audit.RuleEffects, audit.RuleOneInFlight, audit.RuleDrain, audit.RuleColdNodes, audit.RuleExposure, audit.RuleForwardOnly} {
+	for _, rule := range []string{audit.RuleAnswered, audit.RuleEffects, audit.RuleOneInFlight, audit.RuleDrain, audit.RuleColdNodes,
+		audit.RuleExposure, audit.RuleForwardOnly} {
 		if out.Checked[rule] == 0 {
 			t.Errorf("rule %s was never checked", rule)
 		}
@@ -90,7 +91,8 @@
 			d.Build = []*settings.Build{{AtS: 0.5, Fault: &settings.Fault{Errors: 0.7}}}
 			d.Trouble = []*settings.Trouble{{Kind: "conveyor_down", AtS: 1.5, ForS: 3, How: "stale", Extra: 0.6}}
 		}, func(o *Result) bool {
-			return o.Checked[audit.RuleForwardOnly] > 0 && slices.ContainsFunc(o.Builds, func(b string) bool { return strings.Contains(b, "sent back") })
+			return o.Checked[audit.RuleForwardOnly] > 0 &&
+				slices.ContainsFunc(o.Builds, func(b string) bool { return strings.Contains(b, "sent back") })
 		}},
 		"marshals stall beyond their clients' time limits": {func(d *settings.Day) {
 			d.Trouble = []*settings.Trouble{{Kind: "marshal_stall", AtS: 1, ForS: 3.5, Part: 1, Size: 1300, Extra: 1}}
@@ -105,8 +107,8 @@
 				t.Fatal(err)
 			}
 			if !out.Clean() || !c.occurred(out) {
-				t.Errorf("accepted %d, succeeded %d, not accepted %d, checked %v, builds %v, scheduling delay %v ms, rules broken %v: %v", out.Invocations,
-					out.Succeeded, out.NotAccepted, out.Checked, out.Builds, out.MaxSchedulingDelayMs, out.RulesBroken, out.Examples)
+				t.Errorf("accepted %d, succeeded %d, not accepted %d, checked %v, builds %v, scheduling delay %v ms, rules broken %v: %v",
+					out.Invocations, out.Succeeded, out.NotAccepted, out.Checked, out.Builds, out.MaxSchedulingDelayMs, out.RulesBroken, out.Examples)
 			}
 		})
 	}
@@ -127,8 +129,8 @@
 			}
 			found := slices.Contains(out.RulesBroken, rule) || rule == "twice" && out.AnsweredTwice > 0
 			if out.Clean() || !found {
-				t.Errorf("fault not found: rules broken %v, checked %v, answered twice %d, scheduling delay %v ms", out.RulesBroken, out.Checked,
-					out.AnsweredTwice, out.MaxSchedulingDelayMs)
+				t.Errorf("fault not found: rules broken %v, checked %v, answered twice %d, scheduling delay %v ms", out.RulesBroken,
+					out.Checked, out.AnsweredTwice, out.MaxSchedulingDelayMs)
 			}
 		})
 	}
