--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -128,8 +128,8 @@
 func CheckWithBounds(set *settings.Settings, bounds Bounds, seen []*record.Seen) *Report {
 	slices.SortStableFunc(seen, func(a, b *record.Seen) int { return cmp.Compare(a.AtUs, b.AtUs) })
 	a := &auditor{set: set, bounds: bounds, byID: map[string]*invocation{}, marshals: map[int64]*marshal{},
-		nodeEndsUs: map[uint32][]int64{}, Report: Report{Checked: map[string]int{}, Violations: map[string]int{}, RulesBroken: []string{},
-			Examples: []string{}, answerTimesUs: map[int][]int64{}}}
+		nodeEndsUs: map[uint32][]int64{}, Report: Report{Checked: map[string]int{}, Violations: map[string]int{},
+			RulesBroken: []string{}, Examples: []string{}, answerTimesUs: map[int][]int64{}}}
 	for _, s := range seen {
 		a.add(s)
 	}
@@ -490,17 +490,17 @@
 		if lowerCapGraceMs == 0 {
 			lowerCapGraceMs = a.set.Rules.GraceMs
 		}
-		w := &exposureCheck{a: a, m: m, number: number, graceUs: int64(a.set.Rules.GraceMs * 1000),
+		c := &exposureCheck{auditor: a, marshal: m, number: number, graceUs: int64(a.set.Rules.GraceMs * 1000),
 			lowerCapGraceUs: int64(lowerCapGraceMs * 1000), windowUs: int64(a.set.Rollout.CountedOverMs * 1000),
 			perOperation: a.set.Rollout.CapScope == "each-operation"}
-		w.check()
+		c.check()
 	}
 }
 
 // exposureCheck checks the traffic of one marshal to trial builds.
 type exposureCheck struct {
-	a                 *auditor
-	m                 *marshal
+	auditor           *auditor
+	marshal           *marshal
 	number            int64
 	graceUs, windowUs int64
 	lowerCapGraceUs   int64 // time after which a lowered cap must be kept
@@ -509,13 +509,13 @@
 
 // lastStageUpdate returns the last stage update that the marshal had received by a time, and its index, or -1 and nil if
 // it had received none since its last start.
-func (w *exposureCheck) lastStageUpdate(atUs int64) (n int, s *record.Seen) {
-	n = sort.Search(len(w.m.stageUpdates), func(i int) bool { return w.m.stageUpdates[i].AtUs > atUs })
+func (c *exposureCheck) lastStageUpdate(atUs int64) (n int, s *record.Seen) {
+	n = sort.Search(len(c.marshal.stageUpdates), func(i int) bool { return c.marshal.stageUpdates[i].AtUs > atUs })
 	if n == 0 {
 		return -1, nil
 	}
-	s = w.m.stageUpdates[n-1]
-	if anyBetween(w.m.startsUs, s.AtUs, atUs) {
+	s = c.marshal.stageUpdates[n-1]
+	if anyBetween(c.marshal.startsUs, s.AtUs, atUs) {
 		return -1, nil // received before the restart
 	}
 	return n - 1, s
@@ -523,25 +523,25 @@
 
 // trialState returns the stage and cap that apply to a build at a time; onTrial is false if the build has no cap. Where
 // sinceUs is not 0, only dispatches after it count.
-func (w *exposureCheck) trialState(ver, atUs int64) (stage int64, cap float64, sinceUs int64, onTrial bool) {
-	n, s := w.lastStageUpdate(atUs)
+func (c *exposureCheck) trialState(ver, atUs int64) (stage int64, cap float64, sinceUs int64, onTrial bool) {
+	n, s := c.lastStageUpdate(atUs)
 	if s == nil { // no update since the start: every build but the oldest that serves may be on trial
-		if ver <= w.oldestBuild(atUs) {
+		if ver <= c.oldestBuild(atUs) {
 			return 0, 1, 0, false
 		}
-		return 0, w.a.set.Rollout.Stage[0].Cap, w.startUs(atUs), true
+		return 0, c.auditor.set.Rollout.Stage[0].Cap, c.startUs(atUs), true
 	}
 	switch {
 	case ver > s.Ver:
-		return 0, w.a.set.Rollout.Stage[0].Cap, 0, true
+		return 0, c.auditor.set.Rollout.Stage[0].Cap, 0, true
 	case ver < s.Ver || balance.Phase(s.Phase) == balance.Released:
 		return 0, 1, 0, false
 	}
 	stage, cap = s.Stage, s.Cap
 	// A lowered cap takes effect after its grace period, and only dispatches after that count.
-	for ; n >= 0 && atUs-w.m.stageUpdates[n].AtUs <= w.windowUs+w.lowerCapGraceUs+skewUs; n-- {
-		if earlier := w.m.stageUpdates[n]; earlier.Ver == ver && earlier.Cap > cap {
-			loweredUs := w.m.stageUpdates[n+1].AtUs + w.lowerCapGraceUs + skewUs
+	for ; n >= 0 && atUs-c.marshal.stageUpdates[n].AtUs <= c.windowUs+c.lowerCapGraceUs+skewUs; n-- {
+		if earlier := c.marshal.stageUpdates[n]; earlier.Ver == ver && earlier.Cap > cap {
+			loweredUs := c.marshal.stageUpdates[n+1].AtUs + c.lowerCapGraceUs + skewUs
 			if atUs <= loweredUs {
 				return stage, earlier.Cap, 0, true
 			}
@@ -552,19 +552,19 @@
 }
 
 // startUs returns when the marshal was last started before a time.
-func (w *exposureCheck) startUs(atUs int64) int64 {
-	n := sort.Search(len(w.m.startsUs), func(i int) bool { return w.m.startsUs[i] > atUs })
+func (c *exposureCheck) startUs(atUs int64) int64 {
+	n := sort.Search(len(c.marshal.startsUs), func(i int) bool { return c.marshal.startsUs[i] > atUs })
 	if n == 0 {
 		return 0
 	}
-	return w.m.startsUs[n-1]
+	return c.marshal.startsUs[n-1]
 }
 
 // oldestBuild returns the oldest build among the nodes that were serving by the marshal's last updates at a time. Updates
 // from before a restart count too: the marshal saves its list on disk.
-func (w *exposureCheck) oldestBuild(atUs int64) int64 {
+func (c *exposureCheck) oldestBuild(atUs int64) int64 {
 	oldest := int64(1) << 40
-	for _, updates := range w.m.nodeUpdates {
+	for _, updates := range c.marshal.nodeUpdates {
 		if n := sort.Search(len(updates), func(i int) bool { return updates[i].AtUs > atUs }); n > 0 && updates[n-1].Text == "serving" {
 			oldest = min(oldest, updates[n-1].Ver)
 		}
@@ -572,59 +572,60 @@
 	return oldest
 }
 
-func (w *exposureCheck) check() {
-	r := w.a.set.Rollout
+func (c *exposureCheck) check() {
+	rollout := c.auditor.set.Rollout
 	type scope struct{ ver, op int64 }
 	sentUs := map[scope][]int64{}
-	for _, d := range w.m.dispatches {
-		stage, cap, sinceUs, onTrial := w.trialState(d.Ver, d.AtUs)
+	for _, d := range c.marshal.dispatches {
+		stage, cap, sinceUs, onTrial := c.trialState(d.Ver, d.AtUs)
 		s := scope{d.Ver, -1}
-		if w.perOperation {
+		if c.perOperation {
 			s.op = d.Op
 		}
 		sentUs[s] = append(sentUs[s], d.AtUs)
 		if !onTrial {
 			continue
 		}
-		w.a.Checked[RuleExposure]++
-		if uint32(stage) < r.Shielded && int(d.Op) < len(w.a.set.Operation) {
-			if o := w.a.set.Operation[d.Op]; o.Repeat != settings.Repeat_IDEMPOTENT {
-				w.a.violated(RuleExposure, "%s (%s) went to build %d in the shielded stage %d", d.Inv, o.Name, d.Ver, stage)
+		c.auditor.Checked[RuleExposure]++
+		if uint32(stage) < rollout.Shielded && int(d.Op) < len(c.auditor.set.Operation) {
+			if o := c.auditor.set.Operation[d.Op]; o.Repeat != settings.Repeat_IDEMPOTENT {
+				c.auditor.violated(RuleExposure, "%s (%s) went to build %d in the shielded stage %d", d.Inv, o.Name, d.Ver, stage)
 			}
 		}
 		if cap == 0 {
-			if sinceUs > 0 || w.zeroBeyondGrace(d) {
-				w.a.violated(RuleExposure, "marshal %d sent %s to build %d, whose cap is 0", w.number, d.Inv, d.Ver)
+			if sinceUs > 0 || c.zeroBeyondGrace(d) {
+				c.auditor.violated(RuleExposure, "marshal %d sent %s to build %d, whose cap is 0", c.number, d.Inv, d.Ver)
 			}
 			continue
 		}
-		fromUs := max(d.AtUs-w.windowUs+skewUs, sinceUs)
+		fromUs := max(d.AtUs-c.windowUs+skewUs, sinceUs)
 		all := sentUs[s]
 		count := len(all) - sort.Search(len(all), func(i int) bool { return all[i] > fromUs })
-		accepted := w.acceptedBetween(d.AtUs-w.windowUs-skewUs, d.AtUs, s.op)
-		limit := r.Allowance + cap*float64(accepted)
-		limit += w.a.bounds.ExtraAttempts + w.a.bounds.ExtraAttemptsShare*limit
+		accepted := c.acceptedBetween(d.AtUs-c.windowUs-skewUs, d.AtUs, s.op)
+		limit := rollout.Allowance + cap*float64(accepted)
+		limit += c.auditor.bounds.ExtraAttempts + c.auditor.bounds.ExtraAttemptsShare*limit
 		if float64(count) > limit {
-			w.a.violated(RuleExposure, "marshal %d sent %d dispatches to build %d in %d ms; %d accepted at a cap of %g allow %.1f", w.number,
-				count, d.Ver, w.windowUs/1000, accepted, cap, limit)
+			c.auditor.violated(RuleExposure, "marshal %d sent %d dispatches to build %d in %d ms; %d accepted at a cap of %g allow %.1f",
+				c.number, count, d.Ver, c.windowUs/1000, accepted, cap, limit)
 		}
 	}
 }
 
 // zeroBeyondGrace reports whether the cap had been 0 for longer than the grace period when d was sent.
-func (w *exposureCheck) zeroBeyondGrace(d *dispatch) bool {
-	n, s := w.lastStageUpdate(d.AtUs)
-	for n > 0 && w.m.stageUpdates[n-1].Ver == s.Ver && w.m.stageUpdates[n-1].Cap == 0 {
+func (c *exposureCheck) zeroBeyondGrace(d *dispatch) bool {
+	n, s := c.lastStageUpdate(d.AtUs)
+	for n > 0 && c.marshal.stageUpdates[n-1].Ver == s.Ver && c.marshal.stageUpdates[n-1].Cap == 0 {
 		n--
-		s = w.m.stageUpdates[n]
+		s = c.marshal.stageUpdates[n]
 	}
-	return s != nil && d.AtUs-s.AtUs > w.lowerCapGraceUs+skewUs
+	return s != nil && d.AtUs-s.AtUs > c.lowerCapGraceUs+skewUs
 }
 
 // acceptedBetween counts the invocations of an operation, or of all with op -1, that the marshal accepted in a time span.
-func (w *exposureCheck) acceptedBetween(fromUs, toUs, op int64) (count int) {
-	accepted := w.m.accepted
-	for k := sort.Search(len(accepted), func(i int) bool { return accepted[i].AtUs > fromUs }); k < len(accepted) && accepted[k].AtUs <= toUs; k++ {
+func (c *exposureCheck) acceptedBetween(fromUs, toUs, op int64) (count int) {
+	accepted := c.marshal.accepted
+	for k := sort.Search(len(accepted), func(i int) bool { return accepted[i].AtUs > fromUs }); k < len(accepted) &&
+		accepted[k].AtUs <= toUs; k++ {
 		if op < 0 || accepted[k].Op == op {
 			count++
 		}
@@ -638,7 +639,7 @@
 		return
 	}
 	for number, m := range a.marshals {
-		w := &exposureCheck{a: a, m: m, number: number}
+		c := &exposureCheck{auditor: a, marshal: m, number: number}
 		type binding struct {
 			ver, atUs int64
 		}
@@ -661,7 +662,7 @@
 			if !ok || d.Key == "" || anyBetween(m.startsUs, b.atUs, d.AtUs) {
 				continue
 			}
-			_, s := w.lastStageUpdate(d.AtUs)
+			_, s := c.lastStageUpdate(d.AtUs)
 			if s == nil || s.Ver != b.ver || s.Phase != int64(balance.OnTrial) && s.Phase != int64(balance.Released) {
 				continue
 			}
