--- a/cmd/arrowcleat/day.go
+++ b/cmd/arrowcleat/day.go
@@ -46,15 +46,15 @@
   arrowcleat day --plant drain        # injects this fault into the marshals: must be detected, exit code 1`,
 		Args: noArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
-			plan := day.Default()
+			plan := day.DefaultScenario()
 			var err error
 			switch {
 			case file != "":
-				plan, err = day.Load(file)
+				plan, err = day.LoadScenario(file)
 			case like != "":
-				plan, err = day.Like(like)
+				plan, err = day.LoadBenchScenario(like)
 			case trouble != "":
-				plan, err = day.With(trouble)
+				plan, err = day.DefaultWithFault(trouble)
 			}
 			if err != nil {
 				return badInput{err}
@@ -74,16 +74,16 @@
 				}
 				defer os.RemoveAll(dir)
 			}
-			o := day.Options{Plan: plan, Seed: seed, Dir: dir, Plant: fault, Record: recording}
+			o := day.Options{Scenario: plan, Seed: seed, Dir: dir, InjectFault: fault, RecordModules: recording}
 			if processes {
 				if o.Binary, err = os.Executable(); err != nil {
 					return err
 				}
 			}
 			var levelVar slog.LevelVar
-			o.Log = newLogger(os.Stderr, &settings.Log{Level: level, Form: "text"}, &levelVar)
+			o.Logger = newLogger(os.Stderr, &settings.Log{Level: level, Form: "text"}, &levelVar)
 			if !asJSON && !quiet {
-				o.Say = func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }
+				o.Progressf = func(format string, a ...any) { fmt.Fprintf(c.OutOrStdout(), format+"\n", a...) }
 			}
 			ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 			defer stop()
@@ -109,7 +109,7 @@
 	f := c.Flags()
 	f.StringVar(&file, "plan", "", "file with a scenario, protobuf text format (docs/days.md)")
 	f.StringVar(&like, "like", "", "file with a scenario that the bench drew or found: runs its faults at a size for this machine")
-	f.StringVar(&trouble, "trouble", "", "inject only faults of this kind: "+strings.Join(day.Kinds(), ", "))
+	f.StringVar(&trouble, "trouble", "", "inject only faults of this kind: "+strings.Join(day.FaultKinds(), ", "))
 	f.Uint64Var(&seed, "seed", 1, "seed of all random choices")
 	f.Uint32Var(&cores, "cores", 0, "module instances in each marshal (default: as in the scenario)")
 	f.Uint32Var(&nodes, "nodes", 0, "number of stand-in nodes (default: as in the scenario)")
@@ -127,7 +127,7 @@
 }
 
 // printOutcome prints the builds, the response times by operation and the checked rules.
-func printOutcome(c *cobra.Command, plan *settings.Day, out *day.Outcome) {
+func printOutcome(c *cobra.Command, plan *settings.Day, out *day.Result) {
 	w := c.OutOrStdout()
 	fmt.Fprintf(w, "\nseed %d\n", out.Seed)
 	for _, b := range out.Builds {
@@ -135,11 +135,11 @@
 	}
 	fmt.Fprintf(w, "\n%-14s %9s %9s %9s   ms until the answer, of succeeded invocations\n", "operation", "p50", "p99", "p99.9")
 	for i, o := range plan.Settings.Operation {
-		times := out.Took(i, 0.5, 0.99, 0.999)
+		times := out.AnswerTimes(i, 0.5, 0.99, 0.999)
 		fmt.Fprintf(w, "%-14s %9.1f %9.1f %9.1f\n", o.Name, times[0], times[1], times[2])
 	}
 	fmt.Fprintln(w)
-	out.Table(w)
+	out.WriteTable(w)
 }
 
 // auditCommand returns the command that checks the rules from the records of a scenario.
@@ -152,7 +152,7 @@
 them alone. Exit code 0: no rule was broken; 1: a rule was broken; 2: the folder can't be read.`,
 		Args: oneFile,
 		RunE: func(c *cobra.Command, args []string) error {
-			r, err := audit.Dir(args[0])
+			r, err := audit.CheckDir(args[0])
 			if err != nil {
 				return badInput{err}
 			}
@@ -163,7 +163,7 @@
 				}
 				fmt.Fprintln(c.OutOrStdout(), string(b))
 			} else {
-				r.Table(c.OutOrStdout())
+				r.WriteTable(c.OutOrStdout())
 			}
 			if !r.Clean() {
 				return errRulesBroken
@@ -197,13 +197,13 @@
 				return badInput{fmt.Errorf("%s: %w", args[0], err)}
 			}
 			torn := ""
-			if out.Torn {
+			if out.Truncated {
 				torn = ", last entry incomplete"
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%d events, %d calls%s\n", out.Events, out.Calls, torn)
-			if out.Different != "" {
-				return fmt.Errorf("the first different decision is at event %d (clock %.3f ms): %s", out.AtEvent, out.At,
-					out.Different)
+			if out.FirstDifference != "" {
+				return fmt.Errorf("the first different decision is at event %d (clock %.3f ms): %s", out.EventNumber, out.ClockMs,
+					out.FirstDifference)
 			}
 			fmt.Fprintln(c.OutOrStdout(), "all decisions are the same")
 			return nil
--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -1,5 +1,6 @@
-// Package audit checks the rules of a day from what passed on the sockets of clients, nodes, roster and conveyor.
-// It knows nothing of what a marshal says of itself.
+// Package audit checks the rules that marshals must keep, from the records of a test run or of a soak. The records hold
+// what clients, nodes, the service registry and the rollout service observed on their sockets. Nothing that a marshal
+// reports about itself is used.
 package audit
 
 import (
@@ -15,81 +16,87 @@
 	"arrowcleat/internal/settings"
 )
 
-// The rules, in the order of the brief's; the fourth is the limit on copies that are out at once.
+// The rules, in the order of the project's requirements. RuleOneInFlight is the limit on concurrent copies.
 const (
-	Answered = "answered" // one final answer in the client's time, and nothing after it
-	Effects  = "effects"  // no effect twice
-	OneOut   = "one-out"  // at most one dispatch of an invocation out
-	Drain    = "drain"    // nothing new to a node that drains or is gone
-	Cold     = "cold"     // no cold node pushed over
-	Exposure = "exposure" // builds on trial within their caps
-	Forward  = "forward"  // keys that may only go forward
+	RuleAnswered    = "answered" // exactly one final answer within the client's time limit, and nothing after it
+	RuleEffects     = "effects"  // no effect happens twice
+	RuleOneInFlight = "one-out"  // at most one dispatch of an invocation in flight
+	RuleDrain       = "drain"    // no new dispatches to nodes that are draining or gone
+	RuleColdNodes   = "cold"     // no node overloaded while warming up
+	RuleExposure    = "exposure" // traffic to trial builds stays within their caps
+	RuleForwardOnly = "forward"  // a key never returns to an earlier build
 )
 
-// Rules lists them.
-var Rules = []string{Answered, Effects, OneOut, Drain, Cold, Exposure, Forward}
+// Rules lists the rules that are always checked.
+var Rules = []string{RuleAnswered, RuleEffects, RuleOneInFlight, RuleDrain, RuleColdNodes, RuleExposure, RuleForwardOnly}
 
-// The rules that only the operators' platform has; checked where Bounds say so.
+// The rules that only the operators' platform has. They are checked where Bounds ask for it.
 const (
-	Budget = "budget" // the time that a node is told is no more than what its client has left
-	Gone   = "gone"   // nothing begins for a client that has left
+	RuleTimeBudget = "budget" // the time limit passed to a node is within what its client has left
+	RuleClientGone = "gone"   // no dispatch starts for a client that has disconnected
 )
 
-// Bounds are what a platform's protocol says beyond the settings. The zero Bounds are the project's own protocol.
+// Bounds are tolerances and rules of a platform's protocol that the settings do not contain. The zero value stands for
+// the project's own protocol.
 type Bounds struct {
-	LowerCap    float64 // ms after which a lower cap binds; 0: the settings' grace
-	SpareSends  float64 // attempts over the cap that pass
-	SparePart   float64 // and the part of what the cap allows
-	ToldMs      float64 // slack on the time that a node is told; 0: not checked
-	GoneMs      float64 // after which nothing begins for a client that has left; 0: not checked
-	StopMs      float64 // after the word to stop, from which on what a kill leaves unanswered counts as lost; 0: never
-	ResendAtEnd bool    // clients send again what crosses the end of a connection: no other loss at a stop is forgiven
-}
-
-// Report is what an audit found.
+	LowerCapGraceMs    float64 // time after which a lowered cap must be kept; 0: grace_ms of the settings
+	ExtraAttempts      float64 // dispatches allowed above the cap
+	ExtraAttemptsShare float64 // further dispatches allowed, as a share of what the cap allows
+	TimeLimitSlackMs   float64 // tolerance of RuleTimeBudget; 0: not checked
+	ClientGoneGraceMs  float64 // tolerance of RuleClientGone; 0: not checked
+	// StopGraceMs is how long after the signal to stop an invocation may still be lost to a kill. One that arrives later
+	// and gets no answer counts as unanswered. 0: a kill excuses every loss.
+	StopGraceMs float64
+	// ResendOnClose says that clients send a request again if its connection was closed while it was under way. Any other
+	// loss when a marshal stops is then a violation.
+	ResendOnClose bool
+}
+
+// Report is the result of an audit.
 type Report struct {
-	Invocations   int             `json:"invocations"` // that a marshal took
+	Invocations   int             `json:"invocations"` // accepted by a marshal
 	Succeeded     int             `json:"succeeded"`
-	InTime        int             `json:"in_time"` // of those that succeeded, within the SLO time
+	WithinSLO     int             `json:"in_time"` // succeeded within the SLO time
 	Throttled     int             `json:"throttled"`
 	Terminated    int             `json:"terminated"`
 	Unanswered    int             `json:"unanswered"`
 	AnsweredTwice int             `json:"answered_twice"`
-	Left          int             `json:"left"`      // clients that went before their answer
-	NotTaken      int             `json:"not_taken"` // turned away, or lost with a marshal that was killed
+	ClientsLeft   int             `json:"left"`      // clients that disconnected before their answer
+	NotAccepted   int             `json:"not_taken"` // rejected, or lost with a marshal that was killed
 	Dispatches    int             `json:"dispatches"`
 	Repeats       int             `json:"repeats"`
-	Checked       map[string]int  `json:"checked"`      // things a rule was held against
-	Found         map[string]int  `json:"found"`        // and how often it was broken
-	Examples      []string        `json:"examples"`     // the first few, for people
-	RulesBroken   []string        `json:"rules_broken"` // names of the rules
-	took          map[int][]int64 // us of each operation's answers
+	Checked       map[string]int  `json:"checked"`      // by rule: how often it was checked
+	Violations    map[string]int  `json:"found"`        // by rule: how often it was broken
+	Examples      []string        `json:"examples"`     // descriptions of the first violations
+	RulesBroken   []string        `json:"rules_broken"` // rules with violations
+	answerTimesUs map[int][]int64 // by operation, of the invocations that succeeded
 }
 
-// Clean says that no rule was broken.
+// Clean reports whether no rule was broken.
 func (r *Report) Clean() bool {
 	return len(r.RulesBroken) == 0 && r.Unanswered == 0 && r.AnsweredTwice == 0
 }
 
 const (
-	// What two processes write down of one thing lies apart by the way between them and by how busy the machine
-	// is. Rules are checked with this much in the marshal's favour, in us.
-	skew         = 100_000
-	mostExamples = 40
-	perRule      = 6
+	// skewUs is a tolerance in favour of the marshal. The times that two processes record for the same event differ by
+	// the latency between them and by scheduling delays on a busy machine.
+	skewUs = 100_000
+
+	maxExamples        = 40
+	maxExamplesPerRule = 6
 )
 
-// Dir audits a folder: settings.txtpb and every record that ends in .seen.
-func Dir(dir string) (*Report, error) {
+// CheckDir audits the records of a directory: settings.txtpb and all *.seen files.
+func CheckDir(dir string) (*Report, error) {
 	set, err := settings.Load(filepath.Join(dir, "settings.txtpb"))
 	if err != nil {
 		return nil, err
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "*.seen"))
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s: no record here ends in .seen; is this the folder of a day?", dir)
+		return nil, fmt.Errorf("%s: no *.seen files; is this the directory of a recorded day?", dir)
 	}
-	var all []*record.Seen
+	var seen []*record.Seen
 	for _, file := range files {
 		r, err := record.Open(file)
 		if err != nil {
@@ -105,94 +112,97 @@
 				r.Close()
 				return nil, fmt.Errorf("%s: %w", file, err)
 			}
-			all = append(all, s)
+			seen = append(seen, s)
 		}
 		r.Close()
 	}
-	return Check(set, all), nil
+	return Check(set, seen), nil
 }
 
-// Check audits what was seen.
-func Check(set *settings.Settings, all []*record.Seen) *Report {
-	return CheckWithin(set, Bounds{}, all)
+// Check audits observations under the project's own protocol.
+func Check(set *settings.Settings, seen []*record.Seen) *Report {
+	return CheckWithBounds(set, Bounds{}, seen)
 }
 
-// CheckWithin audits what was seen on a platform with bounds of its own.
-func CheckWithin(set *settings.Settings, bounds Bounds, all []*record.Seen) *Report {
-	slices.SortStableFunc(all, func(a, b *record.Seen) int { return cmp.Compare(a.AtUs, b.AtUs) })
-	a := &auditor{set: set, bounds: bounds, invs: map[string]*inv{}, marshals: map[int64]*marshal{}, ends: map[uint32][]int64{},
-		Report: Report{Checked: map[string]int{}, Found: map[string]int{}, RulesBroken: []string{}, Examples: []string{}, took: map[int][]int64{}}}
-	for _, s := range all {
+// CheckWithBounds audits observations under the protocol of a platform with bounds of its own.
+func CheckWithBounds(set *settings.Settings, bounds Bounds, seen []*record.Seen) *Report {
+	slices.SortStableFunc(seen, func(a, b *record.Seen) int { return cmp.Compare(a.AtUs, b.AtUs) })
+	a := &auditor{set: set, bounds: bounds, byID: map[string]*invocation{}, marshals: map[int64]*marshal{},
+		nodeEndsUs: map[uint32][]int64{}, Report: Report{Checked: map[string]int{}, Violations: map[string]int{},
+			RulesBroken: []string{}, Examples: []string{}, answerTimesUs: map[int][]int64{}}}
+	for _, s := range seen {
 		a.add(s)
 	}
-	a.answered()
-	a.effects()
-	a.drains()
-	a.exposure()
-	a.forward()
-	a.budgets()
-	a.departures()
-	for _, rule := range append(slices.Clone(Rules), Budget, Gone) {
-		if a.Found[rule] > 0 {
+	a.checkAnswers()
+	a.checkEffects()
+	a.checkDrains()
+	a.checkExposure()
+	a.checkForwardOnly()
+	a.checkTimeBudgets()
+	a.checkDepartures()
+	for _, rule := range append(slices.Clone(Rules), RuleTimeBudget, RuleClientGone) {
+		if a.Violations[rule] > 0 {
 			a.RulesBroken = append(a.RulesBroken, rule)
 		}
 	}
 	return &a.Report
 }
 
+// auditor collects the observations by invocation and by marshal, and checks the rules on them.
 type auditor struct {
 	Report
-	set      *settings.Settings
-	bounds   Bounds
-	invs     map[string]*inv
-	order    []*inv
-	marshals map[int64]*marshal
-	ends     map[uint32][]int64 // when a node's processes ended
+	set         *settings.Settings
+	bounds      Bounds
+	byID        map[string]*invocation
+	invocations []*invocation
+	marshals    map[int64]*marshal
+	nodeEndsUs  map[uint32][]int64 // by node: when its processes ended
 }
 
-// inv is one invocation as its client and the nodes saw it.
-type inv struct {
-	*record.Seen // as the client asked it; nil if no client did
+// invocation is one invocation as its client and the nodes observed it.
+type invocation struct {
+	*record.Seen // the client's request; nil if no client sent one
 	id           string
-	sent         []*dispatch
-	finals       []*record.Seen
-	left         *record.Seen
-	lost         *record.Seen
-	crossed      *record.Seen // it crossed the end of a connection, and was sent again
-	extra        *record.Seen
+	dispatches   []*dispatch
+	answers      []*record.Seen // final answers, in the order of arrival
+	clientLeft   *record.Seen   // the client disconnected
+	noAnswer     *record.Seen   // time-out, broken connection or refused connection
+	resent       *record.Seen   // the connection was closed meanwhile, and the client sent the request again
+	extraAnswer  *record.Seen   // data after the final answer, or the answer to another request
 }
 
+// dispatch is one dispatch as the node observed it.
 type dispatch struct {
 	*record.Seen
-	end  int64 // when it was over, 0 if that was never seen
-	away bool
-	ok   bool
+	endUs     int64 // when the node saw it end; 0 if it did not
+	rejected  bool  // the node answered that it did not start it
+	succeeded bool  // answered with status 200
 }
 
-// marshal is what one marshal was told, over all its lives.
+// marshal is what is known of one marshal, over all its restarts.
 type marshal struct {
-	ups, downs, stops []int64
-	told              map[uint32][]*record.Seen
-	staged            []*record.Seen
-	gots              []*dispatch
-	taken             []*inv
+	startsUs, killsUs, stopsUs []int64
+	nodeUpdates                map[uint32][]*record.Seen // by node: the states that the registry reported
+	stageUpdates               []*record.Seen
+	dispatches                 []*dispatch
+	accepted                   []*invocation
 }
 
 func (a *auditor) marshal(n int64) *marshal {
 	m := a.marshals[n]
 	if m == nil {
-		m = &marshal{told: map[uint32][]*record.Seen{}}
+		m = &marshal{nodeUpdates: map[uint32][]*record.Seen{}}
 		a.marshals[n] = m
 	}
 	return m
 }
 
-func (a *auditor) inv(id string) *inv {
-	i := a.invs[id]
+func (a *auditor) invocation(id string) *invocation {
+	i := a.byID[id]
 	if i == nil {
-		i = &inv{id: id}
-		a.invs[id] = i
-		a.order = append(a.order, i)
+		i = &invocation{id: id}
+		a.byID[id] = i
+		a.invocations = append(a.invocations, i)
 	}
 	return i
 }
@@ -200,241 +210,247 @@
 func (a *auditor) add(s *record.Seen) {
 	switch s.Kind {
 	case "asked":
-		a.inv(s.Inv).Seen = s
+		a.invocation(s.Inv).Seen = s
 	case "answered":
-		i := a.inv(s.Inv)
-		i.finals = append(i.finals, s)
+		i := a.invocation(s.Inv)
+		i.answers = append(i.answers, s)
 	case "left":
-		a.inv(s.Inv).left = s
+		a.invocation(s.Inv).clientLeft = s
 	case "silent", "broke", "refused":
-		a.inv(s.Inv).lost = s
+		a.invocation(s.Inv).noAnswer = s
 	case "crossed":
-		a.inv(s.Inv).crossed = s
+		a.invocation(s.Inv).resent = s
 	case "extra", "mixed":
-		a.inv(s.Inv).extra = s
+		a.invocation(s.Inv).extraAnswer = s
 	case "got":
-		i := a.inv(s.Inv)
+		i := a.invocation(s.Inv)
 		d := &dispatch{Seen: s}
-		i.sent = append(i.sent, d)
+		i.dispatches = append(i.dispatches, d)
 		m := a.marshal(s.Instance)
-		m.gots = append(m.gots, d)
+		m.dispatches = append(m.dispatches, d)
 		a.Dispatches++
-		if len(i.sent) > 1 {
+		if len(i.dispatches) > 1 {
 			a.Repeats++
 		}
 	case "away", "done", "cut":
-		for _, d := range slices.Backward(a.inv(s.Inv).sent) {
-			if d.Node == s.Node && d.end == 0 {
-				d.end, d.away, d.ok = s.AtUs, s.Kind == "away", s.Kind == "done" && s.Text == "200"
+		for _, d := range slices.Backward(a.invocation(s.Inv).dispatches) {
+			if d.Node == s.Node && d.endUs == 0 {
+				d.endUs, d.rejected, d.succeeded = s.AtUs, s.Kind == "away", s.Kind == "done" && s.Text == "200"
 				break
 			}
 		}
 	case "begins":
-		a.Checked[Cold]++
+		a.Checked[RuleColdNodes]++
 	case "dies":
-		a.ends[s.Node] = append(a.ends[s.Node], s.AtUs)
+		a.nodeEndsUs[s.Node] = append(a.nodeEndsUs[s.Node], s.AtUs)
 	case "fell":
-		a.broken(Cold, "node %d was pushed over: %s", s.Node, s.Text)
+		a.violated(RuleColdNodes, "node %d was overloaded while warming up: %s", s.Node, s.Text)
 	case "told":
 		m := a.marshal(s.Instance)
-		m.told[s.Node] = append(m.told[s.Node], s)
+		m.nodeUpdates[s.Node] = append(m.nodeUpdates[s.Node], s)
 	case "staged":
 		m := a.marshal(s.Instance)
-		m.staged = append(m.staged, s)
+		m.stageUpdates = append(m.stageUpdates, s)
 	case "up":
 		m := a.marshal(s.Instance)
-		m.ups = append(m.ups, s.AtUs)
+		m.startsUs = append(m.startsUs, s.AtUs)
 	case "killed":
 		m := a.marshal(s.Instance)
-		m.downs = append(m.downs, s.AtUs)
+		m.killsUs = append(m.killsUs, s.AtUs)
 	case "stopping":
 		m := a.marshal(s.Instance)
-		m.stops = append(m.stops, s.AtUs)
+		m.stopsUs = append(m.stopsUs, s.AtUs)
 	}
 }
 
-func (a *auditor) broken(rule, format string, args ...any) {
-	a.Found[rule]++
-	if a.Found[rule] <= perRule && len(a.Examples) < mostExamples {
+func (a *auditor) violated(rule, format string, args ...any) {
+	a.Violations[rule]++
+	if a.Violations[rule] <= maxExamplesPerRule && len(a.Examples) < maxExamples {
 		a.Examples = append(a.Examples, rule+": "+fmt.Sprintf(format, args...))
 	}
 }
 
-// between says that one of some times lies in a span.
-func between(times []int64, from, to int64) bool {
+// anyBetween reports whether one of the sorted times lies within [from, to].
+func anyBetween(times []int64, from, to int64) bool {
 	i := sort.Search(len(times), func(i int) bool { return times[i] >= from })
 	return i < len(times) && times[i] <= to
 }
 
-// answered checks the first rule.
-func (a *auditor) answered() {
-	for _, i := range a.order {
+// checkAnswers checks RuleAnswered and counts the outcomes.
+func (a *auditor) checkAnswers() {
+	for _, i := range a.invocations {
 		if i.Seen == nil {
-			a.broken(Answered, "%s reached a node and no client asked it", i.id)
+			a.violated(RuleAnswered, "%s reached a node, but no client sent it", i.id)
 			continue
 		}
-		m, due := a.marshal(i.Instance), i.AtUs+int64(i.LimitMs*1000)
-		var last *record.Seen
-		if len(i.finals) > 0 {
-			last = i.finals[0]
+		m, deadlineUs := a.marshal(i.Instance), i.AtUs+int64(i.LimitMs*1000)
+		var answer *record.Seen
+		if len(i.answers) > 0 {
+			answer = i.answers[0]
 		}
-		if i.extra != nil {
+		if i.extraAnswer != nil {
 			a.AnsweredTwice++
-			a.broken(Answered, "%s got something after its answer, or another's (%s %s)", i.id, i.extra.Kind, i.extra.Text)
-		} else if len(i.finals) > 1 {
+			a.violated(RuleAnswered, "%s got data after its final answer, or the answer to another request (%s %s)", i.id,
+				i.extraAnswer.Kind, i.extraAnswer.Text)
+		} else if len(i.answers) > 1 {
 			a.AnsweredTwice++
-			a.broken(Answered, "%s got %d answers", i.id, len(i.finals))
+			a.violated(RuleAnswered, "%s got %d answers", i.id, len(i.answers))
 		}
-		if c := i.crossed; c != nil && len(i.sent) > 0 && i.sent[0].AtUs < c.AtUs && !between(m.downs, c.AtUs-skew, c.AtUs+skew) {
-			a.broken(Answered, "%s was read, and node %d had it, but its connection ended without an answer", i.id, i.sent[0].Node)
+		if c := i.resent; c != nil && len(i.dispatches) > 0 && i.dispatches[0].AtUs < c.AtUs &&
+			!anyBetween(m.killsUs, c.AtUs-skewUs, c.AtUs+skewUs) {
+			a.violated(RuleAnswered, "%s was read and dispatched to node %d, but its connection was closed without an answer", i.id,
+				i.dispatches[0].Node)
 		}
-		if last != nil && last.Final == "not-taken" {
-			a.NotTaken++
-			if len(i.sent) > 0 {
-				a.broken(Answered, "%s was not taken, its client was told, but node %d got it", i.id, i.sent[0].Node)
+		if answer != nil && answer.Final == "not-taken" {
+			a.NotAccepted++
+			if len(i.dispatches) > 0 {
+				a.violated(RuleAnswered, "%s was answered as not accepted, but node %d received it", i.id, i.dispatches[0].Node)
 			}
 			continue
 		}
-		taken := func() {
+		accept := func() {
 			a.Invocations++
-			m.taken = append(m.taken, i)
+			m.accepted = append(m.accepted, i)
 		}
 		switch {
-		case last != nil:
-			taken()
-			a.Checked[Answered]++
-			switch last.Final {
+		case answer != nil:
+			accept()
+			a.Checked[RuleAnswered]++
+			switch answer.Final {
 			case "succeeded":
 				a.Succeeded++
-				if float64(last.AtUs-i.AtUs) <= 1000*a.set.Operation[i.Op].SloMs {
-					a.InTime++
+				if float64(answer.AtUs-i.AtUs) <= 1000*a.set.Operation[i.Op].SloMs {
+					a.WithinSLO++
 				}
-				a.took[int(i.Op)] = append(a.took[int(i.Op)], last.AtUs-i.AtUs)
+				a.answerTimesUs[int(i.Op)] = append(a.answerTimesUs[int(i.Op)], answer.AtUs-i.AtUs)
 			case "throttled":
 				a.Throttled++
 			case "terminated":
 				a.Terminated++
 			default:
-				a.broken(Answered, "%s was answered as %q, which is no final answer", i.id, last.Final)
+				a.violated(RuleAnswered, "%s was answered as %q, which is no final answer", i.id, answer.Final)
 			}
-			if over := last.AtUs - due - int64(a.set.Rules.AnswerSlackMs*1000); over > 0 {
-				a.broken(Answered, "%s was answered %d ms after its client's time", i.id, over/1000)
+			if lateUs := answer.AtUs - deadlineUs - int64(a.set.Rules.AnswerSlackMs*1000); lateUs > 0 {
+				a.violated(RuleAnswered, "%s was answered %d ms after its client's deadline", i.id, lateUs/1000)
 			}
-		case i.left != nil:
-			taken()
-			a.Left++
-		case i.lost == nil:
-			a.NotTaken++ // the client itself ended with the day
-		case i.lost.Kind == "refused", between(m.downs, i.AtUs-skew, max(i.lost.AtUs, due)+skew) && !a.owedAtKill(m, i):
-			a.NotTaken++ // nobody was there, or what was taken died with its marshal
-			if i.lost.Kind != "refused" {
-				m.taken = append(m.taken, i) // in doubt for the marshal
+		case i.clientLeft != nil:
+			accept()
+			a.ClientsLeft++
+		case i.noAnswer == nil:
+			a.NotAccepted++ // the client ended with the run
+		case i.noAnswer.Kind == "refused", anyBetween(m.killsUs, i.AtUs-skewUs, max(i.noAnswer.AtUs, deadlineUs)+skewUs) &&
+			!a.arrivedAfterStopGrace(m, i):
+			a.NotAccepted++ // the marshal was down, or was killed after it had accepted the invocation
+			if i.noAnswer.Kind != "refused" {
+				m.accepted = append(m.accepted, i) // counted towards the caps in favour of the marshal
 			}
-		case !a.bounds.ResendAtEnd && i.lost.Kind == "broke" && len(i.sent) == 0 && between(m.stops, i.AtUs-skew, i.lost.AtUs):
-			a.NotTaken++ // it crossed with the close of a marshal that takes nothing new
+		case !a.bounds.ResendOnClose && i.noAnswer.Kind == "broke" && len(i.dispatches) == 0 &&
+			anyBetween(m.stopsUs, i.AtUs-skewUs, i.noAnswer.AtUs):
+			a.NotAccepted++ // the request was under way while a stopping marshal closed the connection
 		default:
-			taken()
-			a.Checked[Answered]++
+			accept()
+			a.Checked[RuleAnswered]++
 			a.Unanswered++
-			a.broken(Answered, "%s at marshal %d had no answer (%s %s, %d dispatches)", i.id, i.Instance, i.lost.Kind,
-				i.lost.Text, len(i.sent))
+			a.violated(RuleAnswered, "%s got no answer from marshal %d (%s %s, %d dispatches)", i.id, i.Instance, i.noAnswer.Kind,
+				i.noAnswer.Text, len(i.dispatches))
 		}
 	}
 	for _, m := range a.marshals {
-		slices.SortFunc(m.taken, func(a, b *inv) int { return cmp.Compare(a.AtUs, b.AtUs) })
+		slices.SortFunc(m.accepted, func(a, b *invocation) int { return cmp.Compare(a.AtUs, b.AtUs) })
 	}
 }
 
-// owedAtKill says that an invocation came so long after the word to stop that a kill does not excuse its loss.
-func (a *auditor) owedAtKill(m *marshal, i *inv) bool {
-	if a.bounds.StopMs == 0 {
+// arrivedAfterStopGrace reports whether an invocation arrived so long after the signal to stop that a kill does not
+// excuse its loss.
+func (a *auditor) arrivedAfterStopGrace(m *marshal, i *invocation) bool {
+	if a.bounds.StopGraceMs == 0 {
 		return false
 	}
-	n := sort.Search(len(m.stops), func(k int) bool { return m.stops[k] > i.AtUs })
-	if n == 0 || between(m.ups, m.stops[n-1], i.AtUs) {
+	n := sort.Search(len(m.stopsUs), func(k int) bool { return m.stopsUs[k] > i.AtUs })
+	if n == 0 || anyBetween(m.startsUs, m.stopsUs[n-1], i.AtUs) {
 		return false
 	}
-	return i.AtUs-m.stops[n-1] > int64(a.bounds.StopMs*1000)+skew
+	return i.AtUs-m.stopsUs[n-1] > int64(a.bounds.StopGraceMs*1000)+skewUs
 }
 
-// budgets checks what nodes are told of the time that is left.
-func (a *auditor) budgets() {
-	if a.bounds.ToldMs == 0 {
+// checkTimeBudgets checks RuleTimeBudget.
+func (a *auditor) checkTimeBudgets() {
+	if a.bounds.TimeLimitSlackMs == 0 {
 		return
 	}
-	for _, i := range a.order {
-		for _, d := range i.sent {
+	for _, i := range a.invocations {
+		for _, d := range i.dispatches {
 			if i.Seen == nil || d.LimitMs == 0 {
 				continue
 			}
-			a.Checked[Budget]++
-			left := i.LimitMs - float64(d.AtUs-i.AtUs)/1000
-			if d.LimitMs > left+a.bounds.ToldMs+skew/1000 {
-				a.broken(Budget, "%s told node %d of %.0f ms when its client had %.0f left", i.id, d.Node, d.LimitMs, left)
+			a.Checked[RuleTimeBudget]++
+			leftMs := i.LimitMs - float64(d.AtUs-i.AtUs)/1000
+			if d.LimitMs > leftMs+a.bounds.TimeLimitSlackMs+skewUs/1000 {
+				a.violated(RuleTimeBudget, "%s gave node %d %.0f ms when its client had %.0f ms left", i.id, d.Node, d.LimitMs, leftMs)
 			}
 		}
 	}
 }
 
-// departures checks that nothing begins for clients that have left.
-func (a *auditor) departures() {
-	if a.bounds.GoneMs == 0 {
+// checkDepartures checks RuleClientGone.
+func (a *auditor) checkDepartures() {
+	if a.bounds.ClientGoneGraceMs == 0 {
 		return
 	}
-	for _, i := range a.order {
-		if i.left == nil {
+	for _, i := range a.invocations {
+		if i.clientLeft == nil {
 			continue
 		}
-		a.Checked[Gone]++
-		for _, d := range i.sent {
-			if late := d.AtUs - i.left.AtUs; late > int64(a.bounds.GoneMs*1000)+skew {
-				a.broken(Gone, "%s reached node %d %d ms after its client had left", i.id, d.Node, late/1000)
+		a.Checked[RuleClientGone]++
+		for _, d := range i.dispatches {
+			if lateUs := d.AtUs - i.clientLeft.AtUs; lateUs > int64(a.bounds.ClientGoneGraceMs*1000)+skewUs {
+				a.violated(RuleClientGone, "%s reached node %d %d ms after its client had disconnected", i.id, d.Node, lateUs/1000)
 			}
 		}
 	}
 }
 
-// effects checks the second rule, and that one dispatch at most is out.
-func (a *auditor) effects() {
-	for _, i := range a.order {
-		if len(i.sent) == 0 || i.Seen == nil || int(i.Op) >= len(a.set.Operation) {
+// checkEffects checks RuleEffects and RuleOneInFlight.
+func (a *auditor) checkEffects() {
+	for _, i := range a.invocations {
+		if len(i.dispatches) == 0 || i.Seen == nil || int(i.Op) >= len(a.set.Operation) {
 			continue
 		}
 		o := a.set.Operation[i.Op]
-		a.Checked[Effects]++
-		for n, d := range i.sent {
-			for _, e := range i.sent[:n] {
-				a.Checked[OneOut]++
-				if over := a.over(e); over == 0 || over > d.AtUs+skew/2 {
-					a.broken(OneOut, "%s was sent to node %d %d ms before it was over at node %d", i.id, d.Node,
-						(over-d.AtUs)/1000, e.Node)
+		a.Checked[RuleEffects]++
+		for n, d := range i.dispatches {
+			for _, e := range i.dispatches[:n] {
+				a.Checked[RuleOneInFlight]++
+				if endUs := a.endUs(e); endUs == 0 || endUs > d.AtUs+skewUs/2 {
+					a.violated(RuleOneInFlight, "%s was sent to node %d %d ms before its dispatch to node %d ended", i.id, d.Node,
+						(endUs-d.AtUs)/1000, e.Node)
 				}
-				if e.away || o.Repeat == settings.Repeat_IDEMPOTENT {
+				if e.rejected || o.Repeat == settings.Repeat_IDEMPOTENT {
 					continue
 				}
 				if o.Repeat == settings.Repeat_SIDE_EFFECTING {
-					a.broken(Effects, "%s (%s) was sent to node %d though it may have run on node %d", i.id, o.Name, d.Node,
+					a.violated(RuleEffects, "%s (%s) was sent to node %d though it may have run on node %d", i.id, o.Name, d.Node,
 						e.Node)
-				} else if d.AtUs-e.AtUs > int64(o.MemoryMs*1000)+skew {
-					a.broken(Effects, "%s (%s) was sent again after %d ms, outside the memory of %g ms", i.id, o.Name,
+				} else if d.AtUs-e.AtUs > int64(o.MemoryMs*1000)+skewUs {
+					a.violated(RuleEffects, "%s (%s) was repeated after %d ms; nodes remember idempotency keys for %g ms", i.id, o.Name,
 						(d.AtUs-e.AtUs)/1000, o.MemoryMs)
 				} else if o.Group == "zone" && d.Zone != e.Zone || o.Group == "cell" && d.Node != e.Node {
-					a.broken(Effects, "%s (%s) was sent outside its group, from node %d to node %d", i.id, o.Name, e.Node, d.Node)
+					a.violated(RuleEffects, "%s (%s) was repeated outside its group: node %d, then node %d", i.id, o.Name, e.Node, d.Node)
 				}
 			}
 		}
-		ran := slices.ContainsFunc(i.sent, func(d *dispatch) bool { return !d.away })
-		if ran && len(i.finals) > 0 && i.finals[0].Final == "throttled" && (o.Repeat == settings.Repeat_SIDE_EFFECTING ||
+		mayHaveRun := slices.ContainsFunc(i.dispatches, func(d *dispatch) bool { return !d.rejected })
+		if mayHaveRun && len(i.answers) > 0 && i.answers[0].Final == "throttled" && (o.Repeat == settings.Repeat_SIDE_EFFECTING ||
 			o.Repeat == settings.Repeat_FINGERPRINTED && o.Group != "all") {
-			a.broken(Effects, "%s (%s) was throttled though it may have run on node %d", i.id, o.Name, i.sent[0].Node)
+			a.violated(RuleEffects, "%s (%s) was throttled though it may have run on node %d", i.id, o.Name, i.dispatches[0].Node)
 		}
 	}
 }
 
-// over is when a dispatch was over: answered, cut, or dead with its node; 0 if never.
-func (a *auditor) over(d *dispatch) int64 {
-	end := d.end
-	for _, t := range a.ends[d.Node] {
+// endUs returns when a dispatch ended: answered, cut off, or with the process of its node; 0 if it did not end.
+func (a *auditor) endUs(d *dispatch) int64 {
+	end := d.endUs
+	for _, t := range a.nodeEndsUs[d.Node] {
 		if t >= d.AtUs && (end == 0 || t < end) {
 			end = t
 		}
@@ -442,252 +458,259 @@
 	return end
 }
 
-// drains checks the third rule.
-func (a *auditor) drains() {
-	grace := int64(a.set.Rules.GraceMs*1000) + skew
+// checkDrains checks RuleDrain.
+func (a *auditor) checkDrains() {
+	graceUs := int64(a.set.Rules.GraceMs*1000) + skewUs
 	for _, m := range a.marshals {
-		for _, d := range m.gots {
-			told := m.told[d.Node]
-			n := sort.Search(len(told), func(i int) bool { return told[i].AtUs > d.AtUs })
+		for _, d := range m.dispatches {
+			updates := m.nodeUpdates[d.Node]
+			n := sort.Search(len(updates), func(i int) bool { return updates[i].AtUs > d.AtUs })
 			if n == 0 {
 				continue
 			}
-			a.Checked[Drain]++
-			// The first word of the present row of words that it drains or is gone.
+			a.Checked[RuleDrain]++
+			// Find the update since which the node has not been serving.
 			first := n
-			for first > 0 && told[first-1].Text != "serving" {
+			for first > 0 && updates[first-1].Text != "serving" {
 				first--
 			}
-			if first == n || d.AtUs-told[first].AtUs <= grace || between(m.ups, told[first].AtUs, d.AtUs) {
+			if first == n || d.AtUs-updates[first].AtUs <= graceUs || anyBetween(m.startsUs, updates[first].AtUs, d.AtUs) {
 				continue
 			}
-			a.broken(Drain, "node %d got %s %d ms after marshal %d was told that it is %s", d.Node, d.Inv,
-				(d.AtUs-told[first].AtUs)/1000, d.Instance, told[first].Text)
+			a.violated(RuleDrain, "node %d received %s %d ms after marshal %d was notified that it is %s", d.Node, d.Inv,
+				(d.AtUs-updates[first].AtUs)/1000, d.Instance, updates[first].Text)
 		}
 	}
 }
 
-// exposure checks the fifth rule.
-func (a *auditor) exposure() {
+// checkExposure checks RuleExposure.
+func (a *auditor) checkExposure() {
 	for number, m := range a.marshals {
-		lower := a.bounds.LowerCap
-		if lower == 0 {
-			lower = a.set.Rules.GraceMs
+		lowerCapGraceMs := a.bounds.LowerCapGraceMs
+		if lowerCapGraceMs == 0 {
+			lowerCapGraceMs = a.set.Rules.GraceMs
 		}
-		w := &windows{a: a, m: m, number: number, grace: int64(a.set.Rules.GraceMs * 1000), lower: int64(lower * 1000),
-			over: int64(a.set.Rollout.CountedOverMs * 1000), each: a.set.Rollout.CapScope == "each-operation"}
-		w.check()
+		c := &exposureCheck{auditor: a, marshal: m, number: number, graceUs: int64(a.set.Rules.GraceMs * 1000),
+			lowerCapGraceUs: int64(lowerCapGraceMs * 1000), windowUs: int64(a.set.Rollout.CountedOverMs * 1000),
+			perOperation: a.set.Rollout.CapScope == "each-operation"}
+		c.check()
 	}
 }
 
-type windows struct {
-	a           *auditor
-	m           *marshal
-	number      int64
-	grace, over int64
-	lower       int64 // after which a lower cap binds
-	each        bool
+// exposureCheck checks the traffic of one marshal to trial builds.
+type exposureCheck struct {
+	auditor           *auditor
+	marshal           *marshal
+	number            int64
+	graceUs, windowUs int64
+	lowerCapGraceUs   int64 // time after which a lowered cap must be kept
+	perOperation      bool
 }
 
-// news is what a marshal had been told last at a time, in its present life.
-func (w *windows) news(at int64) (n int, s *record.Seen) {
-	n = sort.Search(len(w.m.staged), func(i int) bool { return w.m.staged[i].AtUs > at })
+// lastStageUpdate returns the last stage update that the marshal had received by a time, and its index, or -1 and nil if
+// it had received none since its last start.
+func (c *exposureCheck) lastStageUpdate(atUs int64) (n int, s *record.Seen) {
+	n = sort.Search(len(c.marshal.stageUpdates), func(i int) bool { return c.marshal.stageUpdates[i].AtUs > atUs })
 	if n == 0 {
 		return -1, nil
 	}
-	s = w.m.staged[n-1]
-	if between(w.m.ups, s.AtUs, at) {
-		return -1, nil // told to a life before
+	s = c.marshal.stageUpdates[n-1]
+	if anyBetween(c.marshal.startsUs, s.AtUs, atUs) {
+		return -1, nil // received before the restart
 	}
 	return n - 1, s
 }
 
-// state is the stage and cap that count for a build at a time; onTrial false where none does.
-func (w *windows) state(ver, at int64) (stage int64, cap float64, since int64, onTrial bool) {
-	n, s := w.news(at)
-	if s == nil { // nothing told in this life: all but the oldest build that it knows to serve may be on trial
-		if ver <= w.oldest(at) {
+// trialState returns the stage and cap that apply to a build at a time; onTrial is false if the build has no cap. Where
+// sinceUs is not 0, only dispatches after it count.
+func (c *exposureCheck) trialState(ver, atUs int64) (stage int64, cap float64, sinceUs int64, onTrial bool) {
+	n, s := c.lastStageUpdate(atUs)
+	if s == nil { // no update since the start: every build but the oldest that serves may be on trial
+		if ver <= c.oldestBuild(atUs) {
 			return 0, 1, 0, false
 		}
-		return 0, w.a.set.Rollout.Stage[0].Cap, w.up(at), true
+		return 0, c.auditor.set.Rollout.Stage[0].Cap, c.startUs(atUs), true
 	}
 	switch {
 	case ver > s.Ver:
-		return 0, w.a.set.Rollout.Stage[0].Cap, 0, true
+		return 0, c.auditor.set.Rollout.Stage[0].Cap, 0, true
 	case ver < s.Ver || balance.Phase(s.Phase) == balance.Released:
 		return 0, 1, 0, false
 	}
 	stage, cap = s.Stage, s.Cap
-	// A lower cap takes effect after the grace, and is counted afresh from then.
-	for ; n >= 0 && at-w.m.staged[n].AtUs <= w.over+w.lower+skew; n-- {
-		if was := w.m.staged[n]; was.Ver == ver && was.Cap > cap {
-			fell := w.m.staged[n+1].AtUs + w.lower + skew
-			if at <= fell {
-				return stage, was.Cap, 0, true
+	// A lowered cap takes effect after its grace period, and only dispatches after that count.
+	for ; n >= 0 && atUs-c.marshal.stageUpdates[n].AtUs <= c.windowUs+c.lowerCapGraceUs+skewUs; n-- {
+		if earlier := c.marshal.stageUpdates[n]; earlier.Ver == ver && earlier.Cap > cap {
+			loweredUs := c.marshal.stageUpdates[n+1].AtUs + c.lowerCapGraceUs + skewUs
+			if atUs <= loweredUs {
+				return stage, earlier.Cap, 0, true
 			}
-			return stage, cap, fell, true
+			return stage, cap, loweredUs, true
 		}
 	}
 	return stage, cap, 0, true
 }
 
-// up is when the marshal's present life began.
-func (w *windows) up(at int64) int64 {
-	n := sort.Search(len(w.m.ups), func(i int) bool { return w.m.ups[i] > at })
+// startUs returns when the marshal was last started before a time.
+func (c *exposureCheck) startUs(atUs int64) int64 {
+	n := sort.Search(len(c.marshal.startsUs), func(i int) bool { return c.marshal.startsUs[i] > atUs })
 	if n == 0 {
 		return 0
 	}
-	return w.m.ups[n-1]
+	return c.marshal.startsUs[n-1]
 }
 
-// oldest is the oldest build of the nodes that the marshal had been told to serve; what it was told in the life
-// before, it has from its disk.
-func (w *windows) oldest(at int64) int64 {
-	least := int64(1) << 40
-	for _, told := range w.m.told {
-		if n := sort.Search(len(told), func(i int) bool { return told[i].AtUs > at }); n > 0 && told[n-1].Text == "serving" {
-			least = min(least, told[n-1].Ver)
+// oldestBuild returns the oldest build among the nodes that were serving by the marshal's last updates at a time. Updates
+// from before a restart count too: the marshal saves its list on disk.
+func (c *exposureCheck) oldestBuild(atUs int64) int64 {
+	oldest := int64(1) << 40
+	for _, updates := range c.marshal.nodeUpdates {
+		if n := sort.Search(len(updates), func(i int) bool { return updates[i].AtUs > atUs }); n > 0 && updates[n-1].Text == "serving" {
+			oldest = min(oldest, updates[n-1].Ver)
 		}
 	}
-	return least
+	return oldest
 }
 
-func (w *windows) check() {
-	r := w.a.set.Rollout
+func (c *exposureCheck) check() {
+	rollout := c.auditor.set.Rollout
 	type scope struct{ ver, op int64 }
-	sent := map[scope][]int64{}
-	for _, d := range w.m.gots {
-		stage, cap, since, onTrial := w.state(d.Ver, d.AtUs)
+	sentUs := map[scope][]int64{}
+	for _, d := range c.marshal.dispatches {
+		stage, cap, sinceUs, onTrial := c.trialState(d.Ver, d.AtUs)
 		s := scope{d.Ver, -1}
-		if w.each {
+		if c.perOperation {
 			s.op = d.Op
 		}
-		sent[s] = append(sent[s], d.AtUs)
+		sentUs[s] = append(sentUs[s], d.AtUs)
 		if !onTrial {
 			continue
 		}
-		w.a.Checked[Exposure]++
-		if uint32(stage) < r.Shielded && int(d.Op) < len(w.a.set.Operation) {
-			if o := w.a.set.Operation[d.Op]; o.Repeat != settings.Repeat_IDEMPOTENT {
-				w.a.broken(Exposure, "%s (%s) went to build %d in the shielded stage %d", d.Inv, o.Name, d.Ver, stage)
+		c.auditor.Checked[RuleExposure]++
+		if uint32(stage) < rollout.Shielded && int(d.Op) < len(c.auditor.set.Operation) {
+			if o := c.auditor.set.Operation[d.Op]; o.Repeat != settings.Repeat_IDEMPOTENT {
+				c.auditor.violated(RuleExposure, "%s (%s) went to build %d in the shielded stage %d", d.Inv, o.Name, d.Ver, stage)
 			}
 		}
 		if cap == 0 {
-			if since > 0 || w.longZero(d) {
-				w.a.broken(Exposure, "marshal %d sent %s to build %d, whose cap is 0", w.number, d.Inv, d.Ver)
+			if sinceUs > 0 || c.zeroBeyondGrace(d) {
+				c.auditor.violated(RuleExposure, "marshal %d sent %s to build %d, whose cap is 0", c.number, d.Inv, d.Ver)
 			}
 			continue
 		}
-		from := max(d.AtUs-w.over+skew, since)
-		all := sent[s]
-		count := len(all) - sort.Search(len(all), func(i int) bool { return all[i] > from })
-		taken := w.taken(d.AtUs-w.over-skew, d.AtUs, s.op)
-		most := r.Allowance + cap*float64(taken)
-		most += w.a.bounds.SpareSends + w.a.bounds.SparePart*most
-		if float64(count) > most {
-			w.a.broken(Exposure, "marshal %d sent %d to build %d in %d ms; %d taken at a cap of %g allow %.1f", w.number, count,
-				d.Ver, w.over/1000, taken, cap, most)
+		fromUs := max(d.AtUs-c.windowUs+skewUs, sinceUs)
+		all := sentUs[s]
+		count := len(all) - sort.Search(len(all), func(i int) bool { return all[i] > fromUs })
+		accepted := c.acceptedBetween(d.AtUs-c.windowUs-skewUs, d.AtUs, s.op)
+		limit := rollout.Allowance + cap*float64(accepted)
+		limit += c.auditor.bounds.ExtraAttempts + c.auditor.bounds.ExtraAttemptsShare*limit
+		if float64(count) > limit {
+			c.auditor.violated(RuleExposure, "marshal %d sent %d dispatches to build %d in %d ms; %d accepted at a cap of %g allow %.1f",
+				c.number, count, d.Ver, c.windowUs/1000, accepted, cap, limit)
 		}
 	}
 }
 
-// longZero says that the cap was 0 for longer than the grace.
-func (w *windows) longZero(d *dispatch) bool {
-	n, s := w.news(d.AtUs)
-	for n > 0 && w.m.staged[n-1].Ver == s.Ver && w.m.staged[n-1].Cap == 0 {
+// zeroBeyondGrace reports whether the cap had been 0 for longer than the grace period when d was sent.
+func (c *exposureCheck) zeroBeyondGrace(d *dispatch) bool {
+	n, s := c.lastStageUpdate(d.AtUs)
+	for n > 0 && c.marshal.stageUpdates[n-1].Ver == s.Ver && c.marshal.stageUpdates[n-1].Cap == 0 {
 		n--
-		s = w.m.staged[n]
+		s = c.marshal.stageUpdates[n]
 	}
-	return s != nil && d.AtUs-s.AtUs > w.lower+skew
+	return s != nil && d.AtUs-s.AtUs > c.lowerCapGraceUs+skewUs
 }
 
-func (w *windows) taken(from, to, op int64) (count int) {
-	t := w.m.taken
-	for k := sort.Search(len(t), func(i int) bool { return t[i].AtUs > from }); k < len(t) && t[k].AtUs <= to; k++ {
-		if op < 0 || t[k].Op == op {
+// acceptedBetween counts the invocations of an operation, or of all with op -1, that the marshal accepted in a time span.
+func (c *exposureCheck) acceptedBetween(fromUs, toUs, op int64) (count int) {
+	accepted := c.marshal.accepted
+	for k := sort.Search(len(accepted), func(i int) bool { return accepted[i].AtUs > fromUs }); k < len(accepted) &&
+		accepted[k].AtUs <= toUs; k++ {
+		if op < 0 || accepted[k].Op == op {
 			count++
 		}
 	}
 	return count
 }
 
-// forward checks that a key which a build has answered goes to no earlier one.
-func (a *auditor) forward() {
+// checkForwardOnly checks RuleForwardOnly: a key that one build has answered is not sent to an earlier one.
+func (a *auditor) checkForwardOnly() {
 	if !a.set.Rollout.ForwardOnly {
 		return
 	}
 	for number, m := range a.marshals {
-		w := &windows{a: a, m: m, number: number}
-		type bind struct {
-			ver, at int64
+		c := &exposureCheck{auditor: a, marshal: m, number: number}
+		type binding struct {
+			ver, atUs int64
 		}
-		bound := map[string]bind{}
+		bindings := map[string]binding{}
 		var answers []*dispatch
-		for _, d := range m.gots {
-			if d.ok && d.Key != "" {
+		for _, d := range m.dispatches {
+			if d.succeeded && d.Key != "" {
 				answers = append(answers, d)
 			}
 		}
-		slices.SortFunc(answers, func(x, y *dispatch) int { return cmp.Compare(x.end, y.end) })
+		slices.SortFunc(answers, func(x, y *dispatch) int { return cmp.Compare(x.endUs, y.endUs) })
 		next := 0
-		for _, d := range m.gots {
-			for ; next < len(answers) && answers[next].end+skew < d.AtUs; next++ {
-				if e := answers[next]; e.Ver > bound[e.Key].ver {
-					bound[e.Key] = bind{e.Ver, e.end}
+		for _, d := range m.dispatches {
+			for ; next < len(answers) && answers[next].endUs+skewUs < d.AtUs; next++ {
+				if e := answers[next]; e.Ver > bindings[e.Key].ver {
+					bindings[e.Key] = binding{e.Ver, e.endUs}
 				}
 			}
-			b, ok := bound[d.Key]
-			if !ok || d.Key == "" || between(m.ups, b.at, d.AtUs) {
+			b, ok := bindings[d.Key]
+			if !ok || d.Key == "" || anyBetween(m.startsUs, b.atUs, d.AtUs) {
 				continue
 			}
-			_, s := w.news(d.AtUs)
+			_, s := c.lastStageUpdate(d.AtUs)
 			if s == nil || s.Ver != b.ver || s.Phase != int64(balance.OnTrial) && s.Phase != int64(balance.Released) {
 				continue
 			}
-			a.Checked[Forward]++
+			a.Checked[RuleForwardOnly]++
 			if d.Ver < b.ver {
-				a.broken(Forward, "key %s, answered by build %d, went to build %d", d.Key, b.ver, d.Ver)
+				a.violated(RuleForwardOnly, "key %s was answered by build %d and then sent to build %d", d.Key, b.ver, d.Ver)
 			}
 		}
 	}
 }
 
-// Took gives the answer times of an operation's successes at some shares of them, in ms.
-func (r *Report) Took(op int, shares ...float64) []float64 {
-	t := slices.Clone(r.took[op])
+// AnswerTimes returns quantiles, in ms, of the answer times of an operation's successful invocations.
+func (r *Report) AnswerTimes(op int, quantiles ...float64) []float64 {
+	t := slices.Clone(r.answerTimesUs[op])
 	slices.Sort(t)
 	var out []float64
-	for _, s := range shares {
+	for _, q := range quantiles {
 		if len(t) == 0 {
 			out = append(out, 0)
 			continue
 		}
-		out = append(out, float64(t[min(len(t)-1, int(s*float64(len(t))))])/1000)
+		out = append(out, float64(t[min(len(t)-1, int(q*float64(len(t))))])/1000)
 	}
 	return out
 }
 
-var says = map[string]string{
-	Answered: "one final answer each, in the client's time",
-	Effects:  "no effect twice",
-	OneOut:   "one dispatch out at most",
-	Drain:    "nothing new to a node that drains or is gone",
-	Cold:     "no cold node pushed over",
-	Exposure: "builds on trial within their caps",
-	Forward:  "keys go forward only",
-	Budget:   "nodes told of no more time than there is",
-	Gone:     "nothing begun for clients that have left",
-}
-
-// Table prints the audit, rule by rule.
-func (r *Report) Table(w io.Writer) {
-	fmt.Fprintf(w, "invocations %d: %d succeeded, %d throttled, %d terminated, %d clients left; %d unanswered, %d answered twice\n",
-		r.Invocations, r.Succeeded, r.Throttled, r.Terminated, r.Left, r.Unanswered, r.AnsweredTwice)
-	fmt.Fprintf(w, "not taken %d, dispatches %d, of them repeats %d\n\n", r.NotTaken, r.Dispatches, r.Repeats)
+// ruleTexts describe the rules in the table.
+var ruleTexts = map[string]string{
+	RuleAnswered:    "exactly one final answer within the time limit",
+	RuleEffects:     "no effect happens twice",
+	RuleOneInFlight: "at most one dispatch in flight",
+	RuleDrain:       "no dispatch to draining or gone nodes",
+	RuleColdNodes:   "no node overloaded while warming up",
+	RuleExposure:    "trial builds within their caps",
+	RuleForwardOnly: "no key returns to an earlier build",
+	RuleTimeBudget:  "nodes get no more time than is left",
+	RuleClientGone:  "no dispatch for disconnected clients",
+}
+
+// WriteTable writes the report as text, with a line for each rule.
+func (r *Report) WriteTable(w io.Writer) {
+	fmt.Fprintf(w, "invocations %d: %d succeeded, %d throttled, %d terminated, %d clients disconnected; %d unanswered, %d answered twice\n",
+		r.Invocations, r.Succeeded, r.Throttled, r.Terminated, r.ClientsLeft, r.Unanswered, r.AnsweredTwice)
+	fmt.Fprintf(w, "not accepted %d, dispatches %d, of which repeats %d\n\n", r.NotAccepted, r.Dispatches, r.Repeats)
 	fmt.Fprintf(w, "%-9s %-46s %8s %7s\n", "rule", "", "checked", "broken")
-	rules := slices.DeleteFunc([]string{Budget, Gone}, func(rule string) bool { return r.Checked[rule] == 0 })
+	rules := slices.DeleteFunc([]string{RuleTimeBudget, RuleClientGone}, func(rule string) bool { return r.Checked[rule] == 0 })
 	for _, rule := range append(slices.Clone(Rules), rules...) {
-		fmt.Fprintf(w, "%-9s %-46s %8d %7d\n", rule, says[rule], r.Checked[rule], r.Found[rule])
+		fmt.Fprintf(w, "%-9s %-46s %8d %7d\n", rule, ruleTexts[rule], r.Checked[rule], r.Violations[rule])
 	}
 	for _, e := range r.Examples {
 		fmt.Fprintln(w, "  "+e)
