--- a/cmd/arrowcleat/soak.go
+++ b/cmd/arrowcleat/soak.go
@@ -68,10 +68,10 @@
 		Args:   noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			var hooks serve.Hooks
-			if text := os.Getenv(soak.FaultSeed); text != "" {
+			if text := os.Getenv(soak.FaultSeedEnv); text != "" {
 				seed, err := strconv.ParseUint(text, 10, 64)
 				if err != nil {
-					return badInput{fmt.Errorf("%s: %w", soak.FaultSeed, err)}
+					return badInput{fmt.Errorf("%s: %w", soak.FaultSeedEnv, err)}
 				}
 				hooks = faults.NewMachine(seed).Hooks()
 			}
@@ -90,7 +90,7 @@
 	room := make(chan struct{}, runsAtOnce)
 	for i := range runs {
 		one := o
-		one.Plan = soak.Draw(seed + uint64(i))
+		one.Plan = soak.RandomPlan(seed + uint64(i))
 		one.Dir = filepath.Join(o.Dir, fmt.Sprint(one.Plan.Seed))
 		room <- struct{}{}
 		wg.Go(func() {
@@ -121,7 +121,7 @@
 	return nil
 }
 
-func playSoak(o soak.Options) (*soak.Outcome, error) {
+func playSoak(o soak.Options) (*soak.Result, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
--- a/cmd/arrowcleat/soak_test.go
+++ b/cmd/arrowcleat/soak_test.go
@@ -105,47 +105,47 @@
 // Each check of the soak bites: a marshal process with a fault is found, by the check that is for it.
 func TestSoakFindsPlantedFaults(t *testing.T) {
 	ms := time.Millisecond
-	quiet := soak.Life{Load: 1500 * ms, End: soak.EndQuiet, NewFor: 300 * ms}
-	term := soak.Life{Load: 1500 * ms, End: soak.EndTerm, NewFor: 300 * ms}
+	quiet := soak.Process{LoadTime: 1500 * ms, End: soak.EndIdle, ConnectAfterTerm: 300 * ms}
+	term := soak.Process{LoadTime: 1500 * ms, End: soak.EndTerm, ConnectAfterTerm: 300 * ms}
 	for fault, c := range map[string]struct {
 		rule string // broken, or words of what is found otherwise
-		life soak.Life
+		life soak.Process
 	}{
 		"twice": {audit.Answered, term}, audit.Answered: {audit.Answered, term}, audit.Effects: {audit.Effects, term},
 		audit.OneOut: {audit.OneOut, term}, audit.Drain: {audit.Drain, term}, audit.Exposure: {audit.Exposure, term},
 		audit.Budget: {audit.Budget, term}, audit.Gone: {audit.Gone, term}, "close": {audit.Answered, term}, "discards": {audit.Answered, term},
 		"start": {"before it was ready", term}, "exit": {"exit status 3 after TERM", term}, "crash": {"it crashed", term},
-		"left over": {"at rest", quiet}, "strangers": {"neither an error nor a close", soak.Life{Load: 4500 * ms, End: soak.EndTerm}},
+		"left over": {"at rest", quiet}, "strangers": {"neither an error nor a close", soak.Process{LoadTime: 4500 * ms, End: soak.EndTerm}},
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
-			p := soak.Draw(7)
-			p.Marshals, p.Trouble, p.Events, p.Clients, p.Idle = 1, 0.4, 100*ms, 20, 400*ms
+			p := soak.RandomPlan(7)
+			p.Marshals, p.NodeFaultShare, p.EventInterval, p.Clients, p.NodeIdleTimeout = 1, 0.4, 100*ms, 20, 400*ms
 			p.Classes = soak.AllClasses(900 * ms)
-			p.Lives = [][]soak.Life{{c.life}}
-			p.Crowd, p.Asking, p.Half, p.Leave = 0, 0, 0, 0.1
-			p.Machine, p.Spoilt = false, 0
+			p.Processes = [][]soak.Process{{c.life}}
+			p.BurstConns, p.BurstRequests, p.PartialShare, p.LeaveShare = 0, 0, 0, 0.1
+			p.MachineFaults, p.ConnFaultShare = false, 0
 			switch fault {
 			case "strangers":
-				p.Crowd = 20
+				p.BurstConns = 20
 			case audit.Gone:
-				p.Leave = 0.6
+				p.LeaveShare = 0.6
 			case "discards": // many connections rest when the marshal stops
-				p.Rests, p.Clients = 0.8, 40
+				p.LongPauseShare, p.Clients = 0.8, 40
 			case audit.Drain: // a node has to be there still when its grace is over
-				p.Kinds = []soak.Event{soak.Drain, soak.Grow}
-				p.Lives[0][0].Load = 3 * time.Second
+				p.EventKinds = []soak.Event{soak.DrainNode, soak.AddNode}
+				p.Processes[0][0].LoadTime = 3 * time.Second
 			case audit.Exposure: // a build has to be on trial for a while
-				p.Kinds, p.Events = []soak.Event{soak.Advance}, 700*ms
-				p.Caps, p.Free, p.Window = []float64{0.05, 1}, 0, time.Second
-				p.Lives[0][0].Load = 4 * time.Second
+				p.EventKinds, p.EventInterval = []soak.Event{soak.ChangeRelease}, 700*ms
+				p.Caps, p.Allowance, p.CapWindow = []float64{0.05, 1}, 0, time.Second
+				p.Processes[0][0].LoadTime = 4 * time.Second
 			}
 			o, err := soak.Run(soak.Options{Plan: p, Dir: keptFolder(t), Program: []string{os.Args[0], "platform"},
 				Env: []string{asProgram + "=1", exitAtOnce, fmt.Sprintf("%s=%s", planted, fault)}})
 			if err != nil {
 				t.Fatal(err)
 			}
-			found := slices.Contains(o.RulesBroken, c.rule) || strings.Contains(strings.Join(o.Faults, "; "), c.rule)
+			found := slices.Contains(o.RulesBroken, c.rule) || strings.Contains(strings.Join(o.Findings, "; "), c.rule)
 			if o.Clean() || !found {
 				var out bytes.Buffer
 				o.Print(&out)
--- a/cmd/arrowcleat/standin.go
+++ b/cmd/arrowcleat/standin.go
@@ -88,18 +88,18 @@
 }
 
 func runNode(set *settings.Standin, w *record.Writer) error {
-	n := standin.FromSettings(set)
-	n.Seen = seen(w)
+	n := standin.NewNode(set)
+	n.Record = seen(w)
 	if err := n.Start(set.Address); err != nil {
 		return badInput{err}
 	}
 	fmt.Println(n.Address())
 	defer n.Kill()
-	return untilTold(func() error { return n.Commands(os.Stdin) })
+	return untilTold(func() error { return n.ReadCommands(os.Stdin) })
 }
 
 func runRoster(set *settings.Standin, w *record.Writer) error {
-	r := &standin.Roster{Seen: seen(w)}
+	r := &standin.Registry{Record: seen(w)}
 	if err := r.Start(set.Address); err != nil {
 		return badInput{err}
 	}
@@ -113,7 +113,7 @@
 	}
 	fmt.Println(r.Address())
 	return untilTold(func() error {
-		return standin.Lines(os.Stdin, func(text string) error {
+		return standin.ForEachLine(os.Stdin, func(text string) error {
 			line, err := control.ParseNode(text)
 			if err == nil {
 				r.Set(line, time.Duration(line.UptimeMs*float64(time.Millisecond)))
@@ -124,8 +124,8 @@
 }
 
 func runConveyor(set *settings.Standin, w *record.Writer) error {
-	c := &standin.Conveyor{Rollout: set.Rollout, Every: 2 * time.Second, Seen: seen(w),
-		Fleet: func(int, float64) func() bool { return func() bool { return true } }, Back: func(int) {}}
+	c := &standin.RolloutService{Rollout: set.Rollout, ResendInterval: 2 * time.Second, Record: seen(w),
+		Deploy: func(int, float64) func() bool { return func() bool { return true } }, Undeploy: func(int) {}}
 	if set.Rollout == nil || len(set.Rollout.Stage) == 0 {
 		return badInput{errors.New("rollout.stage is missing: which stages?")}
 	}
@@ -135,12 +135,12 @@
 	defer c.Close()
 	fmt.Println(c.Address())
 	return untilTold(func() error {
-		err := standin.Lines(os.Stdin, func(text string) error {
+		err := standin.ForEachLine(os.Stdin, func(text string) error {
 			var ver int
 			if _, err := fmt.Sscanf(text, "offer %d", &ver); err != nil {
 				return fmt.Errorf("%.40q is not: offer VER", text)
 			}
-			c.Offer(ver)
+			c.StartRollout(ver)
 			return nil
 		})
 		if ver, stage, phase, _ := c.State(); phase == balance.OnTrial {
--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -181,7 +181,7 @@
 		fmt.Fprintf(&b, "%s: %s\r\n", set.Headers.Mark, v.mark)
 	}
 	if v.bad {
-		b.WriteString(standin.BadHeader + ": 1\r\n")
+		b.WriteString(standin.BadRequestHeader + ": 1\r\n")
 	}
 	if v.try > 1 && set.Headers.Retry != "" {
 		fmt.Fprintf(&b, "%s: %d\r\n", set.Headers.Retry, v.try)
@@ -321,7 +321,7 @@
 	if resp.Header.Get("X-Answer") == standin.WrongValue {
 		if node, err := strconv.ParseUint(resp.Header.Get("X-Node"), 10, 32); err == nil {
 			c.w.after(500*time.Millisecond, func() {
-				c.w.conveyor.Flag(v.marshal, uint32(node), v.op, time.Since(begun))
+				c.w.conveyor.SendWrongAnswer(v.marshal, uint32(node), v.op, time.Since(begun))
 			})
 		}
 	}
--- a/internal/day/parts.go
+++ b/internal/day/parts.go
@@ -33,8 +33,8 @@
 		set.Record = filepath.Join(w.Dir, fmt.Sprintf("node-%d-%d.seen", set.Node, set.Seed))
 		return w.spawn(fmt.Sprintf("node-%d-%d", set.Node, set.Seed), set, "standin", "node")
 	}
-	n := standin.FromSettings(set)
-	n.Seen = w.see
+	n := standin.NewNode(set)
+	n.Record = w.see
 	return n, n.Start("127.0.0.1:0")
 }
 
--- a/internal/day/trouble.go
+++ b/internal/day/trouble.go
@@ -158,14 +158,14 @@
 func conveyorDown(w *world, t *settings.Trouble, _ *rand.Rand) func() {
 	switch t.How {
 	case "errors":
-		w.conveyor.Trouble(false, true)
+		w.conveyor.SetFaults(false, true)
 	case "stale":
 		w.lagBy(&w.conveyorLag, time.Duration(t.Extra*float64(time.Second)))
 	default:
-		w.conveyor.Trouble(true, false)
+		w.conveyor.SetFaults(true, false)
 	}
 	return func() {
-		w.conveyor.Trouble(false, false)
+		w.conveyor.SetFaults(false, false)
 		w.lagBy(&w.conveyorLag, 0)
 	}
 }
--- a/internal/day/world.go
+++ b/internal/day/world.go
@@ -57,8 +57,8 @@
 	cancel   context.CancelFunc
 	tasks    tasks
 	begun    time.Time
-	roster   *standin.Roster
-	conveyor *standin.Conveyor
+	roster   *standin.Registry
+	conveyor *standin.RolloutService
 	marshals []*aMarshal
 	clients  *clients
 	hooks    serve.Hooks
@@ -201,12 +201,12 @@
 
 func (w *world) play() error {
 	p := w.Plan
-	w.roster = &standin.Roster{Lag: w.lag(p.RosterLagMs, &w.rosterLag), Seen: w.see}
+	w.roster = &standin.Registry{Delay: w.lag(p.RosterLagMs, &w.rosterLag), Record: w.see}
 	if err := w.roster.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
-	w.conveyor = &standin.Conveyor{Rollout: p.Settings.Rollout, Lag: w.lag(p.ConveyorLagMs, &w.conveyorLag),
-		Every: 2 * time.Second, Seen: w.see, Fleet: w.fleet, Back: w.takeBack}
+	w.conveyor = &standin.RolloutService{Rollout: p.Settings.Rollout, Delay: w.lag(p.ConveyorLagMs, &w.conveyorLag),
+		ResendInterval: 2 * time.Second, Record: w.see, Deploy: w.fleet, Undeploy: w.takeBack}
 	if err := w.conveyor.Start("127.0.0.1:0", 1); err != nil {
 		return err
 	}
@@ -268,7 +268,7 @@
 		w.faults[ver] = b
 		w.after(seconds(b.AtS), func() {
 			w.say("build %d is offered (%s)", ver, faultText(b))
-			w.conveyor.Offer(ver)
+			w.conveyor.StartRollout(ver)
 		})
 		if b.Shared > 0 {
 			w.background(func() { w.shared(ver, b.Shared) })
@@ -323,21 +323,21 @@
 		case <-time.After(time.Duration(period * float64(time.Millisecond))):
 		}
 		type of struct{ ver, op int }
-		sums := map[of]standin.Count{}
+		sums := map[of]standin.OperationStats{}
 		w.mu.Lock()
 		for _, s := range w.slots {
 			if n, ok := s.node.(*standin.Node); ok {
-				for op, c := range n.Counts() {
+				for op, c := range n.TakeStats() {
 					k := of{n.Ver, op}
 					sum := sums[k]
-					sum.Samples, sum.Errors, sum.Time = sum.Samples+c.Samples, sum.Errors+c.Errors, sum.Time+c.Time
+					sum.Samples, sum.Errors, sum.TotalMs = sum.Samples+c.Samples, sum.Errors+c.Errors, sum.TotalMs+c.TotalMs
 					sums[k] = sum
 				}
 			}
 		}
 		w.mu.Unlock()
 		for k, c := range sums {
-			w.conveyor.Tally(k.ver, k.op, c, 0)
+			w.conveyor.SendBuildStats(k.ver, k.op, c, 0)
 		}
 	}
 }
@@ -402,7 +402,7 @@
 func (w *world) takeBack(ver int) {
 	to := 0
 	for v := range w.conveyor.Released {
-		if v != ver && !w.conveyor.Taken[v] {
+		if v != ver && !w.conveyor.RolledBack[v] {
 			to = max(to, v)
 		}
 	}
--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -46,7 +46,7 @@
 		0: func(whole int) bool { return whole == connections },
 		1: func(whole int) bool { return whole > 0 && whole < connections }, // some are late or held, and whole in the end
 	} {
-		p := &Proxy{To: to, Trouble: trouble, Late: true, Seed: 1}
+		p := &Proxy{Target: to, FaultShare: trouble, AllowDelays: true, Seed: 1}
 		address, err := p.Start()
 		if err != nil {
 			t.Fatal(err)
@@ -83,7 +83,7 @@
 	if _, err := m.Connect(context.Background(), "tcp", to); !errors.Is(err, syscall.EADDRNOTAVAIL) {
 		t.Errorf("connecting: %v", err)
 	}
-	if ahead := time.Until(m.Wall()); ahead < time.Hour-time.Minute {
+	if ahead := time.Until(m.WallClock()); ahead < time.Hour-time.Minute {
 		t.Errorf("the wall clock is %v ahead", ahead)
 	}
 	time.Sleep(60 * time.Millisecond)
--- a/internal/faults/machine.go
+++ b/internal/faults/machine.go
@@ -62,7 +62,7 @@
 
 // Hooks hands the machine to a marshal.
 func (m *Machine) Hooks() serve.Hooks {
-	return serve.Hooks{Clock: slowClock{loop.Monotonic(), m}, Listen: m.Listen, Connect: m.Connect, WallClock: m.Wall}
+	return serve.Hooks{Clock: slowClock{loop.Monotonic(), m}, Listen: m.Listen, Connect: m.Connect, WallClock: m.WallClock}
 }
 
 func (m *Machine) upTo(most time.Duration) time.Duration {
@@ -95,8 +95,8 @@
 	return nil
 }
 
-// Wall is the wall clock, with its steps so far.
-func (m *Machine) Wall() time.Time {
+// WallClock is the wall clock, with its steps so far.
+func (m *Machine) WallClock() time.Time {
 	now := time.Now()
 	for _, s := range m.steps {
 		if time.Since(m.started) >= s.at {
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -11,9 +11,9 @@
 // Proxy stands before a server and spoils some of the connections to it. What goes to the server passes at once or not at all, so that who
 // looks there sees when it was sent; what comes back may be late, cut, reset, held, or never come.
 type Proxy struct {
-	To      string  // the server's address
-	Trouble float64 // the share of connections that are spoilt
-	Late    bool    // what comes back may be late or held; else the connection may only be reset or cut
+	Target      string  // the server's address
+	FaultShare float64 // the share of connections that are spoilt
+	AllowDelays    bool    // what comes back may be late or held; else the connection may only be reset or cut
 	Seed    uint64
 
 	ln    net.Listener
@@ -98,10 +98,10 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	kinds := int(faults)
-	if !p.Late {
+	if !p.AllowDelays {
 		kinds = int(faultCut) + 1
 	}
-	return fault(p.rnd.IntN(kinds)), p.rnd.IntN(spoilAfter), p.rnd.Float64(), p.rnd.Float64() < p.Trouble
+	return fault(p.rnd.IntN(kinds)), p.rnd.IntN(spoilAfter), p.rnd.Float64(), p.rnd.Float64() < p.FaultShare
 }
 
 // reset has a connection's other side see that it broke.
@@ -110,7 +110,7 @@
 func (p *Proxy) pass(client *net.TCPConn) {
 	defer p.drop(client)
 	kind, after, wait, spoilt := p.draw()
-	up, err := net.Dial("tcp", p.To)
+	up, err := net.Dial("tcp", p.Target)
 	if err != nil {
 		reset(client)
 		return
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -303,7 +303,7 @@
 	cmd     *exec.Cmd
 	in      io.Closer
 	address string
-	roster  *standin.Roster
+	roster  *standin.Registry
 }
 
 func (o Options) spawn(args ...string) (*child, error) {
@@ -381,7 +381,7 @@
 }
 
 func startMarshal(o Options, n *fleet) (*child, error) {
-	r := &standin.Roster{}
+	r := &standin.Registry{}
 	if err := r.Start("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
--- a/internal/serve/rig_test.go
+++ b/internal/serve/rig_test.go
@@ -50,7 +50,7 @@
 	t             *testing.T
 	settings      *settings.Settings
 	m             *Marshal
-	registry      *standin.Roster
+	registry      *standin.Registry
 	mu            sync.Mutex
 	paths         []string // paths of the requests that reached nodes, in order
 	wg            sync.WaitGroup
@@ -73,7 +73,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &testRig{t: t, settings: set, registry: &standin.Roster{}, release: make(chan struct{})}
+	r := &testRig{t: t, settings: set, registry: &standin.Registry{}, release: make(chan struct{})}
 	if err := r.registry.Start("127.0.0.1:0"); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -446,7 +446,7 @@
 		t.Error("a killed marshal accepts connections")
 		c.Close()
 	}
-	r.registry.Drop()
+	r.registry.DropConnections()
 	r.settings.Roster.Address = "127.0.0.1:1"
 	again, err := Start(r.settings, r.m.Log, Hooks{})
 	if err != nil {
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -43,7 +43,7 @@
 // after TERM, have requests cross the end of connections that rest.
 func (c *client) pause() time.Duration {
 	switch {
-	case c.rnd.Float64() < c.m.run.plan.Rests:
+	case c.rnd.Float64() < c.m.run.plan.LongPauseShare:
 		return between(c.rnd, 450*time.Millisecond, 1200*time.Millisecond)
 	case c.rnd.IntN(30) == 0:
 		return between(c.rnd, 100*time.Millisecond, time.Second)
@@ -99,7 +99,7 @@
 
 // send writes a request, some in two pieces with a while between them.
 func (c *client) send(text string) error {
-	if c.rnd.Float64() < c.m.run.plan.Pause {
+	if c.rnd.Float64() < c.m.run.plan.SplitShare {
 		cut := 1 + c.rnd.IntN(len(text)-1)
 		if _, err := io.WriteString(c.nc, text[:cut]); err != nil {
 			return err
@@ -125,7 +125,7 @@
 		return false
 	}
 	r := c.draw()
-	if c.rnd.Float64() < c.m.run.plan.Half {
+	if c.rnd.Float64() < c.m.run.plan.PartialShare {
 		return c.half(r)
 	}
 	for again := false; ; again = true {
@@ -133,7 +133,7 @@
 		err := c.send(r.text)
 		asked := time.Now()
 		c.see(r, "asked", "", "", asked)
-		if err == nil && c.rnd.Float64() < c.m.run.plan.Leave && !again {
+		if err == nil && c.rnd.Float64() < c.m.run.plan.LeaveShare && !again {
 			c.life.wait(time.Duration(c.rnd.Float64() * 0.3 * float64(r.limit)))
 			if c.life.killed.Load() {
 				c.life.asking.Add(-1)
@@ -283,14 +283,14 @@
 // crowd opens many connections at once; some ask, the others say nothing.
 func (l *lifeRun) crowd(rnd *rand.Rand) {
 	p := l.m.run.plan
-	for i := range p.Crowd {
+	for i := range p.BurstConns {
 		seed := rnd.Uint64()
 		l.clients.Go(func() {
 			c := &client{m: l.m, life: l, rnd: rand.New(rand.NewPCG(seed, 1))}
 			if !c.connect() {
 				return
 			}
-			if i < p.Asking {
+			if i < p.BurstRequests {
 				defer c.drop()
 				c.ask()
 				return
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -14,11 +14,11 @@
 
 // The events.
 const (
-	Drain   Event = iota // a node drains, and then goes
-	Die                  // a node is killed; the list says so late
-	Grow                 // another node is listed
-	Silence              // the agents write nothing for a while
-	Advance              // the newest build goes on, or back, or another comes
+	DrainNode   Event = iota // a node drains, and then goes
+	KillNode                  // a node is killed; the list says so late
+	AddNode                 // another node is listed
+	SilenceAgents              // the agents write nothing for a while
+	ChangeRelease              // the newest build goes on, or back, or another comes
 )
 
 // playEvents has things happen to nodes, lists and builds until it is told to end.
@@ -26,14 +26,14 @@
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	rnd := rand.New(rand.NewPCG(w.run.plan.Seed, 4))
-	events := map[Event]func(*rand.Rand, <-chan struct{}){Drain: w.drain, Die: w.die, Grow: w.grow, Silence: w.silence, Advance: w.advance}
-	kinds := w.run.plan.Kinds
+	events := map[Event]func(*rand.Rand, <-chan struct{}){DrainNode: w.drain, KillNode: w.die, AddNode: w.grow, SilenceAgents: w.silence, ChangeRelease: w.advance}
+	kinds := w.run.plan.EventKinds
 	wg.Go(func() {
 		for {
 			select {
 			case <-done:
 				return
-			case <-time.After(between(rnd, w.run.plan.Events/2, 2*w.run.plan.Events)):
+			case <-time.After(between(rnd, w.run.plan.EventInterval/2, 2*w.run.plan.EventInterval)):
 			}
 			event, seed := events[kinds[rnd.IntN(len(kinds))]], rnd.Uint64()
 			wg.Go(func() { event(rand.New(rand.NewPCG(seed, 5)), done) })
@@ -48,7 +48,7 @@
 	var all []standin.Host
 	for i := 1; i <= w.next; i++ { // in an order that the seed gives
 		for _, h := range w.hosts {
-			if int(h.Number) == i && h.Health == standin.InService {
+			if int(h.NodeID) == i && h.Health == standin.InService {
 				all = append(all, h)
 			}
 		}
@@ -84,7 +84,7 @@
 	if !ok {
 		return
 	}
-	sleep(w.run.plan.Grace+between(rnd, 0, 800*time.Millisecond), done)
+	sleep(w.run.plan.DrainGrace+between(rnd, 0, 800*time.Millisecond), done)
 	w.mu.Lock()
 	h.Health = standin.Terminated
 	w.set(h)
@@ -124,14 +124,14 @@
 // silence has the agents write nothing for a while.
 func (w *world) silence(rnd *rand.Rand, done <-chan struct{}) {
 	w.mu.Lock()
-	agents := append([]*standin.Agent{}, w.all...)
+	agents := append([]*standin.DiscoveryAgent{}, w.all...)
 	w.mu.Unlock()
 	for _, a := range agents {
-		a.Silence(true)
+		a.SetSilent(true)
 	}
 	sleep(between(rnd, 200*time.Millisecond, 4*time.Second), done)
 	for _, a := range agents {
-		a.Silence(false)
+		a.SetSilent(false)
 	}
 }
 
--- a/internal/soak/life.go
+++ b/internal/soak/life.go
@@ -20,7 +20,7 @@
 
 // lifeRun is one process of a marshal, and the clients of its life.
 type lifeRun struct {
-	Life
+	Process
 	m       *marshalRun
 	log     string // file
 	cmd     *exec.Cmd
@@ -36,11 +36,11 @@
 	strangers, asking atomic.Int64
 }
 
-// FaultSeed is the variable that tells a process the seed of its machine's faults; without it the machine has none.
-const FaultSeed = "ARROWCLEAT_FAULT_SEED"
+// FaultSeedEnv is the variable that tells a process the seed of its machine's faults; without it the machine has none.
+const FaultSeedEnv = "ARROWCLEAT_FAULT_SEED"
 
 // start starts the process. What the agent and the configuration have counts as told from its first moment.
-func (m *marshalRun) start(number int, l Life) (*lifeRun, error) {
+func (m *marshalRun) start(number int, l Process) (*lifeRun, error) {
 	file := filepath.Join(m.run.dir, fmt.Sprintf("marshal-%d-life-%d.log", m.number, number))
 	log, err := os.Create(file)
 	if err != nil {
@@ -54,12 +54,12 @@
 	if err := m.move(); err != nil {
 		return nil, err
 	}
-	r := &lifeRun{Life: l, m: m, log: file, exited: make(chan struct{}), ended: make(chan struct{})}
+	r := &lifeRun{Process: l, m: m, log: file, exited: make(chan struct{}), ended: make(chan struct{})}
 	args := append(append([]string{}, m.run.opts.Program[1:]...), "--log", "debug")
 	r.cmd = exec.Command(m.run.opts.Program[0], args...)
 	r.cmd.Env = append(append(os.Environ(), m.run.opts.Env...), "GW_CONFIG="+m.config)
-	if m.run.plan.Machine {
-		r.cmd.Env = append(r.cmd.Env, fmt.Sprintf("%s=%d", FaultSeed, m.run.plan.Seed<<16|uint64(m.number)<<8|uint64(number)))
+	if m.run.plan.MachineFaults {
+		r.cmd.Env = append(r.cmd.Env, fmt.Sprintf("%s=%d", FaultSeedEnv, m.run.plan.Seed<<16|uint64(m.number)<<8|uint64(number)))
 	}
 	r.cmd.Stderr = log
 	m.see("up")
@@ -131,7 +131,7 @@
 }
 
 // play plays one life.
-func (m *marshalRun) play(number int, l Life) error {
+func (m *marshalRun) play(number int, l Process) error {
 	r, err := m.start(number, l)
 	if err != nil {
 		return err
@@ -141,7 +141,7 @@
 		r.clients.Wait()
 		r.ownWord()
 	}()
-	if l.End == EndBeforeLoad {
+	if l.End == EndBeforeReady {
 		return r.endBeforeReady()
 	}
 	if err := r.ready(); err != nil {
@@ -149,7 +149,7 @@
 		return err
 	}
 	var rest holds
-	if l.End == EndQuiet {
+	if l.End == EndIdle {
 		if rest, err = r.atRest(); err != nil {
 			return err
 		}
@@ -159,7 +159,7 @@
 		c := &client{m: m, life: r, rnd: rand.New(rand.NewPCG(m.rnd.Uint64(), 2))}
 		r.clients.Go(c.run)
 	}
-	if m.run.plan.Crowd > 0 && number == 0 {
+	if m.run.plan.BurstConns > 0 && number == 0 {
 		r.crowd(m.rnd)
 	}
 	if err := r.signals(ready); err != nil {
@@ -169,7 +169,7 @@
 	case EndKill:
 		r.kill()
 		return nil
-	case EndQuiet:
+	case EndIdle:
 		r.endLoad()
 		r.clients.Wait()
 		if err := r.leftOver(rest); err != nil {
@@ -187,7 +187,7 @@
 	if err := r.send(r.Signals, ready); err != nil {
 		return err
 	}
-	time.Sleep(time.Until(ready.Add(r.Load)))
+	time.Sleep(time.Until(ready.Add(r.LoadTime)))
 	select {
 	case <-r.exited:
 		return fmt.Errorf("it crashed: %w", errors.Join(r.err, errors.New("before it was told to end")))
@@ -229,19 +229,19 @@
 func (r *lifeRun) terminate() error {
 	r.m.see("stopping")
 	told := time.Now()
-	r.until.Store(told.Add(r.NewFor).UnixNano())
+	r.until.Store(told.Add(r.ConnectAfterTerm).UnixNano())
 	r.cmd.Process.Signal(syscall.SIGTERM)
-	if r.Hang {
+	if r.HangNodes {
 		r.m.run.world.hung.Add(1)
 		defer r.m.run.world.hung.Add(-1)
 	}
-	if r.End == EndTwice {
-		time.Sleep(r.Second)
+	if r.End == EndTermTwice {
+		time.Sleep(r.TermDelay)
 		r.cmd.Process.Signal(syscall.SIGTERM)
 	}
 	var last sync.WaitGroup
 	defer last.Wait()
-	last.Go(func() { r.send(r.Last, told) }) // what can't be sent has nobody to get it any more
+	last.Go(func() { r.send(r.SignalsAfterTerm, told) }) // what can't be sent has nobody to get it any more
 	select {
 	case <-r.exited:
 		if r.err != nil {
@@ -260,7 +260,7 @@
 
 // endBeforeReady tells a process to end that may not be ready yet. Before it can take signals, one ends it.
 func (r *lifeRun) endBeforeReady() error {
-	time.Sleep(r.Second)
+	time.Sleep(r.TermDelay)
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	select {
 	case <-r.exited:
@@ -337,7 +337,7 @@
 
 // leftOver looks whether the process holds more than at rest, once connections to nodes have had their time.
 func (r *lifeRun) leftOver(rest holds) error {
-	idle := r.m.run.plan.Idle
+	idle := r.m.run.plan.NodeIdleTimeout
 	if idle > longestCounted { // they may stay
 		return nil
 	}
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -46,21 +46,21 @@
 // Ways in which a life ends.
 const (
 	EndTerm       = "term"       // TERM, and KILL at the earliest that the protocol allows
-	EndTwice      = "term twice" // a second TERM soon after
+	EndTermTwice      = "term twice" // a second TERM soon after
 	EndKill       = "kill"       // without a word
-	EndQuiet      = "quiet"      // the load ends; what the process holds is looked at; then TERM
-	EndBeforeLoad = "not ready"  // TERM before it is ready
+	EndIdle      = "quiet"      // the load ends; what the process holds is looked at; then TERM
+	EndBeforeReady = "not ready"  // TERM before it is ready
 )
 
-// Life is one process of a marshal.
-type Life struct {
-	Load    time.Duration // from when it is ready until its end begins
+// Process is one process of a marshal.
+type Process struct {
+	LoadTime    time.Duration // from when it is ready until its end begins
 	Signals []Signal
-	Last    []Signal // that come after TERM, since then
+	SignalsAfterTerm    []Signal // that come after TERM, since then
 	End     string
-	Hang    bool          // from TERM on nodes take what they get and never answer
-	Second  time.Duration // between the two TERMs, or from the start to the TERM that comes before it is ready
-	NewFor  time.Duration // how long new connections come after TERM
+	HangNodes    bool          // from TERM on nodes take what they get and never answer
+	TermDelay  time.Duration // between the two TERMs, or from the start to the TERM that comes before it is ready
+	ConnectAfterTerm  time.Duration // how long new connections come after TERM
 }
 
 // Class is one class of requests.
@@ -68,8 +68,8 @@
 	Name   string
 	Repeat settings.Repeat
 	Limit  time.Duration
-	Memory time.Duration
-	Group  string
+	DedupWindow time.Duration
+	DedupGroup  string
 }
 
 // Plan is all that a run is drawn from: the same seed plays the same plan.
@@ -78,29 +78,29 @@
 	Zones    []string
 	Classes  []Class
 	Marshals int
-	Peers    bool
+	PeerMessages    bool
 	Sockets  int
-	Idle     time.Duration // of connections to nodes
-	Dial     time.Duration
-	Grace    time.Duration
+	NodeIdleTimeout     time.Duration // of connections to nodes
+	DialTimeout     time.Duration
+	DrainGrace    time.Duration
 	Caps     []float64
-	Free     float64
-	Window   time.Duration
+	Allowance     float64
+	CapWindow   time.Duration
 	Nodes    int
 	Clients  int // of each marshal
-	Crowd    int // connections that come at once; 0 for none
-	Asking   int // of them, those that send a request
-	Pieces   bool
-	Leave    float64 // share of requests whose client leaves before its answer
-	Half     float64 // of those that are sent by half only
-	Pause    float64 // of those that are sent in two pieces
-	Rests    float64 // of clients' pauses, those that are about as long as a marshal drains
-	Machine  bool    // the marshals' machines have faults: package faults
-	Spoilt   float64 // share of the connections between marshals and nodes, agent and release API that are spoilt on the way
-	Trouble  float64 // share of requests that a node deals with otherwise than well
-	Events   time.Duration
-	Kinds    []Event  // what may happen to nodes, lists and builds; those named twice twice as often
-	Lives    [][]Life // by marshal
+	BurstConns    int // connections that come at once; 0 for none
+	BurstRequests   int // of them, those that send a request
+	SplitLines   bool
+	LeaveShare    float64 // share of requests whose client leaves before its answer
+	PartialShare     float64 // of those that are sent by half only
+	SplitShare    float64 // of those that are sent in two pieces
+	LongPauseShare    float64 // of clients' pauses, those that are about as long as a marshal drains
+	MachineFaults  bool    // the marshals' machines have faults: package faults
+	ConnFaultShare   float64 // share of the connections between marshals and nodes, agent and release API that are spoilt on the way
+	NodeFaultShare  float64 // share of requests that a node deals with otherwise than well
+	EventInterval   time.Duration
+	EventKinds    []Event  // what may happen to nodes, lists and builds; those named twice twice as often
+	Processes    [][]Process // by marshal
 }
 
 func between(rnd *rand.Rand, least, most time.Duration) time.Duration {
@@ -112,31 +112,31 @@
 // AllClasses has one class of each kind, with the same limit.
 func AllClasses(limit time.Duration) []Class {
 	return []Class{{Name: "look", Repeat: settings.Repeat_IDEMPOTENT, Limit: limit},
-		{Name: "book", Repeat: settings.Repeat_FINGERPRINTED, Limit: limit, Group: "zone", Memory: limit / 4},
+		{Name: "book", Repeat: settings.Repeat_FINGERPRINTED, Limit: limit, DedupGroup: "zone", DedupWindow: limit / 4},
 		{Name: "once", Repeat: settings.Repeat_SIDE_EFFECTING, Limit: limit}}
 }
 
-// Draw makes the plan of a seed.
-func Draw(seed uint64) *Plan {
+// RandomPlan makes the plan of a seed.
+func RandomPlan(seed uint64) *Plan {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	ms := time.Millisecond
-	p := &Plan{Seed: seed, Marshals: 1 + rnd.IntN(2), Peers: rnd.IntN(2) == 0, Sockets: pick(rnd, 200, 256, 400),
-		Idle: pick(rnd, 400*ms, 1000*ms, 30000*ms), Dial: pick(rnd, 100*ms, 250*ms), Grace: pick(rnd, 300*ms, 500*ms),
-		Caps: pick(rnd, []float64{0.1, 1}, []float64{0.2, 0.5, 1}), Free: float64(rnd.IntN(4)), Window: pick(rnd, 1000*ms, 2000*ms),
-		Nodes: 4 + rnd.IntN(5), Clients: 6 + rnd.IntN(15), Pieces: rnd.IntN(2) == 0, Leave: 0.08 * rnd.Float64(),
-		Half: pick(rnd, 0, 0.005, 0.02), Trouble: 0.3 * rnd.Float64(),
-		Events: between(rnd, 120*ms, 500*ms), Kinds: []Event{Drain, Die, Grow, Silence, Advance, Advance}}
-	p.Rests = pick(rnd, 0, 0.1, 0.5)
-	p.Pause = pick(rnd, 0, 0.1)
-	p.Machine, p.Spoilt = rnd.IntN(2) == 0, pick(rnd, 0, 0.1, 0.3)
+	p := &Plan{Seed: seed, Marshals: 1 + rnd.IntN(2), PeerMessages: rnd.IntN(2) == 0, Sockets: pick(rnd, 200, 256, 400),
+		NodeIdleTimeout: pick(rnd, 400*ms, 1000*ms, 30000*ms), DialTimeout: pick(rnd, 100*ms, 250*ms), DrainGrace: pick(rnd, 300*ms, 500*ms),
+		Caps: pick(rnd, []float64{0.1, 1}, []float64{0.2, 0.5, 1}), Allowance: float64(rnd.IntN(4)), CapWindow: pick(rnd, 1000*ms, 2000*ms),
+		Nodes: 4 + rnd.IntN(5), Clients: 6 + rnd.IntN(15), SplitLines: rnd.IntN(2) == 0, LeaveShare: 0.08 * rnd.Float64(),
+		PartialShare: pick(rnd, 0, 0.005, 0.02), NodeFaultShare: 0.3 * rnd.Float64(),
+		EventInterval: between(rnd, 120*ms, 500*ms), EventKinds: []Event{DrainNode, KillNode, AddNode, SilenceAgents, ChangeRelease, ChangeRelease}}
+	p.LongPauseShare = pick(rnd, 0, 0.1, 0.5)
+	p.SplitShare = pick(rnd, 0, 0.1)
+	p.MachineFaults, p.ConnFaultShare = rnd.IntN(2) == 0, pick(rnd, 0, 0.1, 0.3)
 	if rnd.IntN(fleetEvery) == 0 {
 		p.Marshals, p.Clients = 12+rnd.IntN(12), 3
 	}
 	p.Zones = pick(rnd, []string{"here"}, []string{"here", "there"}, nil)
 	p.Classes = []Class{{Name: "look", Repeat: settings.Repeat_IDEMPOTENT}}
 	if rnd.IntN(3) > 0 {
-		p.Classes = append(p.Classes, Class{Name: "book", Repeat: settings.Repeat_FINGERPRINTED, Group: pick(rnd, "zone", "all"),
-			Memory: pick(rnd, 150*ms, 600*ms, 8000*ms)})
+		p.Classes = append(p.Classes, Class{Name: "book", Repeat: settings.Repeat_FINGERPRINTED, DedupGroup: pick(rnd, "zone", "all"),
+			DedupWindow: pick(rnd, 150*ms, 600*ms, 8000*ms)})
 	}
 	if rnd.IntN(3) > 0 {
 		p.Classes = append(p.Classes, Class{Name: "once", Repeat: settings.Repeat_SIDE_EFFECTING})
@@ -145,15 +145,15 @@
 		p.Classes[i].Limit = pick(rnd, 300*ms, 500*ms, 900*ms, 1500*ms, 6000*ms)
 	}
 	if rnd.IntN(3) == 0 {
-		p.Crowd = 100 + rnd.IntN(200)
-		p.Asking = max(0, p.Sockets/3-p.Clients-10) / 2
+		p.BurstConns = 100 + rnd.IntN(200)
+		p.BurstRequests = max(0, p.Sockets/3-p.Clients-10) / 2
 	}
 	for range p.Marshals {
-		var lives []Life
+		var lives []Process
 		for range 2 {
 			lives = append(lives, drawLife(rnd))
 		}
-		p.Lives = append(p.Lives, lives)
+		p.Processes = append(p.Processes, lives)
 	}
 	return p
 }
@@ -161,32 +161,32 @@
 // fleetEvery is one of how many runs has a few dozen processes.
 const fleetEvery = 10
 
-func drawLife(rnd *rand.Rand) Life {
+func drawLife(rnd *rand.Rand) Process {
 	ms := time.Millisecond
-	l := Life{Load: between(rnd, 600*ms, 2400*ms), NewFor: between(rnd, 200*ms, 400*ms),
-		End: pick(rnd, EndTerm, EndTerm, EndTerm, EndTwice, EndKill, EndQuiet, EndBeforeLoad)}
+	l := Process{LoadTime: between(rnd, 600*ms, 2400*ms), ConnectAfterTerm: between(rnd, 200*ms, 400*ms),
+		End: pick(rnd, EndTerm, EndTerm, EndTerm, EndTermTwice, EndKill, EndIdle, EndBeforeReady)}
 	switch l.End {
-	case EndTwice:
-		l.Second = between(rnd, 0, 300*ms)
-	case EndBeforeLoad:
-		l.Second = between(rnd, 0, 60*ms)
+	case EndTermTwice:
+		l.TermDelay = between(rnd, 0, 300*ms)
+	case EndBeforeReady:
+		l.TermDelay = between(rnd, 0, 60*ms)
 	}
-	for at := between(rnd, 0, 600*ms); at < l.Load; at += between(rnd, 200*ms, 700*ms) {
+	for at := between(rnd, 0, 600*ms); at < l.LoadTime; at += between(rnd, 200*ms, 700*ms) {
 		l.Signals = append(l.Signals, Signal{at, pick(rnd, Pause, Pause, USR1, USR2)})
 	}
 	if rnd.IntN(2) == 0 {
-		l.Last = drawLast(rnd)
+		l.SignalsAfterTerm = drawLast(rnd)
 	}
-	l.Hang = rnd.IntN(3) == 0
-	if l.Load > firstHUP+100*ms && rnd.IntN(3) > 0 {
-		at := between(rnd, firstHUP+50*ms, l.Load)
+	l.HangNodes = rnd.IntN(3) == 0
+	if l.LoadTime > firstHUP+100*ms && rnd.IntN(3) > 0 {
+		at := between(rnd, firstHUP+50*ms, l.LoadTime)
 		series := pick(rnd, []string{Reload}, []string{Reload, HUP}, []string{HUP, HUP}, []string{Reload, USR1, HUP, USR2}, []string{Reload, Reload})
 		for _, name := range series {
 			l.Signals = append(l.Signals, Signal{at, name})
 			at += between(rnd, 0, 3*ms)
 		}
 		if rnd.IntN(2) == 0 {
-			l.Load = at // TERM during HUP
+			l.LoadTime = at // TERM during HUP
 		}
 	}
 	return l
@@ -203,14 +203,14 @@
 
 // settings are the plan's as the auditor reads them.
 func (p *Plan) settings() *settings.Settings {
-	s := &settings.Settings{Rules: &settings.Rules{AnswerSlackMs: float64(answerSlack.Milliseconds()), GraceMs: float64(p.Grace.Milliseconds())},
-		Rollout: &settings.Rollout{Allowance: p.Free, CountedOverMs: float64(p.Window.Milliseconds()), CapScope: "all"}}
+	s := &settings.Settings{Rules: &settings.Rules{AnswerSlackMs: float64(answerSlack.Milliseconds()), GraceMs: float64(p.DrainGrace.Milliseconds())},
+		Rollout: &settings.Rollout{Allowance: p.Allowance, CountedOverMs: float64(p.CapWindow.Milliseconds()), CapScope: "all"}}
 	for _, c := range p.Caps {
 		s.Rollout.Stage = append(s.Rollout.Stage, &settings.Stage{Cap: c})
 	}
 	for _, c := range p.Classes {
-		s.Operation = append(s.Operation, &settings.Operation{Name: c.Name, Repeat: c.Repeat, Group: c.Group, SloMs: float64(c.Limit.Milliseconds()),
-			LimitMs: float64(c.Limit.Milliseconds()), MemoryMs: float64(c.Memory.Milliseconds())})
+		s.Operation = append(s.Operation, &settings.Operation{Name: c.Name, Repeat: c.Repeat, Group: c.DedupGroup, SloMs: float64(c.Limit.Milliseconds()),
+			LimitMs: float64(c.Limit.Milliseconds()), MemoryMs: float64(c.DedupWindow.Milliseconds())})
 	}
 	return s
 }
@@ -224,7 +224,7 @@
 	for _, c := range p.Classes {
 		text := fmt.Sprintf(`{"name":%q,"aim-s":%g,"deadline-s":%g,"repeat":%q`, c.Name, c.Limit.Seconds()/2, c.Limit.Seconds(), repeats[c.Repeat])
 		if c.Repeat == settings.Repeat_FINGERPRINTED {
-			text += fmt.Sprintf(`,"group":%q,"window-s":%g`, c.Group, c.Memory.Seconds())
+			text += fmt.Sprintf(`,"group":%q,"window-s":%g`, c.DedupGroup, c.DedupWindow.Seconds())
 		}
 		classes = append(classes, text+"}")
 	}
@@ -240,8 +240,8 @@
 "domain":{"api-timeout-s":0.3,"api-rate":20.0,"vote-ttl-s":4.0,"most-shares":[%s],"stage-share":[%s],"counted-over-s":%g,"allowance":%g,
 "cap-scope":"all","gate-mode":"first_voice"},"request-classes":[%s]}}`,
 		m.number, m.address, m.agentAddress, p.Seed, p.Sockets, m.datagrams, strings.Join(m.run.quoted, ","), m.run.all, m.apiAddress,
-		news.JSON(), standin.Message(1, true, known), p.Marshals, m.number, strings.Join(zones, ","), p.Peers, p.Idle.Seconds(), p.Dial.Seconds(),
-		p.Grace.Seconds(), caps, caps, p.Window.Seconds(), p.Free, strings.Join(classes, ","))
+		news.JSON(), standin.DiscoveryMessage(1, true, known), p.Marshals, m.number, strings.Join(zones, ","), p.PeerMessages, p.NodeIdleTimeout.Seconds(), p.DialTimeout.Seconds(),
+		p.DrainGrace.Seconds(), caps, caps, p.CapWindow.Seconds(), p.Allowance, strings.Join(classes, ","))
 }
 
 // killAfter is when KILL comes after TERM, at the earliest that the protocol allows.
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -30,22 +30,22 @@
 	Dir     string   // for logs and configurations
 }
 
-// Outcome is what a run found.
-type Outcome struct {
+// Result is what a run found.
+type Result struct {
 	*audit.Report
 	Seed   uint64
-	Faults []string      // what the audit does not see: starts, ends, what is left over, strangers
-	HeldUp time.Duration // the longest that this process itself was
+	Findings []string      // what the audit does not see: starts, ends, what is left over, strangers
+	MaxSchedulingDelay time.Duration // the longest that this process itself was
 }
 
 // Clean says that nothing was found.
-func (o *Outcome) Clean() bool { return o.Report.Clean() && len(o.Faults) == 0 }
+func (o *Result) Clean() bool { return o.Report.Clean() && len(o.Findings) == 0 }
 
 // Print writes a line for the run, and one for each finding.
-func (o *Outcome) Print(out io.Writer) {
+func (o *Result) Print(out io.Writer) {
 	fmt.Fprintf(out, "seed %d: %d taken, %d succeeded, %d throttled, %d terminated, %d left, %d not taken; %d unanswered, broken %v, held up %v\n",
-		o.Seed, o.Invocations, o.Succeeded, o.Throttled, o.Terminated, o.Left, o.NotTaken, o.Unanswered, o.RulesBroken, o.HeldUp.Round(time.Millisecond))
-	for _, text := range append(append([]string{}, o.Faults...), o.Examples...) {
+		o.Seed, o.Invocations, o.Succeeded, o.Throttled, o.Terminated, o.Left, o.NotTaken, o.Unanswered, o.RulesBroken, o.MaxSchedulingDelay.Round(time.Millisecond))
+	for _, text := range append(append([]string{}, o.Findings...), o.Examples...) {
 		fmt.Fprintln(out, "  "+text)
 	}
 }
@@ -85,7 +85,7 @@
 }
 
 // Run plays a plan and audits it.
-func Run(o Options) (*Outcome, error) {
+func Run(o Options) (*Result, error) {
 	p := o.Plan
 	r := &run{plan: p, dir: o.Dir, opts: o}
 	heldUp := schedlag.Watch()
@@ -108,7 +108,7 @@
 		m.close()
 	}
 	r.world.close()
-	outcome := &Outcome{Report: audit.CheckWithin(p.settings(), bounds, r.seen), Seed: p.Seed, Faults: r.faults, HeldUp: heldUp()}
+	outcome := &Result{Report: audit.CheckWithin(p.settings(), bounds, r.seen), Seed: p.Seed, Findings: r.faults, MaxSchedulingDelay: heldUp()}
 	return outcome, r.writeSeen()
 }
 
@@ -130,7 +130,7 @@
 	address   string
 	datagrams string
 	config    string // file
-	agent     *standin.Agent
+	agent     *standin.DiscoveryAgent
 	api       *standin.ReleaseAPI
 	// Where the marshal reaches them: at a proxy, in some runs.
 	agentAddress, apiAddress string
@@ -188,7 +188,7 @@
 }
 
 func (m *marshalRun) live() {
-	for i, l := range m.run.plan.Lives[m.number] {
+	for i, l := range m.run.plan.Processes[m.number] {
 		if err := m.play(i, l); err != nil {
 			m.run.fault("marshal %d, life %d (%s): %v", m.number, i, l.End, err)
 		}
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -21,7 +21,7 @@
 	mu      sync.Mutex
 	nodes   map[string]*standin.PlatformNode
 	hosts   map[string]standin.Host
-	all     []*standin.Agent
+	all     []*standin.DiscoveryAgent
 	apis    []*standin.ReleaseAPI
 	proxies []*faults.Proxy
 	owned   []*loopback.Reservation
@@ -54,7 +54,7 @@
 		zone = w.next % len(w.run.plan.Zones)
 		site = w.run.plan.Zones[zone]
 	}
-	n := &standin.PlatformNode{ID: uint32(w.next), Ver: build, Zone: zone, Idle: w.run.plan.Idle, Reply: w.reply, Seen: w.run.see}
+	n := &standin.PlatformNode{ID: uint32(w.next), Ver: build, Zone: zone, IdleTimeout: w.run.plan.NodeIdleTimeout, Reply: w.reply, Record: w.run.see}
 	own, err := loopback.Reserve() // else its port may be another run's node's once it is killed
 	if err != nil {
 		return err
@@ -67,7 +67,7 @@
 	if err != nil {
 		return err
 	}
-	h := standin.Host{Name: fmt.Sprintf("s-%d", w.next), Number: n.ID, Address: address, Site: site, Zone: zone, Health: standin.InService, Build: build}
+	h := standin.Host{Name: fmt.Sprintf("s-%d", w.next), NodeID: n.ID, Address: address, Site: site, Zone: zone, Health: standin.InService, Build: build}
 	w.nodes[h.Name] = n
 	w.set(h)
 	return nil
@@ -76,10 +76,10 @@
 // through puts a proxy that spoils connections before an address, where the plan has it so; w.mu is held. The watch and the news may only
 // break: what is written there counts as told, however late it comes.
 func (w *world) through(address string, late bool) (string, error) {
-	if w.run.plan.Spoilt == 0 {
+	if w.run.plan.ConnFaultShare == 0 {
 		return address, nil
 	}
-	p := &faults.Proxy{To: address, Trouble: w.run.plan.Spoilt, Late: late, Seed: w.run.plan.Seed + uint64(len(w.proxies))<<32}
+	p := &faults.Proxy{Target: address, FaultShare: w.run.plan.ConnFaultShare, AllowDelays: late, Seed: w.run.plan.Seed + uint64(len(w.proxies))<<32}
 	address, err := p.Start()
 	if err == nil {
 		w.proxies = append(w.proxies, p)
@@ -103,27 +103,27 @@
 		return standin.Hung, 0
 	}
 	took := time.Duration(w.rnd.ExpFloat64() * float64(6*time.Millisecond))
-	if w.rnd.Float64() >= w.run.plan.Trouble {
+	if w.rnd.Float64() >= w.run.plan.NodeFaultShare {
 		return standin.Served, took
 	}
 	if w.rnd.IntN(6) == 0 {
 		return standin.Served, between(w.rnd, 100*time.Millisecond, 2*time.Second) // late
 	}
-	return pick(w.rnd, standin.TurnedAway, standin.Error, standin.Hung, standin.Reset, standin.Closed, standin.Cut, standin.Spoilt, standin.Twice), took
+	return pick(w.rnd, standin.Rejected, standin.Error, standin.Hung, standin.Reset, standin.Closed, standin.Truncated, standin.Malformed, standin.Duplicated), took
 }
 
 // surroundings starts an agent and a release API for a marshal that know what there is.
-func (w *world) surroundings(m *marshalRun) (*standin.Agent, *standin.ReleaseAPI, error) {
+func (w *world) surroundings(m *marshalRun) (*standin.DiscoveryAgent, *standin.ReleaseAPI, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	a := &standin.Agent{Instance: m.number, Seen: w.run.see, Pieces: w.run.plan.Pieces}
+	a := &standin.DiscoveryAgent{Instance: m.number, Record: w.run.see, SplitLines: w.run.plan.SplitLines}
 	if err := a.Start("127.0.0.1:0"); err != nil {
 		return nil, nil, err
 	}
 	for _, h := range w.hosts {
 		a.Set(h)
 	}
-	api := &standin.ReleaseAPI{Instance: m.number, Seen: w.run.see, Vote: w.vote}
+	api := &standin.ReleaseAPI{Instance: m.number, Record: w.run.see, VoteStatus: w.vote}
 	if err := api.Start("127.0.0.1:0", w.state); err != nil {
 		return nil, nil, err
 	}
--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -18,13 +18,13 @@
 // Host is an entry of the list of nodes as the operators' platform tells it.
 type Host struct {
 	Name    string
-	Number  uint32 // the node's, in what is written down
+	NodeID  uint32 // the node's, in what is written down
 	Address string
 	Site    string
 	Zone    int
 	Health  string // one of the words below
 	Build   int
-	Born    time.Time // zero for long ago
+	Started    time.Time // zero for long ago
 	since   int64     // number of its last change
 }
 
@@ -38,24 +38,24 @@
 // Seen gives the entry as what a marshal was told.
 func (h Host) Seen(instance int) *record.Seen {
 	word := map[string]string{InService: "serving", Terminating: "draining", Terminated: "gone"}[h.Health]
-	return &record.Seen{Kind: "told", AtUs: time.Now().UnixMicro(), Instance: int64(instance), Node: h.Number, Ver: int64(h.Build),
+	return &record.Seen{Kind: "told", AtUs: time.Now().UnixMicro(), Instance: int64(instance), Node: h.NodeID, Ver: int64(h.Build),
 		Zone: int64(h.Zone), Text: word}
 }
 
 func (h Host) json() string {
 	born := int64(0)
-	if !h.Born.IsZero() {
-		born = h.Born.UnixMilli()
+	if !h.Started.IsZero() {
+		born = h.Started.UnixMilli()
 	}
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"class":"m1","block":1,"health":%q,"share":1.0,"born_ms":%d,"build":%d}`,
 		h.Name, h.Address, h.Site, h.Health, born, h.Build)
 }
 
-// Agent is a stand-in for discovery's agent on one marshal's machine: it tells the list of nodes and what changes of it.
-type Agent struct {
+// DiscoveryAgent is a stand-in for discovery's agent on one marshal's machine: it tells the list of nodes and what changes of it.
+type DiscoveryAgent struct {
 	Instance int
-	Seen     func(*record.Seen)
-	Pieces   bool // lines come in pieces, indented
+	Record     func(*record.Seen)
+	SplitLines   bool // lines come in pieces, indented
 
 	streams
 	hosts map[string]Host
@@ -63,13 +63,13 @@
 }
 
 // Start listens at an address; what is told later than that goes to whoever watches.
-func (a *Agent) Start(address string) error {
+func (a *DiscoveryAgent) Start(address string) error {
 	a.hosts = map[string]Host{}
 	return a.streams.start(address, a.watch)
 }
 
 // Set takes entries and tells them.
-func (a *Agent) Set(hosts ...Host) {
+func (a *DiscoveryAgent) Set(hosts ...Host) {
 	a.mu.Lock()
 	for _, h := range hosts {
 		a.seq++
@@ -81,10 +81,10 @@
 }
 
 // List gives all entries but those of nodes that are gone.
-func (a *Agent) List() []Host { _, hosts := a.after(0); return hosts }
+func (a *DiscoveryAgent) List() []Host { _, hosts := a.after(0); return hosts }
 
 // after gives what changed after a number, and the number of the last change; after 0 what there is.
-func (a *Agent) after(seq int64) (last int64, hosts []Host) {
+func (a *DiscoveryAgent) after(seq int64) (last int64, hosts []Host) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, h := range a.hosts {
@@ -96,8 +96,8 @@
 	return a.seq, hosts
 }
 
-// Message gives entries as a message of discovery's.
-func Message(seq int64, whole bool, hosts []Host) string {
+// DiscoveryMessage gives entries as a message of discovery's.
+func DiscoveryMessage(seq int64, whole bool, hosts []Host) string {
 	var lines []string
 	for _, h := range hosts {
 		lines = append(lines, h.json())
@@ -108,7 +108,7 @@
 // signOfLife is how often a watch on which nothing changes gets an empty line.
 const signOfLife = 2 * time.Second
 
-func (a *Agent) watch(s *stream, q *http.Request) {
+func (a *DiscoveryAgent) watch(s *stream, q *http.Request) {
 	if !strings.HasPrefix(q.RequestURI, "/v1/servers?follow=1") {
 		return
 	}
@@ -118,12 +118,12 @@
 		changed := s.of.next()
 		last, hosts := a.after(had)
 		if first || last > had {
-			text := Message(last, had == 0, hosts)
+			text := DiscoveryMessage(last, had == 0, hosts)
 			if err := a.say(s, text); err != nil {
 				return
 			}
 			for _, h := range hosts {
-				a.Seen(h.Seen(a.Instance))
+				a.Record(h.Seen(a.Instance))
 			}
 			first, had = false, last
 		}
@@ -134,9 +134,9 @@
 }
 
 // say writes a line, whole or in pieces.
-func (a *Agent) say(s *stream, text string) error {
+func (a *DiscoveryAgent) say(s *stream, text string) error {
 	text += "\n"
-	if !a.Pieces {
+	if !a.SplitLines {
 		return s.say(text)
 	}
 	text = strings.ReplaceAll(text, `,"`, ",\n  \"")
@@ -212,8 +212,8 @@
 // Address is where it listens.
 func (s *streams) Address() string { return s.ln.Addr().String() }
 
-// Silence has it write nothing any more on the connections that are open, or go on.
-func (s *streams) Silence(silent bool) {
+// SetSilent has it write nothing any more on the connections that are open, or go on.
+func (s *streams) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.silent = silent
--- a/internal/standin/conveyor.go
+++ b/internal/standin/conveyor.go
@@ -14,16 +14,16 @@
 	"arrowcleat/internal/settings"
 )
 
-// Conveyor is a stand-in conveyor: it brings one build after the other through the stages, by votes.
-type Conveyor struct {
+// RolloutService is a stand-in conveyor: it brings one build after the other through the stages, by votes.
+type RolloutService struct {
 	Rollout *settings.Rollout
-	Lag     func() time.Duration
-	Every   time.Duration // between two tells of the same news
-	Seen    func(*record.Seen)
-	// Fleet brings a part of the fleet to a build; ready says whether it is there.
-	Fleet func(ver int, part float64) (ready func() bool)
-	// Back takes a build off the fleet.
-	Back func(ver int)
+	Delay     func() time.Duration
+	ResendInterval   time.Duration // between two tells of the same news
+	Record    func(*record.Seen)
+	// Deploy brings a part of the fleet to a build; ready says whether it is there.
+	Deploy func(ver int, part float64) (ready func() bool)
+	// Undeploy takes a build off the fleet.
+	Undeploy func(ver int)
 
 	ln net.Listener
 	hub
@@ -41,7 +41,7 @@
 	History    []string // what it did, for people
 	begun      time.Time
 	Released   map[int]bool
-	Taken      map[int]bool
+	RolledBack      map[int]bool
 }
 
 type vote struct {
@@ -51,7 +51,7 @@
 }
 
 // Start listens, with a build released long ago.
-func (c *Conveyor) Start(address string, ver int) error {
+func (c *RolloutService) Start(address string, ver int) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("conveyor: %w", err)
@@ -59,7 +59,7 @@
 	c.ln, c.ver, c.phase, c.since = ln, ver, balance.Released, time.Now().Add(-time.Hour)
 	c.stage = len(c.Rollout.Stage) - 1
 	c.votes, c.stop, c.begun = map[int]vote{}, make(chan struct{}), time.Now()
-	c.Released, c.Taken = map[int]bool{ver: true}, map[int]bool{}
+	c.Released, c.RolledBack = map[int]bool{ver: true}, map[int]bool{}
 	c.serve(ln, c.hear, func(*link) {})
 	c.done.Add(1)
 	go c.run()
@@ -67,23 +67,23 @@
 }
 
 // Address is where it listens.
-func (c *Conveyor) Address() string { return c.ln.Addr().String() }
+func (c *RolloutService) Address() string { return c.ln.Addr().String() }
 
 // Close ends it.
-func (c *Conveyor) Close() {
+func (c *RolloutService) Close() {
 	close(c.stop)
 	c.done.Wait()
 	c.close(c.ln)
 }
 
-// Trouble makes it stand still, answer votes with errors, or lose the answers of half of them that count.
-func (c *Conveyor) Trouble(silent, errors bool) {
+// SetFaults makes it stand still, answer votes with errors, or lose the answers of half of them that count.
+func (c *RolloutService) SetFaults(silent, errors bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.silent, c.errors = silent, errors
 }
 
-func (c *Conveyor) run() {
+func (c *RolloutService) run() {
 	defer c.done.Done()
 	news := time.Now()
 	for {
@@ -94,7 +94,7 @@
 		}
 		c.mu.Lock()
 		c.step()
-		if time.Since(news) > c.Every {
+		if time.Since(news) > c.ResendInterval {
 			news = time.Now()
 			c.tellAll()
 		}
@@ -102,8 +102,8 @@
 	}
 }
 
-// Offer brings a new build; one still on trial is taken off.
-func (c *Conveyor) Offer(ver int) {
+// StartRollout brings a new build; one still on trial is taken off.
+func (c *RolloutService) StartRollout(ver int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.phase == balance.OnTrial {
@@ -111,10 +111,10 @@
 	}
 	c.ver, c.stage, c.phase = ver, 0, balance.OnTrial
 	c.changed(fmt.Sprintf("build %d offered", ver))
-	c.ready = c.Fleet(ver, c.Rollout.Stage[0].Part)
+	c.ready = c.Deploy(ver, c.Rollout.Stage[0].Part)
 }
 
-func (c *Conveyor) changed(what string) {
+func (c *RolloutService) changed(what string) {
 	c.since, c.soaked = time.Now(), time.Time{}
 	c.votes = map[int]vote{}
 	c.History = append(c.History, fmt.Sprintf("%5.1f s  %s", time.Since(c.begun).Seconds(), what))
@@ -123,15 +123,15 @@
 	}
 }
 
-func (c *Conveyor) back() {
+func (c *RolloutService) back() {
 	ver := c.ver
 	c.phase = balance.RollingBack
-	c.Taken[ver] = true
+	c.RolledBack[ver] = true
 	c.changed(fmt.Sprintf("build %d sent back at stage %d", ver, c.stage))
-	c.Back(ver)
+	c.Undeploy(ver)
 }
 
-func (c *Conveyor) step() {
+func (c *RolloutService) step() {
 	now := time.Now()
 	if c.silent || c.phase != balance.OnTrial && c.phase != balance.Released || c.ver == 0 {
 		return
@@ -164,7 +164,7 @@
 	if c.stage+1 < len(c.Rollout.Stage) {
 		c.stage++
 		c.changed(fmt.Sprintf("build %d to stage %d", c.ver, c.stage))
-		c.ready = c.Fleet(c.ver, c.Rollout.Stage[c.stage].Part)
+		c.ready = c.Deploy(c.ver, c.Rollout.Stage[c.stage].Part)
 		return
 	}
 	c.phase = balance.Released
@@ -172,7 +172,7 @@
 	c.changed(fmt.Sprintf("build %d released", c.ver))
 }
 
-func (c *Conveyor) cap() float64 {
+func (c *RolloutService) cap() float64 {
 	switch c.phase {
 	case balance.OnTrial:
 		return c.Rollout.Stage[c.stage].Cap
@@ -182,7 +182,7 @@
 	return 0
 }
 
-func (c *Conveyor) tellAll() {
+func (c *RolloutService) tellAll() {
 	if c.silent {
 		return
 	}
@@ -192,26 +192,26 @@
 }
 
 // tell queues the news to a marshal, as what was voted for gets it or unasked.
-func (c *Conveyor) tell(l *link, id string) {
+func (c *RolloutService) tell(l *link, id string) {
 	ver, stage, phase, cap, since := c.ver, c.stage, c.phase, c.cap(), c.since
 	lag := time.Duration(0)
-	if c.Lag != nil {
-		lag = c.Lag()
+	if c.Delay != nil {
+		lag = c.Delay()
 	}
 	l.later(lag, func() {
 		line := control.AppendStage(nil, ver, stage, phase, cap, float64(time.Since(since))/float64(time.Millisecond))
 		if id != "" {
 			line = append([]byte("VOTED "+id+" ok"), line[len("STAGE"):]...)
 		}
-		if c.Seen != nil {
-			c.Seen(&record.Seen{Kind: "staged", AtUs: time.Now().UnixMicro(), Instance: int64(l.marshal), Ver: int64(ver),
+		if c.Record != nil {
+			c.Record(&record.Seen{Kind: "staged", AtUs: time.Now().UnixMicro(), Instance: int64(l.marshal), Ver: int64(ver),
 				Stage: int64(stage), Phase: int64(phase), Cap: cap})
 		}
 		l.PrintfLine("%s", line)
 	})
 }
 
-func (c *Conveyor) hear(l *link, line string) error {
+func (c *RolloutService) hear(l *link, line string) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if number, ok := strings.CutPrefix(line, "HELLO "); ok {
@@ -250,12 +250,12 @@
 	return nil
 }
 
-// Tally tells all marshals what was counted of a build and operation.
-func (c *Conveyor) Tally(ver, op int, n Count, age time.Duration) {
+// SendBuildStats tells all marshals what was counted of a build and operation.
+func (c *RolloutService) SendBuildStats(ver, op int, n OperationStats, age time.Duration) {
 	if n.Samples == 0 {
 		return
 	}
-	mean := n.Time / float64(n.Samples)
+	mean := n.TotalMs / float64(n.Samples)
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.silent {
@@ -269,8 +269,8 @@
 	}
 }
 
-// Flag tells a marshal that an answer it passed on was found wrong.
-func (c *Conveyor) Flag(marshal int, node uint32, op int, age time.Duration) {
+// SendWrongAnswer tells a marshal that an answer it passed on was found wrong.
+func (c *RolloutService) SendWrongAnswer(marshal int, node uint32, op int, age time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for l := range c.links {
@@ -281,7 +281,7 @@
 }
 
 // State tells where the newest build stands.
-func (c *Conveyor) State() (ver, stage int, phase balance.Phase, history []string) {
+func (c *RolloutService) State() (ver, stage int, phase balance.Phase, history []string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.ver, c.stage, c.phase, append([]string(nil), c.History...)
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -24,8 +24,8 @@
 	OpHeader   = "X-Op"
 	KeyHeader  = "X-Key"
 	WorkHeader = "X-Work-Ms"
-	AwayHeader = "X-Not-Started"
-	BadHeader  = "X-Bad"
+	NotStartedHeader = "X-Not-Started"
+	BadRequestHeader  = "X-Bad"
 	WrongValue = "wrong"
 )
 
@@ -37,13 +37,13 @@
 	Cores   int
 	Speed   float64 // work ms done in a ms by a warm core
 	Queue   int     // work that may wait; more is turned away
-	Cold    float64 // part of its speed at the start
+	ColdShare    float64 // part of its speed at the start
 	WarmUp  time.Duration
-	Fall    float64 // pushed over by more than this many times its capacity
-	FallFor time.Duration
+	OverloadFactor    float64 // pushed over by more than this many times its capacity
+	OverloadWindow time.Duration
 	Seed    uint64
-	Seen    func(*record.Seen) // what passed; nil for nothing
-	Build   Fault              // of its build
+	Record    func(*record.Seen) // what passed; nil for nothing
+	BuildFault   Fault              // of its build
 
 	begun  time.Time
 	ln     *listener
@@ -62,13 +62,13 @@
 	served  []time.Time
 	hung    chan struct{} // closed when a hang ends
 	recent  map[string]time.Time
-	counts  map[int]*Count
+	counts  map[int]*OperationStats
 }
 
-// Count is what a node counted of one operation.
-type Count struct {
+// OperationStats is what a node counted of one operation.
+type OperationStats struct {
 	Samples, Errors int
-	Time            float64
+	TotalMs            float64
 }
 
 type push struct {
@@ -78,24 +78,24 @@
 
 // Fault is a trouble of a machine or a build. The zero Fault is none.
 type Fault struct {
-	Errors   float64 // share that fails quickly
-	ErrorsOp int     // only of this operation, counted from 1; 0 for all
-	Wrong    float64 // share answered wrongly
-	Work     float64 // times the work, 0 for once
+	ErrorShare   float64 // share that fails quickly
+	ErrorOp int     // only of this operation, counted from 1; 0 for all
+	WrongShare    float64 // share answered wrongly
+	WorkFactor     float64 // times the work, 0 for once
 	After    time.Duration
 	BusyOver float64 // only while more than this share of the cores is busy
 	Hang     bool
 	Drain    bool // turns all work away
-	PauseFor time.Duration
-	PauseAll time.Duration // between pauses
-	Link     []Link
-	Dial     time.Duration // that each new connection waits
-	Conns    int           // most connections, 0 for any number
-	Cut      string        // breaks answers: "head", "body", "before"
+	PauseLength time.Duration
+	PauseInterval time.Duration // between pauses
+	Links     []LinkFault
+	ConnectDelay     time.Duration // that each new connection waits
+	MaxConns    int           // most connections, 0 for any number
+	CutAt      string        // breaks answers: "head", "body", "before"
 }
 
-// Link is what the way from the marshals of one zone is like.
-type Link struct {
+// LinkFault is what the way from the marshals of one zone is like.
+type LinkFault struct {
 	Marshals map[int]bool
 	Delay    time.Duration
 	Loss     float64
@@ -109,7 +109,7 @@
 	}
 	n.begun, n.cores = time.Now(), make(chan struct{}, n.Cores)
 	n.rnd = rand.New(rand.NewPCG(n.Seed, uint64(n.ID)))
-	n.hung, n.recent, n.counts = make(chan struct{}), map[string]time.Time{}, map[int]*Count{}
+	n.hung, n.recent, n.counts = make(chan struct{}), map[string]time.Time{}, map[int]*OperationStats{}
 	n.ln = &listener{Listener: ln, n: n, conns: map[net.Conn]bool{}}
 	n.server = &http.Server{Handler: n, ErrorLog: log.New(io.Discard, "", 0)}
 	n.see(&record.Seen{Kind: "begins"})
@@ -120,8 +120,8 @@
 // Address is where it listens.
 func (n *Node) Address() string { return n.ln.Addr().String() }
 
-// Up is how long it has run.
-func (n *Node) Up() time.Duration { return time.Since(n.begun) }
+// Uptime is how long it has run.
+func (n *Node) Uptime() time.Duration { return time.Since(n.begun) }
 
 // Kill ends it like a killed process: connections are reset.
 func (n *Node) Kill() {
@@ -161,28 +161,28 @@
 		}
 		*f = Fault{}
 	case "errors":
-		f.Errors = arg(1)
+		f.ErrorShare = arg(1)
 	case "slow":
-		f.Work = arg(1)
+		f.WorkFactor = arg(1)
 	case "hang":
 		f.Hang = true
 	case "drain":
 		f.Drain = true
 	case "pause":
-		f.PauseFor, f.PauseAll = millis(arg(1)), millis(arg(2))
+		f.PauseLength, f.PauseInterval = millis(arg(1)), millis(arg(2))
 	case "dial":
-		f.Dial = millis(arg(1))
+		f.ConnectDelay = millis(arg(1))
 	case "conns":
-		f.Conns = int(arg(1))
-		n.ln.squeeze(f.Conns)
+		f.MaxConns = int(arg(1))
+		n.ln.squeeze(f.MaxConns)
 	case "cut":
-		f.Cut = strings.Join(words[1:], " ")
+		f.CutAt = strings.Join(words[1:], " ")
 	case "link": // link MS LOSS MARSHAL...
-		l := Link{Marshals: map[int]bool{}, Delay: millis(arg(1)), Loss: arg(2)}
+		l := LinkFault{Marshals: map[int]bool{}, Delay: millis(arg(1)), Loss: arg(2)}
 		for i := 3; i < len(words); i++ {
 			l.Marshals[int(arg(i))] = true
 		}
-		f.Link = append(f.Link, l)
+		f.Links = append(f.Links, l)
 	default:
 		return fmt.Errorf("node: no command is called %.20q", words[0])
 	}
@@ -190,18 +190,18 @@
 }
 
 func (n *Node) see(s *record.Seen) {
-	if n.Seen == nil {
+	if n.Record == nil {
 		return
 	}
 	s.AtUs, s.Node, s.Ver, s.Zone = time.Now().UnixMicro(), n.ID, int64(n.Ver), int64(n.Zone)
-	n.Seen(s)
+	n.Record(s)
 }
 
 // capacity is the work a ms that it can do now.
 func (n *Node) capacity() float64 {
 	part := 1.0
 	if up := time.Since(n.begun); n.WarmUp > 0 && up < n.WarmUp {
-		part = n.Cold + (1-n.Cold)*float64(up)/float64(n.WarmUp)
+		part = n.ColdShare + (1-n.ColdShare)*float64(up)/float64(n.WarmUp)
 	}
 	return part * n.Speed * float64(n.Cores)
 }
@@ -248,7 +248,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	start := time.Now()
-	if r.Header.Get(BadHeader) != "" { // worthless: an error anywhere, and no work
+	if r.Header.Get(BadRequestHeader) != "" { // worthless: an error anywhere, and no work
 		if over() {
 			seen("done", "500")
 		}
@@ -264,7 +264,7 @@
 		if over() {
 			seen("away", "")
 		}
-		w.Header().Set(AwayHeader, "1")
+		w.Header().Set(NotStartedHeader, "1")
 		w.WriteHeader(status)
 		return
 	}
@@ -298,7 +298,7 @@
 func (n *Node) way(marshal int) (delay time.Duration, lost bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.fault.Link {
+	for _, l := range n.fault.Links {
 		if l.Marshals[marshal] {
 			delay += l.Delay
 			lost = lost || n.rnd.Float64() < l.Loss
@@ -347,12 +347,12 @@
 func (n *Node) work(ctx context.Context, op int, work float64) (status int, wrong bool, cut string, ok bool) {
 	n.mu.Lock()
 	n.push(work)
-	f, b := n.fault, n.Build
+	f, b := n.fault, n.BuildFault
 	if b.After > 0 && time.Since(n.begun) < b.After || b.BusyOver > 0 && float64(len(n.cores)) <= b.BusyOver*float64(n.Cores) {
 		b = Fault{}
 	}
-	fails := n.rnd.Float64() < f.Errors || (b.ErrorsOp == 0 || b.ErrorsOp == op+1) && n.rnd.Float64() < b.Errors
-	wrong = n.rnd.Float64() < b.Wrong
+	fails := n.rnd.Float64() < f.ErrorShare || (b.ErrorOp == 0 || b.ErrorOp == op+1) && n.rnd.Float64() < b.ErrorShare
+	wrong = n.rnd.Float64() < b.WrongShare
 	hung, fell, away := n.hung, n.fell, f.Drain || n.waiting >= n.Queue
 	if away && !fell && !f.Hang {
 		n.mu.Unlock()
@@ -384,7 +384,7 @@
 			}
 		}
 	}
-	if fails && f.Errors > 0 {
+	if fails && f.ErrorShare > 0 {
 		leave()
 		sleep(ctx, time.Millisecond)
 		return http.StatusInternalServerError, false, "", true
@@ -401,7 +401,7 @@
 	part := n.capacity() / (n.Speed * float64(n.Cores))
 	n.mu.Unlock()
 	took := work / n.Speed / part
-	for _, times := range []float64{f.Work, b.Work} {
+	for _, times := range []float64{f.WorkFactor, b.WorkFactor} {
 		if times > 0 {
 			took *= times
 		}
@@ -415,35 +415,35 @@
 	if fails {
 		return http.StatusInternalServerError, false, "", true
 	}
-	return http.StatusOK, wrong, f.Cut, true
+	return http.StatusOK, wrong, f.CutAt, true
 }
 
 // pause is how long a machine that pauses now and then still stands still.
 func (n *Node) pause(f Fault) time.Duration {
-	if f.PauseAll <= 0 {
+	if f.PauseInterval <= 0 {
 		return 0
 	}
-	into := time.Since(n.begun) % f.PauseAll
-	return max(0, f.PauseFor-into)
+	into := time.Since(n.begun) % f.PauseInterval
+	return max(0, f.PauseLength-into)
 }
 
 // push counts work that reaches a cold node; too much of it pushes the node over.
 func (n *Node) push(work float64) {
 	now := time.Now()
-	if n.WarmUp <= 0 || n.Fall <= 0 || now.Sub(n.begun) > n.WarmUp || n.fell {
+	if n.WarmUp <= 0 || n.OverloadFactor <= 0 || now.Sub(n.begun) > n.WarmUp || n.fell {
 		n.pushed = nil
 		return
 	}
 	n.pushed = append(n.pushed, push{now, work})
 	sum := 0.0
-	for len(n.pushed) > 0 && now.Sub(n.pushed[0].at) > n.FallFor {
+	for len(n.pushed) > 0 && now.Sub(n.pushed[0].at) > n.OverloadWindow {
 		n.pushed = n.pushed[1:]
 	}
 	for _, p := range n.pushed {
 		sum += p.work
 	}
-	window := float64(n.FallFor) / float64(time.Millisecond)
-	if slack := 3 * work; sum > n.Fall*n.capacity()*window+slack {
+	window := float64(n.OverloadWindow) / float64(time.Millisecond)
+	if slack := 3 * work; sum > n.OverloadFactor*n.capacity()*window+slack {
 		n.fell = true
 		n.see(&record.Seen{Kind: "fell", Text: fmt.Sprintf("%.0f ms of work in %.0f ms", sum, window)})
 	}
@@ -467,36 +467,36 @@
 	defer n.mu.Unlock()
 	c := n.counts[op]
 	if c == nil {
-		c = &Count{}
+		c = &OperationStats{}
 		n.counts[op] = c
 	}
 	c.Samples++
 	if status >= 500 {
 		c.Errors++
 	}
-	c.Time += float64(took) / float64(time.Millisecond)
+	c.TotalMs += float64(took) / float64(time.Millisecond)
 }
 
-// Counts hands out what was counted since the last time.
-func (n *Node) Counts() map[int]*Count {
+// TakeStats hands out what was counted since the last time.
+func (n *Node) TakeStats() map[int]*OperationStats {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	c := n.counts
-	n.counts = map[int]*Count{}
+	n.counts = map[int]*OperationStats{}
 	return c
 }
 
-// Fell says that it was pushed over.
-func (n *Node) Fell() bool {
+// Overloaded says that it was pushed over.
+func (n *Node) Overloaded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.fell
 }
 
-// Commands reads command lines until the input ends, then kills the node: so it never outlives who started it.
-func (n *Node) Commands(in io.Reader) error {
+// ReadCommands reads command lines until the input ends, then kills the node: so it never outlives who started it.
+func (n *Node) ReadCommands(in io.Reader) error {
 	defer n.Kill()
-	return Lines(in, n.Do)
+	return ForEachLine(in, n.Do)
 }
 
 // listener delays, bounds and resets connections.
@@ -534,7 +534,7 @@
 			return nil, err
 		}
 		l.n.mu.Lock()
-		dial, most := l.n.fault.Dial, l.n.fault.Conns
+		dial, most := l.n.fault.ConnectDelay, l.n.fault.MaxConns
 		l.n.mu.Unlock()
 		l.mu.Lock()
 		full := most > 0 && len(l.conns) >= most
--- a/internal/standin/platformnode.go
+++ b/internal/standin/platformnode.go
@@ -17,17 +17,17 @@
 // Reply is how a PlatformNode deals with one request.
 type Reply int
 
-// The replies. All but Served and TurnedAway are troubles; all but TurnedAway may have run.
+// The replies. All but Served and Rejected are troubles; all but Rejected may have run.
 const (
 	Served     Reply = iota // 200 after a while
-	TurnedAway              // 503 with the word that nothing ran
+	Rejected              // 503 with the word that nothing ran
 	Error                   // 500
 	Hung                    // nothing, until the other side gives up
 	Reset                   // the connection is reset
 	Closed                  // the connection ends without an answer
-	Cut                     // it ends in the middle of the answer
-	Spoilt                  // what comes is no HTTP
-	Twice                   // the answer, and some ms later the same again
+	Truncated                     // it ends in the middle of the answer
+	Malformed                  // what comes is no HTTP
+	Duplicated                   // the answer, and some ms later the same again
 )
 
 // PlatformNode is a stand-in node on the operators' platform's protocol, over plain sockets: it answers as it is told to, request by
@@ -36,10 +36,10 @@
 	ID   uint32
 	Ver  int
 	Zone int
-	Idle time.Duration // after which a connection without a request is closed; 0 for never
+	IdleTimeout time.Duration // after which a connection without a request is closed; 0 for never
 	// Reply says how a request is dealt with, and after how long.
 	Reply func() (Reply, time.Duration)
-	Seen  func(*record.Seen)
+	Record  func(*record.Seen)
 
 	ln    net.Listener
 	wg    sync.WaitGroup
@@ -102,7 +102,7 @@
 
 func (n *PlatformNode) see(s *record.Seen) {
 	s.AtUs, s.Node, s.Ver, s.Zone = time.Now().UnixMicro(), n.ID, int64(n.Ver), int64(n.Zone)
-	n.Seen(s)
+	n.Record(s)
 }
 
 func (n *PlatformNode) serve(c net.Conn) {
@@ -114,8 +114,8 @@
 	}()
 	b := bufio.NewReader(c)
 	for {
-		if n.Idle > 0 {
-			c.SetReadDeadline(time.Now().Add(n.Idle))
+		if n.IdleTimeout > 0 {
+			c.SetReadDeadline(time.Now().Add(n.IdleTimeout))
 		}
 		if _, err := b.Peek(1); err != nil {
 			return
@@ -156,7 +156,7 @@
 	text := "made for " + id
 	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 	switch reply {
-	case TurnedAway:
+	case Rejected:
 		see("away", "")
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 	case Error:
@@ -169,16 +169,16 @@
 	case Closed:
 		end("cut", "closed")
 		return false
-	case Cut:
+	case Truncated:
 		io.WriteString(c, whole[:len(whole)-3])
 		end("cut", "in the middle")
 		return false
-	case Spoilt:
+	case Malformed:
 		see("done", "spoilt")
 		io.WriteString(c, "HTTP/1.1 2x0 OK\r\nContent-Length: -4\r\n\r\nnoise")
 		waits(c, b, time.Second)
 		return false
-	case Twice:
+	case Duplicated:
 		see("done", "200")
 		io.WriteString(c, whole)
 		if waits(c, b, 3*time.Millisecond) {
--- a/internal/standin/releaseapi.go
+++ b/internal/standin/releaseapi.go
@@ -36,9 +36,9 @@
 // ReleaseAPI is a stand-in for the platform's service that moves builds through their stages, as one marshal reaches it.
 type ReleaseAPI struct {
 	Instance int
-	Seen     func(*record.Seen)
-	// Vote says with which status a vote is answered.
-	Vote func() int
+	Record     func(*record.Seen)
+	// VoteStatus says with which status a vote is answered.
+	VoteStatus func() int
 
 	streams
 	now Release
@@ -69,12 +69,12 @@
 func (a *ReleaseAPI) serve(s *stream, q *http.Request) {
 	if q.Method == http.MethodPost {
 		io.Copy(io.Discard, q.Body)
-		status := a.Vote()
+		status := a.VoteStatus()
 		body := fmt.Sprintf(`{"error":%q}`, voteErrors[status])
 		if status == http.StatusOK {
 			now := a.state()
 			body = now.JSON()
-			a.Seen(now.Seen(a.Instance))
+			a.Record(now.Seen(a.Instance))
 		}
 		fmt.Fprintf(s, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), len(body), body)
 		return
@@ -85,7 +85,7 @@
 		if err := s.say(fmt.Sprintf(`{"type":"ROLLOUT","object":%s}`+"\n", now.JSON())); err != nil {
 			return
 		}
-		a.Seen(now.Seen(a.Instance))
+		a.Record(now.Seen(a.Instance))
 		if !s.sleep(changed, time.Second, "{}\n") {
 			return
 		}
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -15,10 +15,10 @@
 	"arrowcleat/internal/record"
 )
 
-// Roster is a stand-in roster: what is set is told to those who watch, after a lag.
-type Roster struct {
-	Lag  func() time.Duration // of each tell; nil for none
-	Seen func(*record.Seen)
+// Registry is a stand-in roster: what is set is told to those who watch, after a lag.
+type Registry struct {
+	Delay  func() time.Duration // of each tell; nil for none
+	Record func(*record.Seen)
 
 	ln net.Listener
 	hub
@@ -144,7 +144,7 @@
 }
 
 // Start listens.
-func (r *Roster) Start(address string) error {
+func (r *Registry) Start(address string) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("roster: %w", err)
@@ -156,23 +156,23 @@
 }
 
 // Address is where it listens.
-func (r *Roster) Address() string { return r.ln.Addr().String() }
+func (r *Registry) Address() string { return r.ln.Addr().String() }
 
 // Close ends it.
-func (r *Roster) Close() { r.close(r.ln) }
+func (r *Registry) Close() { r.close(r.ln) }
 
-// Drop cuts every connection.
-func (r *Roster) Drop() { r.drop() }
+// DropConnections cuts every connection.
+func (r *Registry) DropConnections() { r.drop() }
 
-// Trouble makes calls fail, or every tell come twice.
-func (r *Roster) Trouble(fail, twice bool) {
+// SetFaults makes calls fail, or every tell come twice.
+func (r *Registry) SetFaults(fail, twice bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.fail, r.twice = fail, twice
 }
 
 // Set puts a line on the roster, or what is new of it, and tells those who watch. Gone takes it off.
-func (r *Roster) Set(line control.NodeEntry, up time.Duration) {
+func (r *Registry) Set(line control.NodeEntry, up time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
@@ -191,15 +191,15 @@
 	}
 }
 
-func (r *Roster) lag() time.Duration {
-	if r.Lag == nil {
+func (r *Registry) lag() time.Duration {
+	if r.Delay == nil {
 		return 0
 	}
-	return r.Lag()
+	return r.Delay()
 }
 
 // tell queues a list; r.mu is held.
-func (r *Roster) tell(l *link, whole bool, from, version uint64, lines []entry) {
+func (r *Registry) tell(l *link, whole bool, from, version uint64, lines []entry) {
 	times := 1
 	if r.twice {
 		times = 2
@@ -225,8 +225,8 @@
 				b = append(control.AppendNode(b, e.NodeEntry), "\r\n"...)
 			}
 			for _, e := range append(lines, unlisted...) {
-				if r.Seen != nil {
-					r.Seen(&record.Seen{Kind: "told", AtUs: time.Now().UnixMicro(), Instance: int64(l.marshal), Node: e.ID,
+				if r.Record != nil {
+					r.Record(&record.Seen{Kind: "told", AtUs: time.Now().UnixMicro(), Instance: int64(l.marshal), Node: e.ID,
 						Ver: int64(e.Ver), Text: [...]string{"serving", "draining", "gone"}[e.Health]})
 				}
 			}
@@ -235,7 +235,7 @@
 	}
 }
 
-func (r *Roster) hear(l *link, line string) error {
+func (r *Registry) hear(l *link, line string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	words := strings.Fields(line)
@@ -275,7 +275,7 @@
 }
 
 // all gives the lines newer than a version, those gone among them but for the whole list.
-func (r *Roster) all(after uint64) (lines []entry) {
+func (r *Registry) all(after uint64) (lines []entry) {
 	for _, e := range r.lines {
 		if e.version > after {
 			lines = append(lines, e)
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -11,8 +11,8 @@
 
 func millis(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-// FromSettings makes a node of its settings.
-func FromSettings(s *settings.Standin) *Node {
+// NewNode makes a node of its settings.
+func NewNode(s *settings.Standin) *Node {
 	n := &Node{ID: s.Node, Ver: int(s.Ver), Zone: int(s.Zone), Cores: max(1, int(s.Cores)), Speed: s.Speed,
 		Queue: int(s.Queue), Seed: s.Seed}
 	if n.Speed <= 0 {
@@ -22,18 +22,18 @@
 		n.Queue = 100
 	}
 	if r := s.Rules; r != nil {
-		n.Cold, n.WarmUp = r.ColdFrom, millis(r.WarmUpMs)
-		n.Fall, n.FallFor = r.FallMultiple, millis(r.FallMs)
+		n.ColdShare, n.WarmUp = r.ColdFrom, millis(r.WarmUpMs)
+		n.OverloadFactor, n.OverloadWindow = r.FallMultiple, millis(r.FallMs)
 	}
 	if b := s.Build; b != nil {
-		n.Build = Fault{Errors: b.Errors, ErrorsOp: int(b.ErrorsOp), Wrong: b.Wrong, Work: b.Work, After: millis(b.AfterMs),
+		n.BuildFault = Fault{ErrorShare: b.Errors, ErrorOp: int(b.ErrorsOp), WrongShare: b.Wrong, WorkFactor: b.Work, After: millis(b.AfterMs),
 			BusyOver: b.BusyOver}
 	}
 	return n
 }
 
-// Lines hears each line until the input ends.
-func Lines(in io.Reader, hear func(string) error) error {
+// ForEachLine hears each line until the input ends.
+func ForEachLine(in io.Reader, hear func(string) error) error {
 	var all []error
 	s := bufio.NewScanner(in)
 	for s.Scan() {
