--- a/internal/plant/plant.go
+++ b/internal/plant/plant.go
@@ -1,4 +1,4 @@
-// Package plant makes marshals with one fault each, so that the audit can be seen to find it.
+// Package plant injects one fault at a time into a marshal, so that tests can show that the audit finds it.
 package plant
 
 import (
@@ -13,19 +13,20 @@
 	"arrowcleat/internal/serve"
 )
 
-// Faults lists the rules for which a marshal that breaks them can be planted.
+// Faults returns the names of the faults that can be injected: the audit's rules, of which a fault breaks one each, and "twice",
+// with which every answer is sent twice.
 func Faults() []string { return append(slices.Clone(audit.Rules), "twice") }
 
-// Hooks gives a marshal its fault.
-func Hooks(rule string) (serve.Hooks, error) {
+// Hooks returns the hooks that inject a fault into a marshal; without a name they inject none.
+func Hooks(fault string) (serve.Hooks, error) {
 	var h serve.Hooks
-	if rule == "" {
+	if fault == "" {
 		return h, nil
 	}
-	if !slices.Contains(Faults(), rule) {
-		return h, fmt.Errorf("no rule is called %q; there are %s", rule, strings.Join(Faults(), ", "))
+	if !slices.Contains(Faults(), fault) {
+		return h, fmt.Errorf("unknown fault %q; known faults: %s", fault, strings.Join(Faults(), ", "))
 	}
-	switch rule {
+	switch fault {
 	case "twice":
 		h.ConfigureFront = func(s *front.Server) { s.Faults.AnswerTwice = true }
 	case audit.Answered:
@@ -38,8 +39,8 @@
 		h.ConfigureFront = func(s *front.Server) { s.Faults.DuplicateRequests = true }
 	}
 	h.NewModule = func(host balance.Host, set balance.Settings, seed uint64) divide.Module {
-		f := &faulty{Host: host, rule: rule}
-		switch rule {
+		f := &faultyModule{Host: host, fault: fault}
+		switch fault {
 		case audit.Exposure, audit.Forward:
 			set["rollout.forward-only"] = false
 		}
@@ -49,43 +50,43 @@
 	return h, nil
 }
 
-// faulty stands on both sides of a module and lies to it, or leaves undone what it asks.
-type faulty struct {
+// faultyModule wraps a module and its host. It falsifies or drops calls in both directions.
+type faultyModule struct {
 	divide.Module
 	balance.Host
-	rule  string
-	count int
-	// released is the newest build that is not on trial.
-	released int
-	// cold is the node that is to be pushed over, and until when that is tried.
-	cold  uint32
-	until float64
+	fault    string
+	arrivals int
+	// newestReleased is the newest build that has been released.
+	newestReleased int
+	// coldNode is the node to overload while it warms up, 0 for none; overloadUntilMs is when that ends.
+	coldNode        uint32
+	overloadUntilMs float64
 }
 
-// InvocationArrived loses every thirtieth invocation.
-func (f *faulty) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
-	f.count++
-	if f.rule == audit.Answered && f.count%30 == 0 {
+// InvocationArrived drops every thirtieth invocation.
+func (f *faultyModule) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+	f.arrivals++
+	if f.fault == audit.Answered && f.arrivals%30 == 0 {
 		return
 	}
 	f.Module.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
 }
 
-// DispatchEnded says of what may have run that it never did.
-func (f *faulty) DispatchEnded(id string, no int, node uint32, how balance.Outcome, took float64, done bool,
+// DispatchEnded reports dispatches that may have run as rejected, which says that they never ran.
+func (f *faultyModule) DispatchEnded(id string, no int, node uint32, how balance.Outcome, took float64, done bool,
 	report map[string]float64) {
-	if f.rule == audit.Effects && how != balance.Succeeded {
+	if f.fault == audit.Effects && how != balance.Succeeded {
 		how = balance.Rejected
 	}
 	f.Module.DispatchEnded(id, no, node, how, took, done, report)
 }
 
-// NodesListed hides that nodes drain, that they are cold, or which build they run.
-func (f *faulty) NodesListed(whole bool, list []balance.Node) {
+// NodesListed hides that nodes drain or which build they run, or selects the node to overload while it warms up.
+func (f *faultyModule) NodesListed(whole bool, list []balance.Node) {
 	list = slices.Clone(list)
 	for i := range list {
 		n := &list[i]
-		switch f.rule {
+		switch f.fault {
 		case audit.Drain:
 			n.Health = balance.Serving
 		case audit.Exposure, audit.Forward:
@@ -93,29 +94,30 @@
 		}
 	}
 	for _, n := range list {
-		if f.rule == audit.Cold && n.Health == balance.Serving && n.Started > f.Now()-500 && n.Ver <= f.released {
-			f.cold, f.until = n.ID, f.Now()+2500
-		} else if n.ID == f.cold && n.Health != balance.Serving {
-			f.cold = 0
+		if f.fault == audit.Cold && n.Health == balance.Serving && n.Started > f.Now()-500 && n.Ver <= f.newestReleased {
+			f.coldNode, f.overloadUntilMs = n.ID, f.Now()+2500
+		} else if n.ID == f.coldNode && n.Health != balance.Serving {
+			f.coldNode = 0
 		}
 	}
-	f.Module.NodesListed(whole && f.rule != audit.Drain, list)
+	f.Module.NodesListed(whole && f.fault != audit.Drain, list)
 }
 
-// Dispatch sends everything to the node that started last, while it is cold; builds on trial are left to the caps.
-func (f *faulty) Dispatch(inv string, node uint32, within float64) {
-	if f.cold != 0 && f.Now() < f.until {
-		node = f.cold
+// Dispatch sends everything to the node that started last while it warms up. Nodes of trial builds are never selected for
+// that, so that no build exceeds its cap.
+func (f *faultyModule) Dispatch(inv string, node uint32, within float64) {
+	if f.coldNode != 0 && f.Now() < f.overloadUntilMs {
+		node = f.coldNode
 	}
 	f.Host.Dispatch(inv, node, within)
 }
 
-// StageUpdate hides builds on trial.
-func (f *faulty) StageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+// StageUpdate reports trial builds as released.
+func (f *faultyModule) StageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 	if phase == balance.Released {
-		f.released = max(f.released, ver)
+		f.newestReleased = max(f.newestReleased, ver)
 	}
-	if f.rule == audit.Exposure || f.rule == audit.Forward {
+	if f.fault == audit.Exposure || f.fault == audit.Forward {
 		phase, cap = balance.Released, 1
 	}
 	f.Module.StageUpdate(ver, stage, phase, cap, age, reply)
