--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -11,9 +11,9 @@
 	"time"
 )
 
-const payload = 5000 // bytes, more than after which a connection is spoilt
+const payloadBytes = 5000 // more than maxFaultBytes, so that every drawn fault occurs
 
-// startServer answers each connection with the payload, in small writes.
+// startServer answers each connection with payloadBytes, in small writes.
 func startServer(t *testing.T) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -30,7 +30,7 @@
 			go func() {
 				defer nc.Close()
 				nc.Read(make([]byte, 1))
-				for range payload / 100 {
+				for range payloadBytes / 100 {
 					nc.Write(bytes.Repeat([]byte("x"), 100))
 				}
 			}()
@@ -39,61 +39,63 @@
 	return ln.Addr().String()
 }
 
-func TestProxySpoilsWhatItIsToldTo(t *testing.T) {
-	const connections, patience = 40, 300 * time.Millisecond
-	to := startServer(t)
-	for trouble, want := range map[float64]func(whole int) bool{
-		0: func(whole int) bool { return whole == connections },
-		1: func(whole int) bool { return whole > 0 && whole < connections }, // some are late or held, and whole in the end
+// The proxy injects faults into the share of connections that it is given.
+func TestProxyInjectsFaults(t *testing.T) {
+	const connections, timeout = 40, 300 * time.Millisecond
+	target := startServer(t)
+	for faultShare, want := range map[float64]func(complete int) bool{
+		0: func(complete int) bool { return complete == connections },
+		1: func(complete int) bool { return complete > 0 && complete < connections }, // some are only delayed
 	} {
-		p := &Proxy{Target: to, FaultShare: trouble, AllowDelays: true, Seed: 1}
+		p := &Proxy{Target: target, FaultShare: faultShare, AllowDelays: true, Seed: 1}
 		address, err := p.Start()
 		if err != nil {
 			t.Fatal(err)
 		}
-		whole := 0
+		complete := 0
 		for range connections {
 			nc, err := net.Dial("tcp", address)
 			if err != nil {
 				t.Fatal(err)
 			}
 			nc.Write([]byte("?"))
-			nc.SetReadDeadline(time.Now().Add(patience))
+			nc.SetReadDeadline(time.Now().Add(timeout))
 			got, err := io.ReadAll(nc)
-			if err == nil && len(got) == payload {
-				whole++
+			if err == nil && len(got) == payloadBytes {
+				complete++
 			}
 			nc.Close()
 		}
 		p.Close()
-		if !want(whole) {
-			t.Errorf("trouble %v: %d of %d connections carried all", trouble, whole, connections)
+		if !want(complete) {
+			t.Errorf("fault share %v: %d of %d connections carried the whole payload", faultShare, complete, connections)
 		}
 	}
 }
 
-func TestMachineLacksSocketsForAMoment(t *testing.T) {
-	to := startServer(t)
+// Connecting fails during a shortage and works after it, and the wall clock is stepped.
+func TestMachineInjectsShortageAndClockStep(t *testing.T) {
+	target := startServer(t)
 	m := NewMachine(3)
-	if len(m.scarce) == 0 || len(m.steps) == 0 {
-		t.Fatalf("nothing is drawn: %+v", m)
+	if len(m.shortages) == 0 || len(m.clockSteps) == 0 {
+		t.Fatalf("no shortage or no clock step drawn: %+v", m)
 	}
-	m.scarce = []spell{{0, 50 * time.Millisecond, syscall.EADDRNOTAVAIL}}
-	m.steps = []step{{0, time.Hour}}
-	if _, err := m.Connect(context.Background(), "tcp", to); !errors.Is(err, syscall.EADDRNOTAVAIL) {
-		t.Errorf("connecting: %v", err)
+	m.shortages = []shortage{{0, 50 * time.Millisecond, syscall.EADDRNOTAVAIL}}
+	m.clockSteps = []clockStep{{0, time.Hour}}
+	if _, err := m.Connect(context.Background(), "tcp", target); !errors.Is(err, syscall.EADDRNOTAVAIL) {
+		t.Errorf("connecting during the shortage: got %v, want EADDRNOTAVAIL", err)
 	}
 	if ahead := time.Until(m.WallClock()); ahead < time.Hour-time.Minute {
-		t.Errorf("the wall clock is %v ahead", ahead)
+		t.Errorf("the wall clock is %v ahead, want an hour", ahead)
 	}
 	time.Sleep(60 * time.Millisecond)
-	nc, err := m.Connect(context.Background(), "tcp", to)
+	nc, err := m.Connect(context.Background(), "tcp", target)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer nc.Close()
 	nc.Write([]byte("?"))
-	if got, err := io.ReadAll(nc); err != nil || len(got) != payload {
-		t.Errorf("%d bytes, %v", len(got), err)
+	if got, err := io.ReadAll(nc); err != nil || len(got) != payloadBytes {
+		t.Errorf("read %d bytes, want %d; error %v", len(got), payloadBytes, err)
 	}
 }
--- a/internal/faults/machine.go
+++ b/internal/faults/machine.go
@@ -1,6 +1,6 @@
-// Package faults makes what a program runs on fail in the ways that Linux documents: sockets that can't be had for a moment, short reads,
-// writes in pieces, broken connections, delays between any two steps, a wall clock that is stepped. All is drawn from a seed. It is
-// handed in where a program is tested; nothing that serves uses it.
+// Package faults injects faults that Linux documents into what a program runs on: sockets that are unavailable for a moment, short
+// reads, writes in pieces, broken connections, delays between any two steps, a wall clock that is stepped. All are drawn from a seed.
+// Tests pass them to the program under test; no serving code uses them.
 package faults
 
 import (
@@ -17,50 +17,50 @@
 	"arrowcleat/internal/serve"
 )
 
-// Machine is a machine with faults.
+// Machine injects the faults of one machine.
 type Machine struct {
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	started time.Time
-	scarce  []spell // when sockets can't be had, and for what
-	steps   []step  // of the wall clock
+	mu         sync.Mutex
+	rnd        *rand.Rand
+	started    time.Time
+	shortages  []shortage // when sockets are unavailable, and with which error
+	clockSteps []clockStep
 }
 
-// spell is a time in which system calls fail.
-type spell struct {
+// shortage is a period in which system calls fail.
+type shortage struct {
 	from, to time.Duration // since the start
 	errno    syscall.Errno
 }
 
-// step sets the wall clock forward or back.
-type step struct {
+// clockStep moves the wall clock forward or back.
+type clockStep struct {
 	at, by time.Duration
 }
 
 const (
-	spellsFor   = 20 * time.Second // after the start
-	pieceChance = 0.05             // of reads and writes that go in pieces
-	delayChance = 0.01             // of steps that take a while
-	delayMost   = 20 * time.Millisecond
+	faultPeriod = 20 * time.Second // after the start, in which shortages and clock steps occur
+	splitShare  = 0.05             // of reads that are short and of writes that go in two pieces
+	delayShare  = 0.01             // of steps that are delayed
+	maxDelay    = 20 * time.Millisecond
 )
 
-// NewMachine draws the faults of a seed.
+// NewMachine draws the faults of a machine from a seed.
 func NewMachine(seed uint64) *Machine {
 	m := &Machine{rnd: rand.New(rand.NewPCG(seed, 21)), started: time.Now()}
 	errnos := []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EMFILE, syscall.ECONNABORTED, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH}
-	for at := m.upTo(2 * time.Second); at < spellsFor; at += m.upTo(1500 * time.Millisecond) {
-		s := spell{at, at + m.upTo(120*time.Millisecond), errnos[m.rnd.IntN(len(errnos))]}
-		m.scarce = append(m.scarce, s)
+	for at := m.upTo(2 * time.Second); at < faultPeriod; at += m.upTo(1500 * time.Millisecond) {
+		s := shortage{at, at + m.upTo(120*time.Millisecond), errnos[m.rnd.IntN(len(errnos))]}
+		m.shortages = append(m.shortages, s)
 		at = s.to
 	}
-	for at := m.upTo(2 * time.Second); at < spellsFor; at += m.upTo(3 * time.Second) {
-		hours := []time.Duration{-time.Hour, time.Hour, 3 * time.Second, -3 * time.Second}
-		m.steps = append(m.steps, step{at, hours[m.rnd.IntN(len(hours))]})
+	for at := m.upTo(2 * time.Second); at < faultPeriod; at += m.upTo(3 * time.Second) {
+		steps := []time.Duration{-time.Hour, time.Hour, 3 * time.Second, -3 * time.Second}
+		m.clockSteps = append(m.clockSteps, clockStep{at, steps[m.rnd.IntN(len(steps))]})
 	}
 	return m
 }
 
-// Hooks hands the machine to a marshal.
+// Hooks returns the hooks that have a marshal run on the machine.
 func (m *Machine) Hooks() serve.Hooks {
 	return serve.Hooks{Clock: slowClock{loop.Monotonic(), m}, Listen: m.Listen, Connect: m.Connect, WallClock: m.WallClock}
 }
@@ -77,17 +77,17 @@
 	return m.rnd.Float64() < p
 }
 
-// delay is a step that may take a while.
+// delay sleeps for a moment in a share of its calls.
 func (m *Machine) delay() {
-	if m.chance(delayChance) {
-		time.Sleep(m.upTo(delayMost))
+	if m.chance(delayShare) {
+		time.Sleep(m.upTo(maxDelay))
 	}
 }
 
-// fails gives the error of a system call that fails now, nil for none.
-func (m *Machine) fails(call string) error {
+// shortageError returns the error with which a system call fails now, nil if it doesn't.
+func (m *Machine) shortageError(call string) error {
 	now := time.Since(m.started)
-	for _, s := range m.scarce {
+	for _, s := range m.shortages {
 		if now >= s.from && now < s.to {
 			return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, s.errno)}
 		}
@@ -95,10 +95,10 @@
 	return nil
 }
 
-// WallClock is the wall clock, with its steps so far.
+// WallClock returns the time of the wall clock, with its steps so far.
 func (m *Machine) WallClock() time.Time {
 	now := time.Now()
-	for _, s := range m.steps {
+	for _, s := range m.clockSteps {
 		if time.Since(m.started) >= s.at {
 			now = now.Add(s.by)
 		}
@@ -106,9 +106,9 @@
 	return now
 }
 
-// Listen listens at an address.
+// Listen listens at an address, or fails in a shortage.
 func (m *Machine) Listen(network, address string) (net.Listener, error) {
-	if err := m.fails("socket"); err != nil {
+	if err := m.shortageError("socket"); err != nil {
 		return nil, err
 	}
 	ln, err := net.Listen(network, address)
@@ -118,10 +118,10 @@
 	return &listener{ln.(*net.TCPListener), m}, nil
 }
 
-// Connect opens a connection.
+// Connect opens a connection, or fails in a shortage.
 func (m *Machine) Connect(ctx context.Context, network, address string) (net.Conn, error) {
 	m.delay()
-	if err := m.fails("connect"); err != nil {
+	if err := m.shortageError("connect"); err != nil {
 		return nil, err
 	}
 	nc, err := (&net.Dialer{KeepAlive: -1}).DialContext(ctx, network, address)
@@ -137,7 +137,7 @@
 }
 
 func (l *listener) Accept() (net.Conn, error) {
-	if err := l.m.fails("accept4"); err != nil {
+	if err := l.m.shortageError("accept4"); err != nil {
 		return nil, err
 	}
 	nc, err := l.AcceptTCP()
@@ -147,40 +147,40 @@
 	return &conn{nc, l.m}, nil
 }
 
-// conn reads short, writes in pieces, and breaks in other words.
+// conn has short reads and writes in two pieces, and replaces a reset by another error in some cases.
 type conn struct {
 	*net.TCPConn
 	m *Machine
 }
 
 func (c *conn) Read(b []byte) (int, error) {
-	if len(b) > 1 && c.m.chance(pieceChance) {
+	if len(b) > 1 && c.m.chance(splitShare) {
 		b = b[:1+int(c.m.upTo(time.Duration(min(len(b)-1, 64))))]
 	}
 	n, err := c.TCPConn.Read(b)
 	c.m.delay()
 	if errors.Is(err, syscall.ECONNRESET) {
-		others := []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
-		err = &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", others[int(c.m.upTo(time.Duration(len(others))))%len(others)])}
+		errnos := []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
+		err = &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errnos[int(c.m.upTo(time.Duration(len(errnos))))%len(errnos)])}
 	}
 	return n, err
 }
 
 func (c *conn) Write(b []byte) (n int, err error) {
 	c.m.delay()
-	if len(b) < 2 || !c.m.chance(pieceChance) {
+	if len(b) < 2 || !c.m.chance(splitShare) {
 		return c.TCPConn.Write(b)
 	}
 	first := 1 + int(c.m.upTo(time.Duration(len(b)-1)))
 	if n, err = c.TCPConn.Write(b[:first]); err != nil {
 		return n, err
 	}
-	time.Sleep(c.m.upTo(delayMost / 4))
+	time.Sleep(c.m.upTo(maxDelay / 4))
 	more, err := c.TCPConn.Write(b[first:])
 	return n + more, err
 }
 
-// slowClock is the machine's clock, at which a look may take a while.
+// slowClock is the machine's monotonic clock; some of its reads are delayed.
 type slowClock struct {
 	loop.Clock
 	m *Machine
@@ -188,8 +188,8 @@
 
 func (c slowClock) Now() float64 {
 	now := c.Clock.Now()
-	if c.m.chance(delayChance / 10) {
-		time.Sleep(c.m.upTo(delayMost))
+	if c.m.chance(delayShare / 10) {
+		time.Sleep(c.m.upTo(maxDelay))
 	}
 	return now
 }
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -8,42 +8,43 @@
 	"time"
 )
 
-// Proxy stands before a server and spoils some of the connections to it. What goes to the server passes at once or not at all, so that who
-// looks there sees when it was sent; what comes back may be late, cut, reset, held, or never come.
+// Proxy forwards connections to a server and injects a fault into some of them. Bytes to the server pass at once or not at all, so that
+// the server sees when they were sent. Bytes from the server may be late, cut off, held back once, or never come, and the connection
+// may be reset.
 type Proxy struct {
 	Target      string  // the server's address
-	FaultShare float64 // the share of connections that are spoilt
-	AllowDelays    bool    // what comes back may be late or held; else the connection may only be reset or cut
-	Seed    uint64
+	FaultShare  float64 // of connections that get a fault
+	AllowDelays bool    // all kinds of faults; else connections are only reset or cut off
+	Seed        uint64
 
-	ln    net.Listener
-	wg    sync.WaitGroup
-	mu    sync.Mutex
-	rnd   *rand.Rand
-	conns map[net.Conn]bool
-	done  bool
+	ln     net.Listener
+	wg     sync.WaitGroup
+	mu     sync.Mutex
+	rnd    *rand.Rand
+	conns  map[net.Conn]bool
+	closed bool
 }
 
-// fault is what happens to a connection.
-type fault int
+// faultKind says what happens to a connection.
+type faultKind int
 
 const (
-	faultReset    fault = iota // it is reset, before or after some bytes have come back
-	faultCut                   // it ends in the middle
-	faultLate                  // what comes back is late
-	faultHeld                  // what comes back is held for a while, once
-	faultHalfOpen              // from some moment on nothing comes back, and the connection stays
-	faults                     // how many there are
+	faultReset    faultKind = iota // it is reset, before or after some bytes from the server
+	faultCut                       // it ends in the middle
+	faultLate                      // from some moment on every read from the server is delayed
+	faultHeld                      // one read from the server is delayed, and for longer
+	faultHalfOpen                  // from some moment on nothing comes from the server, and the connection stays open
+	faultKinds                     // the number of kinds
 )
 
 const (
-	lateMost   = 60 * time.Millisecond
-	heldMost   = 2 * time.Second
-	spoilAfter = 4000 // bytes at most that come back before
-	never      = -1
+	maxLateDelay  = 60 * time.Millisecond
+	maxHeldDelay  = 2 * time.Second
+	maxFaultBytes = 4000 // from the server, after which a fault occurs at the latest
+	noFault       = -1
 )
 
-// Start listens at a loopback address and gives it.
+// Start listens at a loopback address and returns it.
 func (p *Proxy) Start() (address string, err error) {
 	if p.ln, err = net.Listen("tcp", "127.0.0.1:0"); err != nil {
 		return "", err
@@ -55,19 +56,19 @@
 			if err != nil {
 				return
 			}
-			if p.keep(nc) {
-				p.wg.Go(func() { p.pass(nc.(*net.TCPConn)) })
+			if p.add(nc) {
+				p.wg.Go(func() { p.forward(nc.(*net.TCPConn)) })
 			}
 		}
 	})
 	return p.ln.Addr().String(), nil
 }
 
-// Close ends it and all its connections.
+// Close stops the proxy and closes all its connections.
 func (p *Proxy) Close() {
 	p.ln.Close()
 	p.mu.Lock()
-	p.done = true
+	p.closed = true
 	for nc := range p.conns {
 		nc.Close()
 	}
@@ -75,10 +76,11 @@
 	p.wg.Wait()
 }
 
-func (p *Proxy) keep(nc net.Conn) bool {
+// add registers a connection; it closes it and returns false if the proxy is closed.
+func (p *Proxy) add(nc net.Conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.done {
+	if p.closed {
 		nc.Close()
 		return false
 	}
@@ -86,86 +88,89 @@
 	return true
 }
 
-func (p *Proxy) drop(nc net.Conn) {
+// remove closes a connection.
+func (p *Proxy) remove(nc net.Conn) {
 	nc.Close()
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, nc)
 }
 
-// draw draws what happens to a connection; spoilt is false for most.
-func (p *Proxy) draw() (kind fault, after int, wait float64, spoilt bool) {
+// draw draws the fault of a connection, the bytes after which it occurs, its delay as a share of the longest, and whether the
+// connection gets it at all.
+func (p *Proxy) draw() (kind faultKind, after int, delayShare float64, faulty bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	kinds := int(faults)
+	kinds := int(faultKinds)
 	if !p.AllowDelays {
 		kinds = int(faultCut) + 1
 	}
-	return fault(p.rnd.IntN(kinds)), p.rnd.IntN(spoilAfter), p.rnd.Float64(), p.rnd.Float64() < p.FaultShare
+	return faultKind(p.rnd.IntN(kinds)), p.rnd.IntN(maxFaultBytes), p.rnd.Float64(), p.rnd.Float64() < p.FaultShare
 }
 
-// reset has a connection's other side see that it broke.
-func reset(nc *net.TCPConn) { nc.SetLinger(0) }
+// resetOnClose has the close of a connection reset it.
+func resetOnClose(nc *net.TCPConn) { nc.SetLinger(0) }
 
-func (p *Proxy) pass(client *net.TCPConn) {
-	defer p.drop(client)
-	kind, after, wait, spoilt := p.draw()
-	up, err := net.Dial("tcp", p.Target)
+// forward connects a client to the server and copies in both directions.
+func (p *Proxy) forward(client *net.TCPConn) {
+	defer p.remove(client)
+	kind, after, delayShare, faulty := p.draw()
+	upstream, err := net.Dial("tcp", p.Target)
 	if err != nil {
-		reset(client)
+		resetOnClose(client)
 		return
 	}
-	if !p.keep(up) {
+	if !p.add(upstream) {
 		return
 	}
-	defer p.drop(up)
+	defer p.remove(upstream)
 	clientGone := make(chan struct{})
 	p.wg.Go(func() {
 		defer close(clientGone)
-		io.Copy(up, client)
-		up.(*net.TCPConn).CloseWrite()
+		io.Copy(upstream, client)
+		upstream.(*net.TCPConn).CloseWrite()
 	})
-	if !spoilt {
-		after = never
+	if !faulty {
+		after = noFault
 	}
-	back(client, up, clientGone, kind, after, wait)
+	copyResponse(client, upstream, clientGone, kind, after, delayShare)
 }
 
-// back carries what comes back, and spoils it after so many bytes.
-func back(client *net.TCPConn, up net.Conn, clientGone <-chan struct{}, kind fault, after int, wait float64) {
+// copyResponse copies bytes from the server to the client, and injects a fault after a number of them.
+func copyResponse(client *net.TCPConn, upstream net.Conn, clientGone <-chan struct{}, kind faultKind, after int, delayShare float64) {
 	b := make([]byte, 2048)
 	for {
-		n, err := up.Read(b)
+		n, err := upstream.Read(b)
 		if err != nil {
 			if err != io.EOF {
-				reset(client)
+				resetOnClose(client)
 			}
 			return
 		}
-		if after == never || n <= after {
+		if after == noFault || n <= after {
 			if _, err := client.Write(b[:n]); err != nil {
 				return
 			}
-			if after != never {
+			if after != noFault {
 				after -= n
 			}
 			continue
 		}
-		after = never
+		after = noFault
 		switch kind {
 		case faultReset:
-			reset(client)
+			resetOnClose(client)
 			return
 		case faultCut:
 			client.Write(b[:n/2])
 			return
 		case faultLate:
-			time.Sleep(time.Duration(wait * float64(lateMost)))
-			after = 0 // the next one too
+			time.Sleep(time.Duration(delayShare * float64(maxLateDelay)))
+			after = 0 // delay the next read too
 		case faultHeld:
-			time.Sleep(time.Duration(wait * float64(heldMost)))
+			time.Sleep(time.Duration(delayShare * float64(maxHeldDelay)))
 		case faultHalfOpen:
-			io.Copy(io.Discard, up)
+			io.Copy(io.Discard, upstream)
 			<-clientGone
 			return
 		}
