--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -15,134 +15,135 @@
 	"arrowcleat/internal/record"
 )
 
-// Host is an entry of the list of nodes as the operators' platform tells it.
+// Host is an entry of the node list in discovery's form.
 type Host struct {
 	Name    string
-	NodeID  uint32 // the node's, in what is written down
+	NodeID  uint32 // the node's number in the record
 	Address string
 	Site    string
 	Zone    int
-	Health  string // one of the words below
+	Health  string // InService, Terminating or Terminated
 	Build   int
-	Started    time.Time // zero for long ago
-	since   int64     // number of its last change
+	Started time.Time // zero for long ago
+	seq     int64     // the agent's sequence number of its last change
 }
 
-// Words of a Host's health.
+// Health values of a Host.
 const (
 	InService   = "in_service"
 	Terminating = "terminating"
 	Terminated  = "terminated"
 )
 
-// Seen gives the entry as what a marshal was told.
+// Seen returns the record entry of a marshal having received h.
 func (h Host) Seen(instance int) *record.Seen {
-	word := map[string]string{InService: "serving", Terminating: "draining", Terminated: "gone"}[h.Health]
+	health := map[string]string{InService: "serving", Terminating: "draining", Terminated: "gone"}[h.Health]
 	return &record.Seen{Kind: "told", AtUs: time.Now().UnixMicro(), Instance: int64(instance), Node: h.NodeID, Ver: int64(h.Build),
-		Zone: int64(h.Zone), Text: word}
+		Zone: int64(h.Zone), Text: health}
 }
 
 func (h Host) json() string {
-	born := int64(0)
+	startedMs := int64(0)
 	if !h.Started.IsZero() {
-		born = h.Started.UnixMilli()
+		startedMs = h.Started.UnixMilli()
 	}
 	return fmt.Sprintf(`{"host":%q,"dial":%q,"site":%q,"class":"m1","block":1,"health":%q,"share":1.0,"born_ms":%d,"build":%d}`,
-		h.Name, h.Address, h.Site, h.Health, born, h.Build)
+		h.Name, h.Address, h.Site, h.Health, startedMs, h.Build)
 }
 
-// DiscoveryAgent is a stand-in for discovery's agent on one marshal's machine: it tells the list of nodes and what changes of it.
+// DiscoveryAgent is a stand-in for the discovery agent on one marshal's machine. It publishes the node list and its changes.
 type DiscoveryAgent struct {
-	Instance int
+	Instance   int
 	Record     func(*record.Seen)
-	SplitLines   bool // lines come in pieces, indented
+	SplitLines bool // each message is indented over several lines and written in pieces
 
 	streams
 	hosts map[string]Host
 	seq   int64
 }
 
-// Start listens at an address; what is told later than that goes to whoever watches.
+// Start listens at an address, with an empty list.
 func (a *DiscoveryAgent) Start(address string) error {
 	a.hosts = map[string]Host{}
 	return a.streams.start(address, a.watch)
 }
 
-// Set takes entries and tells them.
+// Set stores entries and publishes them.
 func (a *DiscoveryAgent) Set(hosts ...Host) {
 	a.mu.Lock()
 	for _, h := range hosts {
 		a.seq++
-		h.since = a.seq
+		h.seq = a.seq
 		a.hosts[h.Name] = h
 	}
 	a.wake()
 	a.mu.Unlock()
 }
 
-// List gives all entries but those of nodes that are gone.
+// List returns all entries except those of terminated nodes.
 func (a *DiscoveryAgent) List() []Host { _, hosts := a.after(0); return hosts }
 
-// after gives what changed after a number, and the number of the last change; after 0 what there is.
+// after returns the entries that changed after a sequence number, and the number of the last change. After 0 it returns all entries
+// except those of terminated nodes.
 func (a *DiscoveryAgent) after(seq int64) (last int64, hosts []Host) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for _, h := range a.hosts {
-		if h.since > seq && (seq > 0 || h.Health != Terminated) {
+		if h.seq > seq && (seq > 0 || h.Health != Terminated) {
 			hosts = append(hosts, h)
 		}
 	}
-	slices.SortFunc(hosts, func(x, y Host) int { return int(x.since - y.since) })
+	slices.SortFunc(hosts, func(x, y Host) int { return int(x.seq - y.seq) })
 	return a.seq, hosts
 }
 
-// DiscoveryMessage gives entries as a message of discovery's.
+// DiscoveryMessage returns a message of the discovery protocol with the entries.
 func DiscoveryMessage(seq int64, whole bool, hosts []Host) string {
-	var lines []string
+	var entries []string
 	for _, h := range hosts {
-		lines = append(lines, h.json())
+		entries = append(entries, h.json())
 	}
-	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(lines, ","))
+	return fmt.Sprintf(`{"seq":%d,"whole":%v,"hosts":[%s]}`, seq, whole, strings.Join(entries, ","))
 }
 
-// signOfLife is how often a watch on which nothing changes gets an empty line.
-const signOfLife = 2 * time.Second
+// heartbeatInterval is how often a watch without changes gets an empty line.
+const heartbeatInterval = 2 * time.Second
 
 func (a *DiscoveryAgent) watch(s *stream, q *http.Request) {
 	if !strings.HasPrefix(q.RequestURI, "/v1/servers?follow=1") {
 		return
 	}
-	had, _ := strconv.ParseInt(q.URL.Query().Get("since"), 10, 64) // 0 where there is none
+	sent, _ := strconv.ParseInt(q.URL.Query().Get("since"), 10, 64) // 0 if there is none
 	first := true
 	for {
-		changed := s.of.next()
-		last, hosts := a.after(had)
-		if first || last > had {
-			text := DiscoveryMessage(last, had == 0, hosts)
-			if err := a.say(s, text); err != nil {
+		changed := s.server.nextChange()
+		last, hosts := a.after(sent)
+		if first || last > sent {
+			text := DiscoveryMessage(last, sent == 0, hosts)
+			if err := a.writeLine(s, text); err != nil {
 				return
 			}
 			for _, h := range hosts {
 				a.Record(h.Seen(a.Instance))
 			}
-			first, had = false, last
+			first, sent = false, last
 		}
-		if !s.sleep(changed, signOfLife, "\n") {
+		if !s.awaitChange(changed, heartbeatInterval, "\n") {
 			return
 		}
 	}
 }
 
-// say writes a line, whole or in pieces.
-func (a *DiscoveryAgent) say(s *stream, text string) error {
+// writeLine writes a message as one line, or split up.
+func (a *DiscoveryAgent) writeLine(s *stream, text string) error {
 	text += "\n"
 	if !a.SplitLines {
-		return s.say(text)
+		return s.writeChunk(text)
 	}
 	text = strings.ReplaceAll(text, `,"`, ",\n  \"")
 	for len(text) > 0 {
 		n := min(len(text), 97)
-		if err := s.say(text[:n]); err != nil {
+		if err := s.writeChunk(text[:n]); err != nil {
 			return err
 		}
 		text = text[n:]
@@ -151,21 +152,21 @@
 	return nil
 }
 
-// streams serves answers that don't end, one a connection.
+// streams serves responses that don't end, one per connection.
 type streams struct {
 	mu      sync.Mutex
 	ln      net.Listener
 	wg      sync.WaitGroup
 	conns   map[net.Conn]bool
 	changed chan struct{} // closed at the next change
-	silent  bool          // nothing is written
+	silent  bool          // open streams write nothing
 	closed  bool
 }
 
-// stream is one of them.
+// stream is one open response.
 type stream struct {
 	net.Conn
-	of *streams
+	server *streams
 }
 
 func (s *streams) start(address string, serve func(*stream, *http.Request)) error {
@@ -209,10 +210,10 @@
 	serve(&stream{c, s}, q)
 }
 
-// Address is where it listens.
+// Address returns the address that the server listens at.
 func (s *streams) Address() string { return s.ln.Addr().String() }
 
-// SetSilent has it write nothing any more on the connections that are open, or go on.
+// SetSilent stops all writes on the open connections, or lets them go on.
 func (s *streams) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -220,13 +221,13 @@
 	s.wake()
 }
 
-// Retire takes no new connection, and ends the open ones after a while.
+// Retire stops accepting connections and closes the open ones after a time.
 func (s *streams) Retire(after time.Duration) {
 	s.ln.Close()
 	time.AfterFunc(after, s.Close)
 }
 
-// Close ends everything, and waits for that.
+// Close closes the listener and all connections, and waits until they have ended.
 func (s *streams) Close() {
 	s.ln.Close()
 	s.mu.Lock()
@@ -239,48 +240,49 @@
 	s.wg.Wait()
 }
 
-// wake has all streams look for what changed; s.mu is held.
+// wake has all streams check for changes; the caller holds s.mu.
 func (s *streams) wake() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
-// say writes a chunk.
-func (s *stream) say(text string) error {
+// writeChunk writes a chunk of the response body.
+func (s *stream) writeChunk(text string) error {
 	_, err := fmt.Fprintf(s, "%x\r\n%s\r\n", len(text), text)
 	return err
 }
 
-// next gives what is closed at the next change; it is asked for before what there is is looked at.
-func (s *streams) next() chan struct{} {
+// nextChange returns a channel that is closed at the next change. Callers get it before they read the state, so that no change is
+// missed.
+func (s *streams) nextChange() chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// sleep waits for a change, giving a sign of life where there is none for so long; false ends the stream.
-func (s *stream) sleep(changed chan struct{}, d time.Duration, sign string) bool {
+// awaitChange waits for a change. It writes the heartbeat text at each interval without one. It returns false if the stream has ended.
+func (s *stream) awaitChange(changed chan struct{}, interval time.Duration, heartbeat string) bool {
 	for {
-		rang := false
+		woken := false
 		select {
 		case <-changed:
-			rang = true
-		case <-time.After(d):
+			woken = true
+		case <-time.After(interval):
 		}
-		s.of.mu.Lock()
-		silent, closed := s.of.silent, s.of.closed
-		if rang {
-			changed = s.of.changed
+		s.server.mu.Lock()
+		silent, closed := s.server.silent, s.server.closed
+		if woken {
+			changed = s.server.changed
 		}
-		s.of.mu.Unlock()
+		s.server.mu.Unlock()
 		switch {
 		case closed:
 			return false
 		case silent:
-		case rang:
+		case woken:
 			return true
 		default:
-			if s.say(sign) != nil {
+			if s.writeChunk(heartbeat) != nil {
 				return false
 			}
 		}
--- a/internal/standin/conveyor.go
+++ b/internal/standin/conveyor.go
@@ -16,10 +16,10 @@
 
 // RolloutService is a stand-in conveyor: it brings one build after the other through the stages, by votes.
 type RolloutService struct {
-	Rollout *settings.Rollout
-	Delay     func() time.Duration
-	ResendInterval   time.Duration // between two tells of the same news
-	Record    func(*record.Seen)
+	Rollout        *settings.Rollout
+	Delay          func() time.Duration
+	ResendInterval time.Duration // between two tells of the same news
+	Record         func(*record.Seen)
 	// Deploy brings a part of the fleet to a build; ready says whether it is there.
 	Deploy func(ver int, part float64) (ready func() bool)
 	// Undeploy takes a build off the fleet.
@@ -41,7 +41,7 @@
 	History    []string // what it did, for people
 	begun      time.Time
 	Released   map[int]bool
-	RolledBack      map[int]bool
+	RolledBack map[int]bool
 }
 
 type vote struct {
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -20,30 +20,30 @@
 
 // Headers that stand-in clients and nodes use among themselves; a marshal passes them on like any other.
 const (
-	InvHeader  = "X-Inv"
-	OpHeader   = "X-Op"
-	KeyHeader  = "X-Key"
-	WorkHeader = "X-Work-Ms"
+	InvHeader        = "X-Inv"
+	OpHeader         = "X-Op"
+	KeyHeader        = "X-Key"
+	WorkHeader       = "X-Work-Ms"
 	NotStartedHeader = "X-Not-Started"
-	BadRequestHeader  = "X-Bad"
-	WrongValue = "wrong"
+	BadRequestHeader = "X-Bad"
+	WrongValue       = "wrong"
 )
 
 // Node is a stand-in node: cores that work off a queue, cold at the start, that falls over when it is pushed.
 type Node struct {
-	ID      uint32
-	Ver     int
-	Zone    int
-	Cores   int
-	Speed   float64 // work ms done in a ms by a warm core
-	Queue   int     // work that may wait; more is turned away
-	ColdShare    float64 // part of its speed at the start
-	WarmUp  time.Duration
-	OverloadFactor    float64 // pushed over by more than this many times its capacity
+	ID             uint32
+	Ver            int
+	Zone           int
+	Cores          int
+	Speed          float64 // work ms done in a ms by a warm core
+	Queue          int     // work that may wait; more is turned away
+	ColdShare      float64 // part of its speed at the start
+	WarmUp         time.Duration
+	OverloadFactor float64 // pushed over by more than this many times its capacity
 	OverloadWindow time.Duration
-	Seed    uint64
-	Record    func(*record.Seen) // what passed; nil for nothing
-	BuildFault   Fault              // of its build
+	Seed           uint64
+	Record         func(*record.Seen) // what passed; nil for nothing
+	BuildFault     Fault              // of its build
 
 	begun  time.Time
 	ln     *listener
@@ -68,7 +68,7 @@
 // OperationStats is what a node counted of one operation.
 type OperationStats struct {
 	Samples, Errors int
-	TotalMs            float64
+	TotalMs         float64
 }
 
 type push struct {
@@ -78,20 +78,20 @@
 
 // Fault is a trouble of a machine or a build. The zero Fault is none.
 type Fault struct {
-	ErrorShare   float64 // share that fails quickly
-	ErrorOp int     // only of this operation, counted from 1; 0 for all
+	ErrorShare    float64 // share that fails quickly
+	ErrorOp       int     // only of this operation, counted from 1; 0 for all
 	WrongShare    float64 // share answered wrongly
-	WorkFactor     float64 // times the work, 0 for once
-	After    time.Duration
-	BusyOver float64 // only while more than this share of the cores is busy
-	Hang     bool
-	Drain    bool // turns all work away
-	PauseLength time.Duration
+	WorkFactor    float64 // times the work, 0 for once
+	After         time.Duration
+	BusyOver      float64 // only while more than this share of the cores is busy
+	Hang          bool
+	Drain         bool // turns all work away
+	PauseLength   time.Duration
 	PauseInterval time.Duration // between pauses
-	Links     []LinkFault
-	ConnectDelay     time.Duration // that each new connection waits
-	MaxConns    int           // most connections, 0 for any number
-	CutAt      string        // breaks answers: "head", "body", "before"
+	Links         []LinkFault
+	ConnectDelay  time.Duration // that each new connection waits
+	MaxConns      int           // most connections, 0 for any number
+	CutAt         string        // breaks answers: "head", "body", "before"
 }
 
 // LinkFault is what the way from the marshals of one zone is like.
--- a/internal/standin/platformnode.go
+++ b/internal/standin/platformnode.go
@@ -20,26 +20,26 @@
 // The replies. All but Served and Rejected are troubles; all but Rejected may have run.
 const (
 	Served     Reply = iota // 200 after a while
-	Rejected              // 503 with the word that nothing ran
+	Rejected                // 503 with the word that nothing ran
 	Error                   // 500
 	Hung                    // nothing, until the other side gives up
 	Reset                   // the connection is reset
 	Closed                  // the connection ends without an answer
-	Truncated                     // it ends in the middle of the answer
-	Malformed                  // what comes is no HTTP
-	Duplicated                   // the answer, and some ms later the same again
+	Truncated               // it ends in the middle of the answer
+	Malformed               // what comes is no HTTP
+	Duplicated              // the answer, and some ms later the same again
 )
 
 // PlatformNode is a stand-in node on the operators' platform's protocol, over plain sockets: it answers as it is told to, request by
 // request, and writes down what reached it.
 type PlatformNode struct {
-	ID   uint32
-	Ver  int
-	Zone int
+	ID          uint32
+	Ver         int
+	Zone        int
 	IdleTimeout time.Duration // after which a connection without a request is closed; 0 for never
 	// Reply says how a request is dealt with, and after how long.
-	Reply func() (Reply, time.Duration)
-	Record  func(*record.Seen)
+	Reply  func() (Reply, time.Duration)
+	Record func(*record.Seen)
 
 	ln    net.Listener
 	wg    sync.WaitGroup
--- a/internal/standin/releaseapi.go
+++ b/internal/standin/releaseapi.go
@@ -10,60 +10,61 @@
 	"arrowcleat/internal/record"
 )
 
-// Release is where the newest build stands, as the operators' platform tells it.
+// Release is the rollout state of the newest build, as the release API publishes it.
 type Release struct {
 	Build, Stage int
 	Phase        balance.Phase
 	Cap          float64
-	Since        time.Time
+	Since        time.Time // when it entered this state
 }
 
-// releaseStates are the platform's words, in the order of balance.Phase.
+// releaseStates are the platform's names of the phases, in the order of balance.Phase.
 var releaseStates = []string{"testing", "recalling", "live", "recalled"}
 
-// JSON is the state as the platform writes it.
+// JSON returns the state in the platform's form.
 func (r Release) JSON() string {
 	return fmt.Sprintf(`{"Revision":%d,"Wave":%d,"State":%q,"MaxShare":%g,"AgeMs":%d}`, r.Build, r.Stage, releaseStates[r.Phase], r.Cap,
 		time.Since(r.Since).Milliseconds())
 }
 
-// Seen gives the state as what a marshal was told.
+// Seen returns the record entry of a marshal having received r.
 func (r Release) Seen(instance int) *record.Seen {
 	return &record.Seen{Kind: "staged", AtUs: time.Now().UnixMicro(), Instance: int64(instance), Ver: int64(r.Build), Stage: int64(r.Stage),
 		Phase: int64(r.Phase), Cap: r.Cap}
 }
 
-// ReleaseAPI is a stand-in for the platform's service that moves builds through their stages, as one marshal reaches it.
+// ReleaseAPI is a stand-in for the platform's rollout service, for one marshal.
 type ReleaseAPI struct {
 	Instance int
-	Record     func(*record.Seen)
-	// VoteStatus says with which status a vote is answered.
+	Record   func(*record.Seen)
+	// VoteStatus returns the status of the answer to a vote.
 	VoteStatus func() int
 
 	streams
-	now Release
+	release Release
 }
 
-// Start listens at an address.
-func (a *ReleaseAPI) Start(address string, now Release) error {
-	a.now = now
+// Start listens at an address, with an initial state.
+func (a *ReleaseAPI) Start(address string, release Release) error {
+	a.release = release
 	return a.streams.start(address, a.serve)
 }
 
-// Set tells another state.
-func (a *ReleaseAPI) Set(now Release) {
+// Set stores another state and publishes it.
+func (a *ReleaseAPI) Set(release Release) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.now = now
+	a.release = release
 	a.wake()
 }
 
-func (a *ReleaseAPI) state() Release {
+func (a *ReleaseAPI) current() Release {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.now
+	return a.release
 }
 
+// voteErrors are the error codes of a vote's answer, by its status.
 var voteErrors = map[int]string{429: "BUSY", 409: "STALE", 500: "FAILED", 400: "SYNTAX"}
 
 func (a *ReleaseAPI) serve(s *stream, q *http.Request) {
@@ -72,21 +73,21 @@
 		status := a.VoteStatus()
 		body := fmt.Sprintf(`{"error":%q}`, voteErrors[status])
 		if status == http.StatusOK {
-			now := a.state()
-			body = now.JSON()
-			a.Record(now.Seen(a.Instance))
+			release := a.current()
+			body = release.JSON()
+			a.Record(release.Seen(a.Instance))
 		}
 		fmt.Fprintf(s, "HTTP/1.1 %d %s\r\nContent-Length: %d\r\n\r\n%s", status, http.StatusText(status), len(body), body)
 		return
 	}
 	for {
-		changed := s.of.next()
-		now := a.state()
-		if err := s.say(fmt.Sprintf(`{"type":"ROLLOUT","object":%s}`+"\n", now.JSON())); err != nil {
+		changed := s.server.nextChange()
+		release := a.current()
+		if err := s.writeChunk(fmt.Sprintf(`{"type":"ROLLOUT","object":%s}`+"\n", release.JSON())); err != nil {
 			return
 		}
-		a.Record(now.Seen(a.Instance))
-		if !s.sleep(changed, time.Second, "{}\n") {
+		a.Record(release.Seen(a.Instance))
+		if !s.awaitChange(changed, time.Second, "{}\n") {
 			return
 		}
 	}
