--- a/internal/standin/conveyor.go
+++ b/internal/standin/conveyor.go
@@ -14,213 +14,218 @@
 	"arrowcleat/internal/settings"
 )
 
-// RolloutService is a stand-in conveyor: it brings one build after the other through the stages, by votes.
+// RolloutService is a stand-in for the rollout service: it moves one build after the other through the stages, by votes.
 type RolloutService struct {
 	Rollout        *settings.Rollout
-	Delay          func() time.Duration
-	ResendInterval time.Duration // between two tells of the same news
+	Delay          func() time.Duration // of each stage update; nil for none
+	ResendInterval time.Duration        // between two updates of the same state
 	Record         func(*record.Seen)
-	// Deploy brings a part of the fleet to a build; ready says whether it is there.
-	Deploy func(ver int, part float64) (ready func() bool)
-	// Undeploy takes a build off the fleet.
+	// Deploy has a share of the fleet run a build; ready says whether it does.
+	Deploy func(ver int, share float64) (ready func() bool)
+	// Undeploy removes a build from the fleet.
 	Undeploy func(ver int)
 
 	ln net.Listener
-	hub
+	lineServer
 	ver, stage int
 	phase      balance.Phase
-	since      time.Time // since this state
-	soaked     time.Time // since its machines run
+	since      time.Time // when it entered this state
+	soakBegan  time.Time // when all nodes of the stage were ready; zero before
 	ready      func() bool
 	votes      map[int]vote // by marshal
-	silent     bool
-	errors     bool
-	half       bool
+	silent     bool         // sends no updates and answers no votes
+	errors     bool         // answers votes with errors
+	countVote  bool         // while silent: alternates, so that every other vote counts
 	stop       chan struct{}
 	done       sync.WaitGroup
-	History    []string // what it did, for people
-	begun      time.Time
-	Released   map[int]bool
-	RolledBack map[int]bool
+	History    []string // of state changes, for people
+	began      time.Time
+	Released   map[int]bool // builds that have been released
+	RolledBack map[int]bool // builds that have been rolled back
 }
 
 type vote struct {
 	ver, stage int
 	verdict    balance.Verdict
-	until      time.Time
+	expires    time.Time
 }
 
-// Start listens, with a build released long ago.
-func (c *RolloutService) Start(address string, ver int) error {
+// Start listens at an address. The given build counts as released an hour ago.
+func (s *RolloutService) Start(address string, ver int) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("conveyor: %w", err)
+		return fmt.Errorf("rollout service: %w", err)
 	}
-	c.ln, c.ver, c.phase, c.since = ln, ver, balance.Released, time.Now().Add(-time.Hour)
-	c.stage = len(c.Rollout.Stage) - 1
-	c.votes, c.stop, c.begun = map[int]vote{}, make(chan struct{}), time.Now()
-	c.Released, c.RolledBack = map[int]bool{ver: true}, map[int]bool{}
-	c.serve(ln, c.hear, func(*link) {})
-	c.done.Add(1)
-	go c.run()
+	s.ln, s.ver, s.phase, s.since = ln, ver, balance.Released, time.Now().Add(-time.Hour)
+	s.stage = len(s.Rollout.Stage) - 1
+	s.votes, s.stop, s.began = map[int]vote{}, make(chan struct{}), time.Now()
+	s.Released, s.RolledBack = map[int]bool{ver: true}, map[int]bool{}
+	s.serve(ln, s.handleLine, func(*marshalConn) {})
+	s.done.Add(1)
+	go s.run()
 	return nil
 }
 
-// Address is where it listens.
-func (c *RolloutService) Address() string { return c.ln.Addr().String() }
+// Address returns the address that the service listens at.
+func (s *RolloutService) Address() string { return s.ln.Addr().String() }
 
-// Close ends it.
-func (c *RolloutService) Close() {
-	close(c.stop)
-	c.done.Wait()
-	c.close(c.ln)
+// Close stops the service and closes all its connections.
+func (s *RolloutService) Close() {
+	close(s.stop)
+	s.done.Wait()
+	s.close(s.ln)
 }
 
-// SetFaults makes it stand still, answer votes with errors, or lose the answers of half of them that count.
-func (c *RolloutService) SetFaults(silent, errors bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.silent, c.errors = silent, errors
+// SetFaults makes the service silent or has it answer votes with errors. While silent it sends nothing and stays in its state, but
+// counts every other vote, if it is valid, as if only its answer were lost.
+func (s *RolloutService) SetFaults(silent, errors bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.silent, s.errors = silent, errors
 }
 
-func (c *RolloutService) run() {
-	defer c.done.Done()
-	news := time.Now()
+func (s *RolloutService) run() {
+	defer s.done.Done()
+	sent := time.Now()
 	for {
 		select {
-		case <-c.stop:
+		case <-s.stop:
 			return
 		case <-time.After(20 * time.Millisecond):
 		}
-		c.mu.Lock()
-		c.step()
-		if time.Since(news) > c.ResendInterval {
-			news = time.Now()
-			c.tellAll()
+		s.mu.Lock()
+		s.step()
+		if time.Since(sent) > s.ResendInterval {
+			sent = time.Now()
+			s.sendToAll()
 		}
-		c.mu.Unlock()
+		s.mu.Unlock()
 	}
 }
 
-// StartRollout brings a new build; one still on trial is taken off.
-func (c *RolloutService) StartRollout(ver int) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.phase == balance.OnTrial {
-		c.back()
+// StartRollout puts a new build on trial. A build that is still on trial is rolled back.
+func (s *RolloutService) StartRollout(ver int) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.phase == balance.OnTrial {
+		s.rollBack()
 	}
-	c.ver, c.stage, c.phase = ver, 0, balance.OnTrial
-	c.changed(fmt.Sprintf("build %d offered", ver))
-	c.ready = c.Deploy(ver, c.Rollout.Stage[0].Part)
+	s.ver, s.stage, s.phase = ver, 0, balance.OnTrial
+	s.stateChanged(fmt.Sprintf("build %d on trial", ver))
+	s.ready = s.Deploy(ver, s.Rollout.Stage[0].Part)
 }
 
-func (c *RolloutService) changed(what string) {
-	c.since, c.soaked = time.Now(), time.Time{}
-	c.votes = map[int]vote{}
-	c.History = append(c.History, fmt.Sprintf("%5.1f s  %s", time.Since(c.begun).Seconds(), what))
-	if !c.silent {
-		c.tellAll()
+// stateChanged drops the votes for the state before, adds to the history and sends the new state.
+func (s *RolloutService) stateChanged(what string) {
+	s.since, s.soakBegan = time.Now(), time.Time{}
+	s.votes = map[int]vote{}
+	s.History = append(s.History, fmt.Sprintf("%5.1f s  %s", time.Since(s.began).Seconds(), what))
+	if !s.silent {
+		s.sendToAll()
 	}
 }
 
-func (c *RolloutService) back() {
-	ver := c.ver
-	c.phase = balance.RollingBack
-	c.RolledBack[ver] = true
-	c.changed(fmt.Sprintf("build %d sent back at stage %d", ver, c.stage))
-	c.Undeploy(ver)
+func (s *RolloutService) rollBack() {
+	ver := s.ver
+	s.phase = balance.RollingBack
+	s.RolledBack[ver] = true
+	s.stateChanged(fmt.Sprintf("build %d sent back at stage %d", ver, s.stage))
+	s.Undeploy(ver)
 }
 
-func (c *RolloutService) step() {
+// step counts the votes that have not expired, and rolls the newest build back or advances it.
+func (s *RolloutService) step() {
 	now := time.Now()
-	if c.silent || c.phase != balance.OnTrial && c.phase != balance.Released || c.ver == 0 {
+	if s.silent || s.phase != balance.OnTrial && s.phase != balance.Released || s.ver == 0 {
 		return
 	}
-	on, back := 0, 0
-	for _, v := range c.votes {
-		if v.ver != c.ver || now.After(v.until) {
+	advanceVotes, rollBackVotes := 0, 0
+	for _, v := range s.votes {
+		if v.ver != s.ver || now.After(v.expires) {
 			continue
 		}
 		if v.verdict == balance.RollBack {
-			back++
-		} else if v.verdict == balance.Advance && v.stage == c.stage {
-			on++
+			rollBackVotes++
+		} else if v.verdict == balance.Advance && v.stage == s.stage {
+			advanceVotes++
 		}
 	}
-	if back >= int(max(1, c.Rollout.BackVotes)) {
-		c.back()
+	if rollBackVotes >= int(max(1, s.Rollout.BackVotes)) {
+		s.rollBack()
 		return
 	}
-	if c.phase != balance.OnTrial {
+	if s.phase != balance.OnTrial {
 		return
 	}
-	if c.ready != nil && c.ready() && c.soaked.IsZero() {
-		c.soaked = now
+	if s.ready != nil && s.ready() && s.soakBegan.IsZero() {
+		s.soakBegan = now
 	}
-	soaked := !c.soaked.IsZero() && now.Sub(c.soaked) >= time.Duration(c.Rollout.SoakMs*float64(time.Millisecond))
-	if !soaked || on < int(max(1, c.Rollout.OnVotes)) {
+	soaked := !s.soakBegan.IsZero() && now.Sub(s.soakBegan) >= time.Duration(s.Rollout.SoakMs*float64(time.Millisecond))
+	if !soaked || advanceVotes < int(max(1, s.Rollout.OnVotes)) {
 		return
 	}
-	if c.stage+1 < len(c.Rollout.Stage) {
-		c.stage++
-		c.changed(fmt.Sprintf("build %d to stage %d", c.ver, c.stage))
-		c.ready = c.Deploy(c.ver, c.Rollout.Stage[c.stage].Part)
+	if s.stage+1 < len(s.Rollout.Stage) {
+		s.stage++
+		s.stateChanged(fmt.Sprintf("build %d at stage %d", s.ver, s.stage))
+		s.ready = s.Deploy(s.ver, s.Rollout.Stage[s.stage].Part)
 		return
 	}
-	c.phase = balance.Released
-	c.Released[c.ver] = true
-	c.changed(fmt.Sprintf("build %d released", c.ver))
+	s.phase = balance.Released
+	s.Released[s.ver] = true
+	s.stateChanged(fmt.Sprintf("build %d released", s.ver))
 }
 
-func (c *RolloutService) cap() float64 {
-	switch c.phase {
+// cap returns the share of the exposure that the newest build may have in its state.
+func (s *RolloutService) cap() float64 {
+	switch s.phase {
 	case balance.OnTrial:
-		return c.Rollout.Stage[c.stage].Cap
+		return s.Rollout.Stage[s.stage].Cap
 	case balance.Released:
 		return 1
 	}
 	return 0
 }
 
-func (c *RolloutService) tellAll() {
-	if c.silent {
+func (s *RolloutService) sendToAll() {
+	if s.silent {
 		return
 	}
-	for l := range c.links {
-		c.tell(l, "")
+	for c := range s.conns {
+		s.sendState(c, "")
 	}
 }
 
-// tell queues the news to a marshal, as what was voted for gets it or unasked.
-func (c *RolloutService) tell(l *link, id string) {
-	ver, stage, phase, cap, since := c.ver, c.stage, c.phase, c.cap(), c.since
-	lag := time.Duration(0)
-	if c.Delay != nil {
-		lag = c.Delay()
+// sendState queues the current state to a marshal: as the answer to the vote of an id, or as an update where there is none.
+func (s *RolloutService) sendState(c *marshalConn, id string) {
+	ver, stage, phase, cap, since := s.ver, s.stage, s.phase, s.cap(), s.since
+	delay := time.Duration(0)
+	if s.Delay != nil {
+		delay = s.Delay()
 	}
-	l.later(lag, func() {
+	c.enqueue(delay, func() {
 		line := control.AppendStage(nil, ver, stage, phase, cap, float64(time.Since(since))/float64(time.Millisecond))
 		if id != "" {
 			line = append([]byte("VOTED "+id+" ok"), line[len("STAGE"):]...)
 		}
-		if c.Record != nil {
-			c.Record(&record.Seen{Kind: "staged", AtUs: time.Now().UnixMicro(), Instance: int64(l.marshal), Ver: int64(ver),
+		if s.Record != nil {
+			s.Record(&record.Seen{Kind: "staged", AtUs: time.Now().UnixMicro(), Instance: int64(c.marshal), Ver: int64(ver),
 				Stage: int64(stage), Phase: int64(phase), Cap: cap})
 		}
-		l.PrintfLine("%s", line)
+		c.PrintfLine("%s", line)
 	})
 }
 
-func (c *RolloutService) hear(l *link, line string) error {
-	c.mu.Lock()
-	defer c.mu.Unlock()
+// handleLine takes a line from a marshal: its number, or a vote.
+func (s *RolloutService) handleLine(c *marshalConn, line string) error {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	if number, ok := strings.CutPrefix(line, "HELLO "); ok {
 		var err error
-		if l.marshal, err = strconv.Atoi(number); err != nil {
+		if c.marshal, err = strconv.Atoi(number); err != nil {
 			return err
 		}
-		if !c.silent {
-			c.tell(l, "")
+		if !s.silent {
+			s.sendState(c, "")
 		}
 		return nil
 	}
@@ -228,61 +233,61 @@
 	if err != nil {
 		return err
 	}
-	answer := strconv.FormatUint(id, 10)
-	stands := ver == c.ver && (stage == c.stage || verdict == balance.RollBack || verdict == balance.NoVote)
+	voteID := strconv.FormatUint(id, 10)
+	valid := ver == s.ver && (stage == s.stage || verdict == balance.RollBack || verdict == balance.NoVote)
 	count := func() {
-		c.votes[l.marshal] = vote{ver, stage, verdict,
-			time.Now().Add(time.Duration(c.Rollout.VoteTtlMs * float64(time.Millisecond)))}
+		s.votes[c.marshal] = vote{ver, stage, verdict,
+			time.Now().Add(time.Duration(s.Rollout.VoteTtlMs * float64(time.Millisecond)))}
 	}
 	switch {
-	case c.silent:
-		if c.half = !c.half; c.half && stands { // half of them count all the same
+	case s.silent:
+		if s.countVote = !s.countVote; s.countVote && valid {
 			count()
 		}
-	case c.errors:
-		l.later(0, func() { l.PrintfLine("VOTED %s error", answer) })
-	case !stands:
-		l.later(0, func() { l.PrintfLine("VOTED %s refused", answer) })
+	case s.errors:
+		c.enqueue(0, func() { c.PrintfLine("VOTED %s error", voteID) })
+	case !valid:
+		c.enqueue(0, func() { c.PrintfLine("VOTED %s refused", voteID) })
 	default:
 		count()
-		c.tell(l, answer)
+		s.sendState(c, voteID)
 	}
 	return nil
 }
 
-// SendBuildStats tells all marshals what was counted of a build and operation.
-func (c *RolloutService) SendBuildStats(ver, op int, n OperationStats, age time.Duration) {
-	if n.Samples == 0 {
+// SendBuildStats sends the statistics of a build's operation to all marshals.
+func (s *RolloutService) SendBuildStats(ver, op int, stats OperationStats, age time.Duration) {
+	if stats.Samples == 0 {
 		return
 	}
-	mean := n.TotalMs / float64(n.Samples)
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	if c.silent {
+	meanMs := stats.TotalMs / float64(stats.Samples)
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.silent {
 		return
 	}
-	for l := range c.links {
-		l.later(0, func() {
-			l.PrintfLine("TALLY %d %d %d %d %.3f %.0f", ver, op, n.Samples, n.Errors, mean,
+	for c := range s.conns {
+		c.enqueue(0, func() {
+			c.PrintfLine("TALLY %d %d %d %d %.3f %.0f", ver, op, stats.Samples, stats.Errors, meanMs,
 				float64(age)/float64(time.Millisecond))
 		})
 	}
 }
 
-// SendWrongAnswer tells a marshal that an answer it passed on was found wrong.
-func (c *RolloutService) SendWrongAnswer(marshal int, node uint32, op int, age time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	for l := range c.links {
-		if l.marshal == marshal {
-			l.later(0, func() { l.PrintfLine("FLAG %d %d %.0f", node, op, float64(age)/float64(time.Millisecond)) })
+// SendWrongAnswer tells a marshal that an answer that it forwarded was found wrong.
+func (s *RolloutService) SendWrongAnswer(marshal int, node uint32, op int, age time.Duration) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		if c.marshal == marshal {
+			c.enqueue(0, func() { c.PrintfLine("FLAG %d %d %.0f", node, op, float64(age)/float64(time.Millisecond)) })
 		}
 	}
 }
 
-// State tells where the newest build stands.
-func (c *RolloutService) State() (ver, stage int, phase balance.Phase, history []string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return c.ver, c.stage, c.phase, append([]string(nil), c.History...)
+// State returns the state of the newest build and the history.
+func (s *RolloutService) State() (ver, stage int, phase balance.Phase, history []string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.ver, s.stage, s.phase, append([]string(nil), s.History...)
 }
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -15,277 +15,280 @@
 	"arrowcleat/internal/record"
 )
 
-// Registry is a stand-in roster: what is set is told to those who watch, after a lag.
+// Registry is a stand-in for the service registry: it sends changes of the node list to the marshals that watch it, after a delay.
 type Registry struct {
-	Delay  func() time.Duration // of each tell; nil for none
+	Delay  func() time.Duration // of each message; nil for none
 	Record func(*record.Seen)
 
 	ln net.Listener
-	hub
-	epoch   uint64
-	version uint64
-	lines   map[uint32]entry
-	gone    map[uint32]entry
-	fail    bool
-	twice   bool
+	lineServer
+	epoch     uint64
+	version   uint64
+	nodes     map[uint32]entry
+	goneNodes map[uint32]entry
+	fail      bool // FETCH and WATCH fail
+	duplicate bool // every list is sent twice
 }
 
 type entry struct {
 	control.NodeEntry
-	begun   time.Time
-	version uint64
+	started time.Time
+	version uint64 // of the registry at its last change
 }
 
-// hub is what the servers of line protocols share: their connections, each with a queue of what is told later.
-type hub struct {
+// lineServer holds the connections of a server with a line protocol. Each has a queue of delayed messages.
+type lineServer struct {
 	mu     sync.Mutex
-	links  map[*link]bool
+	conns  map[*marshalConn]bool
 	closed bool
 	wg     sync.WaitGroup
 }
 
-type link struct {
+// marshalConn is a marshal's connection to a server.
+type marshalConn struct {
 	*control.LineConn
-	nc      net.Conn
-	marshal int
-	watch   bool
-	say     chan func() // in order, each when its time has come
-	ctx     context.Context
+	nc       net.Conn
+	marshal  int // -1 until it has said its number
+	watching bool
+	queue    chan func() // called in order
+	ctx      context.Context
 }
 
-// serve takes connections; hear is called with each line, in order.
-func (h *hub) serve(ln net.Listener, hear func(*link, string) error, leave func(*link)) {
-	h.links = map[*link]bool{}
-	h.wg.Add(1)
+// serve accepts connections. It calls onLine with each line of a connection, in order, and onClose at its end.
+func (s *lineServer) serve(ln net.Listener, onLine func(*marshalConn, string) error, onClose func(*marshalConn)) {
+	s.conns = map[*marshalConn]bool{}
+	s.wg.Add(1)
 	go func() {
-		defer h.wg.Done()
+		defer s.wg.Done()
 		for {
 			nc, err := ln.Accept()
 			if err != nil {
 				return
 			}
 			ctx, cancel := context.WithCancel(context.Background())
-			l := &link{LineConn: control.NewLineConn(nc), nc: nc, marshal: -1, say: make(chan func(), 4096), ctx: ctx}
-			h.mu.Lock()
-			if h.closed {
-				h.mu.Unlock()
+			c := &marshalConn{LineConn: control.NewLineConn(nc), nc: nc, marshal: -1, queue: make(chan func(), 4096), ctx: ctx}
+			s.mu.Lock()
+			if s.closed {
+				s.mu.Unlock()
 				cancel()
 				nc.Close()
 				return
 			}
-			h.links[l] = true
-			h.wg.Add(2)
-			h.mu.Unlock()
+			s.conns[c] = true
+			s.wg.Add(2)
+			s.mu.Unlock()
 			go func() {
-				defer h.wg.Done()
+				defer s.wg.Done()
 				for {
 					select {
-					case f := <-l.say:
-						f()
+					case send := <-c.queue:
+						send()
 					case <-ctx.Done():
 						return
 					}
 				}
 			}()
 			go func() {
-				defer h.wg.Done()
+				defer s.wg.Done()
 				defer cancel()
 				for {
-					line, err := l.NextLine()
+					line, err := c.NextLine()
 					if err == nil {
-						err = hear(l, line)
+						err = onLine(c, line)
 					}
 					if err != nil {
 						break
 					}
 				}
 				nc.Close()
-				h.mu.Lock()
-				delete(h.links, l)
-				h.mu.Unlock()
-				leave(l)
+				s.mu.Lock()
+				delete(s.conns, c)
+				s.mu.Unlock()
+				onClose(c)
 			}()
 		}
 	}()
 }
 
-// later queues something to be told to a link after a lag. What is told later never overtakes.
-func (l *link) later(lag time.Duration, f func()) {
-	at := time.Now().Add(lag)
+// enqueue queues a message to be sent after a delay. Messages never overtake each other.
+func (c *marshalConn) enqueue(delay time.Duration, send func()) {
+	at := time.Now().Add(delay)
 	select {
-	case l.say <- func() {
-		if sleep(l.ctx, time.Until(at)) {
-			f()
+	case c.queue <- func() {
+		if sleep(c.ctx, time.Until(at)) {
+			send()
 		}
 	}:
-	default: // far behind: the link is cut, and the whole is told anew
-		l.nc.Close()
+	default: // the queue is full: once the marshal reconnects, it gets the whole state anew
+		c.nc.Close()
 	}
 }
 
-func (h *hub) close(ln net.Listener) {
+func (s *lineServer) close(ln net.Listener) {
 	ln.Close()
-	h.mu.Lock()
-	h.closed = true
-	for l := range h.links {
-		l.nc.Close()
+	s.mu.Lock()
+	s.closed = true
+	for c := range s.conns {
+		c.nc.Close()
 	}
-	h.mu.Unlock()
-	h.wg.Wait()
+	s.mu.Unlock()
+	s.wg.Wait()
 }
 
-// drop cuts every connection; marshals come back.
-func (h *hub) drop() {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	for l := range h.links {
-		l.nc.Close()
+// closeConns closes every connection; marshals reconnect.
+func (s *lineServer) closeConns() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.conns {
+		c.nc.Close()
 	}
 }
 
-// Start listens.
+// Start listens at an address, with an empty list.
 func (r *Registry) Start(address string) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
-		return fmt.Errorf("roster: %w", err)
+		return fmt.Errorf("registry: %w", err)
 	}
 	r.ln, r.epoch = ln, uint64(time.Now().UnixNano())
-	r.lines, r.gone = map[uint32]entry{}, map[uint32]entry{}
-	r.serve(ln, r.hear, func(*link) {})
+	r.nodes, r.goneNodes = map[uint32]entry{}, map[uint32]entry{}
+	r.serve(ln, r.handleLine, func(*marshalConn) {})
 	return nil
 }
 
-// Address is where it listens.
+// Address returns the address that the registry listens at.
 func (r *Registry) Address() string { return r.ln.Addr().String() }
 
-// Close ends it.
+// Close closes the listener and all connections.
 func (r *Registry) Close() { r.close(r.ln) }
 
-// DropConnections cuts every connection.
-func (r *Registry) DropConnections() { r.drop() }
+// DropConnections closes every connection; marshals reconnect.
+func (r *Registry) DropConnections() { r.closeConns() }
 
-// SetFaults makes calls fail, or every tell come twice.
-func (r *Registry) SetFaults(fail, twice bool) {
+// SetFaults makes FETCH and WATCH fail, or every list be sent twice.
+func (r *Registry) SetFaults(fail, duplicate bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fail, r.twice = fail, twice
+	r.fail, r.duplicate = fail, duplicate
 }
 
-// Set puts a line on the roster, or what is new of it, and tells those who watch. Gone takes it off.
-func (r *Registry) Set(line control.NodeEntry, up time.Duration) {
+// Set adds or changes a node, or removes it if it is gone, and sends the change to the marshals that watch.
+func (r *Registry) Set(node control.NodeEntry, uptime time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.version++
-	e := entry{line, time.Now().Add(-up), r.version}
-	if line.Health == balance.Gone {
-		delete(r.lines, line.ID)
-		r.gone[line.ID] = e
+	e := entry{node, time.Now().Add(-uptime), r.version}
+	if node.Health == balance.Gone {
+		delete(r.nodes, node.ID)
+		r.goneNodes[node.ID] = e
 	} else {
-		delete(r.gone, line.ID)
-		r.lines[line.ID] = e
+		delete(r.goneNodes, node.ID)
+		r.nodes[node.ID] = e
 	}
-	for l := range r.links {
-		if l.watch {
-			r.tell(l, false, r.version-1, r.version, []entry{e})
+	for c := range r.conns {
+		if c.watching {
+			r.sendList(c, false, r.version-1, r.version, []entry{e})
 		}
 	}
 }
 
-func (r *Registry) lag() time.Duration {
+func (r *Registry) delay() time.Duration {
 	if r.Delay == nil {
 		return 0
 	}
 	return r.Delay()
 }
 
-// tell queues a list; r.mu is held.
-func (r *Registry) tell(l *link, whole bool, from, version uint64, lines []entry) {
+// sendList queues a list; the caller holds r.mu.
+func (r *Registry) sendList(c *marshalConn, whole bool, from, version uint64, nodes []entry) {
 	times := 1
-	if r.twice {
+	if r.duplicate {
 		times = 2
 	}
 	epoch := r.epoch
-	var unlisted []entry // what a whole list tells by leaving it out
-	for _, e := range r.gone {
+	var unlisted []entry // nodes that a whole list reports as gone by leaving them out
+	for _, e := range r.goneNodes {
 		if whole {
 			unlisted = append(unlisted, e)
 		}
 	}
 	for range times {
-		l.later(r.lag(), func() {
+		c.enqueue(r.delay(), func() {
 			kind := "changes"
 			if whole {
 				kind = "whole"
 			}
-			b := fmt.Appendf(nil, "LIST %s %d %d %d %d\r\n", kind, epoch, from, version, len(lines))
-			for _, e := range lines {
+			b := fmt.Appendf(nil, "LIST %s %d %d %d %d\r\n", kind, epoch, from, version, len(nodes))
+			for _, e := range nodes {
 				if e.UptimeMs != 0 {
-					e.UptimeMs = max(1, float64(time.Since(e.begun))/float64(time.Millisecond))
+					e.UptimeMs = max(1, float64(time.Since(e.started))/float64(time.Millisecond))
 				}
 				b = append(control.AppendNode(b, e.NodeEntry), "\r\n"...)
 			}
-			for _, e := range append(lines, unlisted...) {
+			for _, e := range append(nodes, unlisted...) {
 				if r.Record != nil {
-					r.Record(&record.Seen{Kind: "told", AtUs: time.Now().UnixMicro(), Instance: int64(l.marshal), Node: e.ID,
+					r.Record(&record.Seen{Kind: "told", AtUs: time.Now().UnixMicro(), Instance: int64(c.marshal), Node: e.ID,
 						Ver: int64(e.Ver), Text: [...]string{"serving", "draining", "gone"}[e.Health]})
 				}
 			}
-			l.nc.Write(b)
+			c.nc.Write(b)
 		})
 	}
 }
 
-func (r *Registry) hear(l *link, line string) error {
+// handleLine takes a line from a marshal.
+func (r *Registry) handleLine(c *marshalConn, line string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	words := strings.Fields(line)
 	if len(words) == 0 {
-		return fmt.Errorf("an empty line")
+		return fmt.Errorf("empty line")
 	}
 	switch words[0] {
 	case "HELLO":
 		if len(words) == 2 {
-			l.marshal, _ = strconv.Atoi(words[1])
+			c.marshal, _ = strconv.Atoi(words[1])
 		}
 	case "FETCH":
 		if r.fail {
-			l.later(r.lag(), func() { l.PrintfLine("FAILED") })
+			c.enqueue(r.delay(), func() { c.PrintfLine("FAILED") })
 			return nil
 		}
-		r.tell(l, true, 0, r.version, r.all(0))
+		r.sendList(c, true, 0, r.version, r.changedAfter(0))
 	case "WATCH":
 		if r.fail || len(words) != 3 {
-			l.later(r.lag(), func() { l.PrintfLine("FAILED") })
+			c.enqueue(r.delay(), func() { c.PrintfLine("FAILED") })
 			return nil
 		}
 		epoch, _ := strconv.ParseUint(words[1], 10, 64)
 		version, _ := strconv.ParseUint(words[2], 10, 64)
-		l.watch = true
+		c.watching = true
 		if epoch != r.epoch || version > r.version {
-			r.tell(l, true, 0, r.version, r.all(0))
+			r.sendList(c, true, 0, r.version, r.changedAfter(0))
 		} else {
-			r.tell(l, false, version, r.version, r.all(version))
+			r.sendList(c, false, version, r.version, r.changedAfter(version))
 		}
 	case "UNWATCH":
-		l.watch = false
+		c.watching = false
 	default:
 		return fmt.Errorf("unknown message %.20q", words[0])
 	}
 	return nil
 }
 
-// all gives the lines newer than a version, those gone among them but for the whole list.
-func (r *Registry) all(after uint64) (lines []entry) {
-	for _, e := range r.lines {
-		if e.version > after {
-			lines = append(lines, e)
+// changedAfter returns the nodes that changed after a version, in the order of their numbers. After 0 it returns the whole list, which
+// leaves out the nodes that are gone.
+func (r *Registry) changedAfter(version uint64) (nodes []entry) {
+	for _, e := range r.nodes {
+		if e.version > version {
+			nodes = append(nodes, e)
 		}
 	}
-	for _, e := range r.gone {
-		if after > 0 && e.version > after {
-			lines = append(lines, e)
+	for _, e := range r.goneNodes {
+		if version > 0 && e.version > version {
+			nodes = append(nodes, e)
 		}
 	}
-	slices.SortFunc(lines, func(a, b entry) int { return int(int64(a.ID) - int64(b.ID)) })
-	return lines
+	slices.SortFunc(nodes, func(a, b entry) int { return int(int64(a.ID) - int64(b.ID)) })
+	return nodes
 }
