--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -1,5 +1,5 @@
-// Package standin has small stand-ins for what a marshal works among: nodes, the roster and the conveyor. They
-// write down what passes on their sockets, and take trouble on command.
+// Package standin has small stand-ins for the services around a marshal: nodes, the service registry, the rollout service, and the
+// platform's discovery and release API. They record what passes on their sockets and inject faults on command.
 package standin
 
 import (
@@ -18,7 +18,7 @@
 	"arrowcleat/internal/record"
 )
 
-// Headers that stand-in clients and nodes use among themselves; a marshal passes them on like any other.
+// Header fields between stand-in clients and nodes; a marshal forwards them like any other.
 const (
 	InvHeader        = "X-Inv"
 	OpHeader         = "X-Op"
@@ -29,87 +29,89 @@
 	WrongValue       = "wrong"
 )
 
-// Node is a stand-in node: cores that work off a queue, cold at the start, that falls over when it is pushed.
+// Node is a stand-in node. Its cores work off a queue. It is slower while it warms up, and too much work in that time makes it stop
+// answering for good.
 type Node struct {
 	ID             uint32
 	Ver            int
 	Zone           int
 	Cores          int
-	Speed          float64 // work ms done in a ms by a warm core
-	Queue          int     // work that may wait; more is turned away
-	ColdShare      float64 // part of its speed at the start
+	Speed          float64 // ms of work that a core does in a ms once it is warm
+	Queue          int     // dispatches that may wait; more are rejected
+	ColdShare      float64 // of its speed at the start
 	WarmUp         time.Duration
-	OverloadFactor float64 // pushed over by more than this many times its capacity
+	OverloadFactor float64 // more than this many times its capacity overloads it while it warms up
 	OverloadWindow time.Duration
 	Seed           uint64
-	Record         func(*record.Seen) // what passed; nil for nothing
-	BuildFault     Fault              // of its build
-
-	begun  time.Time
-	ln     *listener
-	server *http.Server
-	cores  chan struct{}
-
-	mu      sync.Mutex
-	rnd     *rand.Rand
-	fault   Fault // of the machine, on command
-	waiting int
-	held    int
-	pushed  []push
-	fell    bool
-	dead    bool
-	took    float64 // service time, fading
-	served  []time.Time
-	hung    chan struct{} // closed when a hang ends
-	recent  map[string]time.Time
-	counts  map[int]*OperationStats
+	Record         func(*record.Seen) // of what passes; nil for none
+	BuildFault     Fault
+
+	started time.Time
+	ln      *listener
+	server  *http.Server
+	cores   chan struct{} // holds an element for each busy core
+
+	mu           sync.Mutex
+	rnd          *rand.Rand
+	machineFault Fault // on command
+	waiting      int   // dispatches without a core
+	held         int   // dispatches that wait or run
+	coldArrivals []arrival
+	overloaded   bool
+	dead         bool
+	serviceMs    float64       // moving average of the service times
+	served       []time.Time   // within the last second
+	hangEnded    chan struct{} // closed when a hang ends
+	recent       map[string]time.Time
+	stats        map[int]*OperationStats // by operation
 }
 
-// OperationStats is what a node counted of one operation.
+// OperationStats counts the answers of one operation.
 type OperationStats struct {
 	Samples, Errors int
-	TotalMs         float64
+	TotalMs         float64 // service times, added up
 }
 
-type push struct {
-	at   time.Time
-	work float64
+// arrival is work that reached a node while it warmed up.
+type arrival struct {
+	at     time.Time
+	workMs float64
 }
 
-// Fault is a trouble of a machine or a build. The zero Fault is none.
+// Fault describes how a machine or a build misbehaves. The zero Fault is none.
 type Fault struct {
-	ErrorShare    float64 // share that fails quickly
-	ErrorOp       int     // only of this operation, counted from 1; 0 for all
-	WrongShare    float64 // share answered wrongly
-	WorkFactor    float64 // times the work, 0 for once
-	After         time.Duration
-	BusyOver      float64 // only while more than this share of the cores is busy
-	Hang          bool
-	Drain         bool // turns all work away
+	ErrorShare    float64       // of the answers that are errors; those of a machine come at once
+	ErrorOp       int           // the operation, counted from 1, that a build has errors of; 0 for all
+	WrongShare    float64       // of the answers that are wrong
+	WorkFactor    float64       // multiplies the work; 0 leaves it
+	After         time.Duration // since the node's start, before which a build has no fault
+	BusyOver      float64       // share of busy cores up to which a build has no fault
+	Hang          bool          // does not answer
+	Drain         bool          // rejects all work
 	PauseLength   time.Duration
-	PauseInterval time.Duration // between pauses
+	PauseInterval time.Duration // from the start of a pause to that of the next
 	Links         []LinkFault
-	ConnectDelay  time.Duration // that each new connection waits
-	MaxConns      int           // most connections, 0 for any number
-	CutAt         string        // breaks answers: "head", "body", "before"
+	ConnectDelay  time.Duration // before anything is read from a new connection
+	MaxConns      int           // 0 for any number
+	CutAt         string        // where answers end early: "head", "body", "chunk", "before"; empty for never
 }
 
-// LinkFault is what the way from the marshals of one zone is like.
+// LinkFault describes the network between some marshals and a node.
 type LinkFault struct {
-	Marshals map[int]bool
-	Delay    time.Duration
-	Loss     float64
+	Marshals map[int]bool  // their numbers
+	Delay    time.Duration // in each direction
+	Loss     float64       // share of the dispatches that are lost
 }
 
-// Start listens and serves; address may have port 0.
+// Start listens and serves; port 0 in the address selects a free one.
 func (n *Node) Start(address string) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
 		return fmt.Errorf("node %d: %w", n.ID, err)
 	}
-	n.begun, n.cores = time.Now(), make(chan struct{}, n.Cores)
+	n.started, n.cores = time.Now(), make(chan struct{}, n.Cores)
 	n.rnd = rand.New(rand.NewPCG(n.Seed, uint64(n.ID)))
-	n.hung, n.recent, n.counts = make(chan struct{}), map[string]time.Time{}, map[int]*OperationStats{}
+	n.hangEnded, n.recent, n.stats = make(chan struct{}), map[string]time.Time{}, map[int]*OperationStats{}
 	n.ln = &listener{Listener: ln, n: n, conns: map[net.Conn]bool{}}
 	n.server = &http.Server{Handler: n, ErrorLog: log.New(io.Discard, "", 0)}
 	n.see(&record.Seen{Kind: "begins"})
@@ -117,13 +119,13 @@
 	return nil
 }
 
-// Address is where it listens.
+// Address returns the address that the node listens at.
 func (n *Node) Address() string { return n.ln.Addr().String() }
 
-// Uptime is how long it has run.
-func (n *Node) Uptime() time.Duration { return time.Since(n.begun) }
+// Uptime returns the time since the node's start.
+func (n *Node) Uptime() time.Duration { return time.Since(n.started) }
 
-// Kill ends it like a killed process: connections are reset.
+// Kill ends the node like a killed process: its connections are reset.
 func (n *Node) Kill() {
 	n.mu.Lock()
 	if n.dead {
@@ -133,11 +135,11 @@
 	n.dead = true
 	n.mu.Unlock()
 	n.see(&record.Seen{Kind: "dies"})
-	n.ln.reset()
+	n.ln.resetAll()
 	n.server.Close()
 }
 
-// Do carries out one command line: see the page of operators of stand-ins.
+// Do executes one command line, which sets or ends a fault of the machine.
 func (n *Node) Do(line string) error {
 	words := strings.Fields(line)
 	if len(words) == 0 {
@@ -152,12 +154,12 @@
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	f := &n.fault
+	f := &n.machineFault
 	switch words[0] {
 	case "well":
 		if f.Hang {
-			close(n.hung)
-			n.hung = make(chan struct{})
+			close(n.hangEnded)
+			n.hangEnded = make(chan struct{})
 		}
 		*f = Fault{}
 	case "errors":
@@ -174,7 +176,7 @@
 		f.ConnectDelay = millis(arg(1))
 	case "conns":
 		f.MaxConns = int(arg(1))
-		n.ln.squeeze(f.MaxConns)
+		n.ln.closeExcess(f.MaxConns)
 	case "cut":
 		f.CutAt = strings.Join(words[1:], " ")
 	case "link": // link MS LOSS MARSHAL...
@@ -184,7 +186,7 @@
 		}
 		f.Links = append(f.Links, l)
 	default:
-		return fmt.Errorf("node: no command is called %.20q", words[0])
+		return fmt.Errorf("node: unknown command %.20q", words[0])
 	}
 	return nil
 }
@@ -197,16 +199,16 @@
 	n.Record(s)
 }
 
-// capacity is the work a ms that it can do now.
+// capacity returns the ms of work that the node can do now in a ms.
 func (n *Node) capacity() float64 {
-	part := 1.0
-	if up := time.Since(n.begun); n.WarmUp > 0 && up < n.WarmUp {
-		part = n.ColdShare + (1-n.ColdShare)*float64(up)/float64(n.WarmUp)
+	warmShare := 1.0
+	if uptime := time.Since(n.started); n.WarmUp > 0 && uptime < n.WarmUp {
+		warmShare = n.ColdShare + (1-n.ColdShare)*float64(uptime)/float64(n.WarmUp)
 	}
-	return part * n.Speed * float64(n.Cores)
+	return warmShare * n.Speed * float64(n.Cores)
 }
 
-// marshalOf finds the marshal that passed a request on: the last one in Via.
+// marshalOf returns the number of the marshal that forwarded a request: the last one in Via. It returns -1 if there is none.
 func marshalOf(r *http.Request) int64 {
 	via := r.Header.Get("Via")
 	if i := strings.LastIndex(via, "marshal-"); i >= 0 {
@@ -217,51 +219,52 @@
 	return -1
 }
 
-// ServeHTTP does the work of one dispatch.
+// ServeHTTP serves one dispatch, or a health check.
 func (n *Node) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path == "/healthz" {
-		n.report(w)
+		n.setLoadReport(w)
 		return
 	}
 	op, _ := strconv.Atoi(r.Header.Get(OpHeader))
-	work, err := strconv.ParseFloat(r.Header.Get(WorkHeader), 64)
+	workMs, err := strconv.ParseFloat(r.Header.Get(WorkHeader), 64)
 	if err != nil {
-		work = 1
+		workMs = 1
 	}
-	from := marshalOf(r)
+	marshal := marshalOf(r)
 	seen := func(kind, text string) {
-		n.see(&record.Seen{Kind: kind, Inv: r.Header.Get(InvHeader), Instance: from, Op: int64(op),
+		n.see(&record.Seen{Kind: kind, Inv: r.Header.Get(InvHeader), Instance: marshal, Op: int64(op),
 			Key: r.Header.Get(KeyHeader), Text: text})
 	}
 	seen("got", "")
-	over := context.AfterFunc(r.Context(), func() { seen("cut", "connection gone") })
-	delay, lost := n.way(int(from))
+	// stopWatch ends the watch for a lost connection. It returns false if the connection was lost before, and recorded as that.
+	stopWatch := context.AfterFunc(r.Context(), func() { seen("cut", "connection gone") })
+	delay, lost := n.linkFaults(int(marshal))
 	if lost {
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
 	}
 	sleep(r.Context(), delay)
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
-		if over() {
+		if stopWatch() {
 			seen("cut", "body broken off")
 		}
 		panic(http.ErrAbortHandler)
 	}
 	start := time.Now()
-	if r.Header.Get(BadRequestHeader) != "" { // worthless: an error anywhere, and no work
-		if over() {
+	if r.Header.Get(BadRequestHeader) != "" { // an error on every node, without work
+		if stopWatch() {
 			seen("done", "500")
 		}
 		w.WriteHeader(http.StatusInternalServerError)
 		return
 	}
-	status, wrong, cut, ok := n.work(r.Context(), op, work)
+	status, wrong, cutAt, ok := n.work(r.Context(), op, workMs)
 	sleep(r.Context(), delay)
 	if !ok {
 		if status == 0 {
 			panic(http.ErrAbortHandler)
 		}
-		if over() {
+		if stopWatch() {
 			seen("away", "")
 		}
 		w.Header().Set(NotStartedHeader, "1")
@@ -271,34 +274,34 @@
 	n.count(op, status, time.Since(start))
 	w.Header().Set(InvHeader, r.Header.Get(InvHeader))
 	w.Header().Set("X-Node", strconv.Itoa(int(n.ID)))
-	n.report(w)
+	n.setLoadReport(w)
 	if wrong {
 		w.Header().Set("X-Answer", WrongValue)
 	}
 	body := "node " + strconv.Itoa(int(n.ID)) + " did " + r.Header.Get(InvHeader) + "\n"
-	if cut != "" {
-		if over() {
-			seen("cut", cut)
+	if cutAt != "" {
+		if stopWatch() {
+			seen("cut", cutAt)
 		}
-		if r.Method == http.MethodHead { // its head would be a whole answer
-			cut = "before"
+		if r.Method == http.MethodHead { // the head alone would be a complete answer
+			cutAt = "before"
 		}
-		n.breakOff(w, cut, body)
+		n.cutAnswer(w, cutAt, body)
 		return
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
-	if over() { // written down before it is sent: the marshal may send again as soon as it has read it
+	if stopWatch() { // recorded before it is sent: the marshal may dispatch again as soon as it has read the answer
 		seen("done", strconv.Itoa(status))
 	}
 	w.WriteHeader(status)
 	io.WriteString(w, body)
 }
 
-// way is what the way from a marshal is like now.
-func (n *Node) way(marshal int) (delay time.Duration, lost bool) {
+// linkFaults returns the delay of a dispatch from a marshal, and whether it is lost.
+func (n *Node) linkFaults(marshal int) (delay time.Duration, lost bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, l := range n.fault.Links {
+	for _, l := range n.machineFault.Links {
 		if l.Marshals[marshal] {
 			delay += l.Delay
 			lost = lost || n.rnd.Float64() < l.Loss
@@ -307,8 +310,8 @@
 	return delay, lost
 }
 
-// breakOff dies in the middle of an answer.
-func (n *Node) breakOff(w http.ResponseWriter, where, body string) {
+// cutAnswer writes the part of an answer before the cut, and closes the connection.
+func (n *Node) cutAnswer(w http.ResponseWriter, where, body string) {
 	h, ok := w.(http.Hijacker)
 	if !ok {
 		panic(http.ErrAbortHandler)
@@ -329,6 +332,7 @@
 	c.Close()
 }
 
+// sleep waits for a time; it returns false if the context ends before.
 func sleep(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
@@ -343,18 +347,19 @@
 	}
 }
 
-// work waits for a core and uses it. ok false with a status: turned away before it began; without: broken off.
-func (n *Node) work(ctx context.Context, op int, work float64) (status int, wrong bool, cut string, ok bool) {
+// work waits for a core and uses it. If ok is false, the dispatch was rejected before it began if there is a status, else its
+// connection ended first.
+func (n *Node) work(ctx context.Context, op int, workMs float64) (status int, wrong bool, cutAt string, ok bool) {
 	n.mu.Lock()
-	n.push(work)
-	f, b := n.fault, n.BuildFault
-	if b.After > 0 && time.Since(n.begun) < b.After || b.BusyOver > 0 && float64(len(n.cores)) <= b.BusyOver*float64(n.Cores) {
+	n.checkOverload(workMs)
+	f, b := n.machineFault, n.BuildFault
+	if b.After > 0 && time.Since(n.started) < b.After || b.BusyOver > 0 && float64(len(n.cores)) <= b.BusyOver*float64(n.Cores) {
 		b = Fault{}
 	}
 	fails := n.rnd.Float64() < f.ErrorShare || (b.ErrorOp == 0 || b.ErrorOp == op+1) && n.rnd.Float64() < b.ErrorShare
 	wrong = n.rnd.Float64() < b.WrongShare
-	hung, fell, away := n.hung, n.fell, f.Drain || n.waiting >= n.Queue
-	if away && !fell && !f.Hang {
+	hangEnded, overloaded, rejected := n.hangEnded, n.overloaded, f.Drain || n.waiting >= n.Queue
+	if rejected && !overloaded && !f.Hang {
 		n.mu.Unlock()
 		return http.StatusServiceUnavailable, false, "", false
 	}
@@ -366,50 +371,50 @@
 		n.held--
 		n.mu.Unlock()
 	}()
-	leave := func() {
+	stopWaiting := func() {
 		n.mu.Lock()
 		n.waiting--
 		n.mu.Unlock()
 	}
-	if fell || f.Hang {
+	if overloaded || f.Hang {
 		select {
 		case <-ctx.Done():
-			leave()
+			stopWaiting()
 			return 0, false, "", false
-		case <-hung:
-			if fell {
+		case <-hangEnded:
+			if overloaded {
 				<-ctx.Done()
-				leave()
+				stopWaiting()
 				return 0, false, "", false
 			}
 		}
 	}
 	if fails && f.ErrorShare > 0 {
-		leave()
+		stopWaiting()
 		sleep(ctx, time.Millisecond)
 		return http.StatusInternalServerError, false, "", true
 	}
 	select {
 	case n.cores <- struct{}{}:
-		leave()
-	case <-ctx.Done(): // waiting work is dropped when it is cancelled
-		leave()
+		stopWaiting()
+	case <-ctx.Done(): // cancelled work that still waits is dropped
+		stopWaiting()
 		return 0, false, "", false
 	}
 	defer func() { <-n.cores }()
 	n.mu.Lock()
-	part := n.capacity() / (n.Speed * float64(n.Cores))
+	warmShare := n.capacity() / (n.Speed * float64(n.Cores))
 	n.mu.Unlock()
-	took := work / n.Speed / part
-	for _, times := range []float64{f.WorkFactor, b.WorkFactor} {
-		if times > 0 {
-			took *= times
+	tookMs := workMs / n.Speed / warmShare
+	for _, factor := range []float64{f.WorkFactor, b.WorkFactor} {
+		if factor > 0 {
+			tookMs *= factor
 		}
 	}
-	// Running work goes on whatever becomes of its client.
-	sleep(context.Background(), time.Duration(took*float64(time.Millisecond))+n.pause(f))
+	// Running work is finished even if its connection ends.
+	sleep(context.Background(), time.Duration(tookMs*float64(time.Millisecond))+n.pauseLeft(f))
 	n.mu.Lock()
-	n.took += (took - n.took) * 0.1
+	n.serviceMs += (tookMs - n.serviceMs) * 0.1
 	n.served = append(n.served, time.Now())
 	n.mu.Unlock()
 	if fails {
@@ -418,39 +423,39 @@
 	return http.StatusOK, wrong, f.CutAt, true
 }
 
-// pause is how long a machine that pauses now and then still stands still.
-func (n *Node) pause(f Fault) time.Duration {
+// pauseLeft returns the rest of the machine's current pause, 0 between pauses.
+func (n *Node) pauseLeft(f Fault) time.Duration {
 	if f.PauseInterval <= 0 {
 		return 0
 	}
-	into := time.Since(n.begun) % f.PauseInterval
-	return max(0, f.PauseLength-into)
+	sinceStart := time.Since(n.started) % f.PauseInterval
+	return max(0, f.PauseLength-sinceStart)
 }
 
-// push counts work that reaches a cold node; too much of it pushes the node over.
-func (n *Node) push(work float64) {
+// checkOverload counts work that arrives while the node warms up; too much of it within OverloadWindow overloads the node.
+func (n *Node) checkOverload(workMs float64) {
 	now := time.Now()
-	if n.WarmUp <= 0 || n.OverloadFactor <= 0 || now.Sub(n.begun) > n.WarmUp || n.fell {
-		n.pushed = nil
+	if n.WarmUp <= 0 || n.OverloadFactor <= 0 || now.Sub(n.started) > n.WarmUp || n.overloaded {
+		n.coldArrivals = nil
 		return
 	}
-	n.pushed = append(n.pushed, push{now, work})
-	sum := 0.0
-	for len(n.pushed) > 0 && now.Sub(n.pushed[0].at) > n.OverloadWindow {
-		n.pushed = n.pushed[1:]
+	n.coldArrivals = append(n.coldArrivals, arrival{now, workMs})
+	sumMs := 0.0
+	for len(n.coldArrivals) > 0 && now.Sub(n.coldArrivals[0].at) > n.OverloadWindow {
+		n.coldArrivals = n.coldArrivals[1:]
 	}
-	for _, p := range n.pushed {
-		sum += p.work
+	for _, a := range n.coldArrivals {
+		sumMs += a.workMs
 	}
-	window := float64(n.OverloadWindow) / float64(time.Millisecond)
-	if slack := 3 * work; sum > n.OverloadFactor*n.capacity()*window+slack {
-		n.fell = true
-		n.see(&record.Seen{Kind: "fell", Text: fmt.Sprintf("%.0f ms of work in %.0f ms", sum, window)})
+	windowMs := float64(n.OverloadWindow) / float64(time.Millisecond)
+	if slackMs := 3 * workMs; sumMs > n.OverloadFactor*n.capacity()*windowMs+slackMs {
+		n.overloaded = true
+		n.see(&record.Seen{Kind: "fell", Text: fmt.Sprintf("%.0f ms of work in %.0f ms", sumMs, windowMs)})
 	}
 }
 
-// report tells the load in ORCA's text form.
-func (n *Node) report(w http.ResponseWriter) {
+// setLoadReport sets the header field with the node's load, in ORCA's text form.
+func (n *Node) setLoadReport(w http.ResponseWriter) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	now := time.Now()
@@ -459,47 +464,47 @@
 	}
 	w.Header().Set("endpoint-load-metrics", fmt.Sprintf(
 		"TEXT cpu_utilization=%.3f, rps_fractional=%d, named_metrics.service_ms=%.3f, named_metrics.held=%d, named_metrics.waiting=%d",
-		float64(len(n.cores))/float64(n.Cores), len(n.served), n.took, n.held, n.waiting))
+		float64(len(n.cores))/float64(n.Cores), len(n.served), n.serviceMs, n.held, n.waiting))
 }
 
 func (n *Node) count(op, status int, took time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := n.counts[op]
-	if c == nil {
-		c = &OperationStats{}
-		n.counts[op] = c
+	s := n.stats[op]
+	if s == nil {
+		s = &OperationStats{}
+		n.stats[op] = s
 	}
-	c.Samples++
+	s.Samples++
 	if status >= 500 {
-		c.Errors++
+		s.Errors++
 	}
-	c.TotalMs += float64(took) / float64(time.Millisecond)
+	s.TotalMs += float64(took) / float64(time.Millisecond)
 }
 
-// TakeStats hands out what was counted since the last time.
+// TakeStats returns the statistics by operation since the last call.
 func (n *Node) TakeStats() map[int]*OperationStats {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	c := n.counts
-	n.counts = map[int]*OperationStats{}
-	return c
+	stats := n.stats
+	n.stats = map[int]*OperationStats{}
+	return stats
 }
 
-// Overloaded says that it was pushed over.
+// Overloaded reports whether the node was overloaded while it warmed up.
 func (n *Node) Overloaded() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.fell
+	return n.overloaded
 }
 
-// ReadCommands reads command lines until the input ends, then kills the node: so it never outlives who started it.
+// ReadCommands executes command lines until the input ends, then kills the node, so that it never outlives the process that started it.
 func (n *Node) ReadCommands(in io.Reader) error {
 	defer n.Kill()
 	return ForEachLine(in, n.Do)
 }
 
-// listener delays, bounds and resets connections.
+// listener delays, limits and resets connections.
 type listener struct {
 	net.Listener
 	n     *Node
@@ -507,24 +512,24 @@
 	conns map[net.Conn]bool
 }
 
-type tracked struct {
+type trackedConn struct {
 	net.Conn
-	l     *listener
-	begin time.Time // no byte is read before
+	l         *listener
+	readAfter time.Time // no byte is read before
 }
 
-func (t *tracked) Read(p []byte) (int, error) {
-	if wait := time.Until(t.begin); wait > 0 {
+func (c *trackedConn) Read(p []byte) (int, error) {
+	if wait := time.Until(c.readAfter); wait > 0 {
 		time.Sleep(wait)
 	}
-	return t.Conn.Read(p)
+	return c.Conn.Read(p)
 }
 
-func (t *tracked) Close() error {
-	t.l.mu.Lock()
-	delete(t.l.conns, t.Conn)
-	t.l.mu.Unlock()
-	return t.Conn.Close()
+func (c *trackedConn) Close() error {
+	c.l.mu.Lock()
+	delete(c.l.conns, c.Conn)
+	c.l.mu.Unlock()
+	return c.Conn.Close()
 }
 
 func (l *listener) Accept() (net.Conn, error) {
@@ -534,10 +539,10 @@
 			return nil, err
 		}
 		l.n.mu.Lock()
-		dial, most := l.n.fault.ConnectDelay, l.n.fault.MaxConns
+		delay, maxConns := l.n.machineFault.ConnectDelay, l.n.machineFault.MaxConns
 		l.n.mu.Unlock()
 		l.mu.Lock()
-		full := most > 0 && len(l.conns) >= most
+		full := maxConns > 0 && len(l.conns) >= maxConns
 		if !full {
 			l.conns[c] = true
 		}
@@ -547,12 +552,12 @@
 			c.Close()
 			continue
 		}
-		return &tracked{c, l, time.Now().Add(dial)}, nil
+		return &trackedConn{c, l, time.Now().Add(delay)}, nil
 	}
 }
 
-// reset breaks every connection, as the death of a process does.
-func (l *listener) reset() {
+// resetAll closes the listener and resets every connection, as the death of a process does.
+func (l *listener) resetAll() {
 	l.Listener.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -564,16 +569,16 @@
 	}
 }
 
-// squeeze closes connections beyond a number.
-func (l *listener) squeeze(most int) {
+// closeExcess closes connections beyond a number; 0 closes none.
+func (l *listener) closeExcess(maxConns int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	over := len(l.conns) - most
+	excess := len(l.conns) - maxConns
 	for c := range l.conns {
-		if most <= 0 || over <= 0 {
+		if maxConns <= 0 || excess <= 0 {
 			return
 		}
 		c.Close()
-		over--
+		excess--
 	}
 }
