--- a/internal/faults/machine.go
+++ b/internal/faults/machine.go
@@ -1,6 +1,6 @@
-// Package faults injects faults that Linux documents into what a program runs on: sockets that are unavailable for a moment, short
-// reads, writes in pieces, broken connections, delays between any two steps, a wall clock that is stepped. All are drawn from a seed.
-// Tests pass them to the program under test; no serving code uses them.
+// Package faults injects faults that Linux documents into what a program runs on: sockets that are unavailable for a
+// moment, short reads, writes in pieces, broken connections, delays between any two steps, a wall clock that is
+// stepped. All are drawn from a seed. Tests pass them to the program under test; no serving code uses them.
 package faults
 
 import (
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// Proxy forwards connections to a server and injects a fault into some of them. Bytes to the server pass at once or not at all, so that
-// the server sees when they were sent. Bytes from the server may be late, cut off, held back once, or never come, and the connection
-// may be reset.
+// Proxy forwards connections to a server and injects a fault into some of them. Bytes to the server pass at once or not
+// at all, so that the server sees when they were sent. Bytes from the server may be late, cut off, held back once, or
+// never come, and the connection may be reset.
 type Proxy struct {
 	Target      string  // the server's address
 	FaultShare  float64 // of connections that get a fault
@@ -96,8 +96,8 @@
 	delete(p.conns, nc)
 }
 
-// draw draws the fault of a connection, the bytes after which it occurs, its delay as a share of the longest, and whether the
-// connection gets it at all.
+// draw draws the fault of a connection, the bytes after which it occurs, its delay as a share of the longest, and
+// whether the connection gets it at all.
 func (p *Proxy) draw() (kind faultKind, after int, delayShare float64, faulty bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/plant/plant.go
+++ b/internal/plant/plant.go
@@ -13,8 +13,8 @@
 	"arrowcleat/internal/serve"
 )
 
-// Faults returns the names of the faults that can be injected: the audit's rules, of which a fault breaks one each, and "twice",
-// with which every answer is sent twice.
+// Faults returns the names of the faults that can be injected: the audit's rules, of which a fault breaks one each, and
+// "twice", with which every answer is sent twice.
 func Faults() []string { return append(slices.Clone(audit.Rules), "twice") }
 
 // Hooks returns the hooks that inject a fault into a marshal; without a name they inject none.
@@ -103,8 +103,8 @@
 	f.Module.NodesListed(whole && f.fault != audit.Drain, list)
 }
 
-// Dispatch sends everything to the node that started last while it warms up. Nodes of trial builds are never selected for
-// that, so that no build exceeds its cap.
+// Dispatch sends everything to the node that started last while it warms up. Nodes of trial builds are never selected
+// for that, so that no build exceeds its cap.
 func (f *faultyModule) Dispatch(inv string, node uint32, within float64) {
 	if f.coldNode != 0 && f.Now() < f.overloadUntilMs {
 		node = f.coldNode
--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -51,7 +51,8 @@
 		h.Name, h.Address, h.Site, h.Health, startedMs, h.Build)
 }
 
-// DiscoveryAgent is a stand-in for the discovery agent on one marshal's machine. It publishes the node list and its changes.
+// DiscoveryAgent is a stand-in for the discovery agent on one marshal's machine. It publishes the node list and its
+// changes.
 type DiscoveryAgent struct {
 	Instance   int
 	Record     func(*record.Seen)
@@ -83,8 +84,8 @@
 // List returns all entries except those of terminated nodes.
 func (a *DiscoveryAgent) List() []Host { _, hosts := a.after(0); return hosts }
 
-// after returns the entries that changed after a sequence number, and the number of the last change. After 0 it returns all entries
-// except those of terminated nodes.
+// after returns the entries that changed after a sequence number, and the number of the last change. After 0 it returns
+// all entries except those of terminated nodes.
 func (a *DiscoveryAgent) after(seq int64) (last int64, hosts []Host) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -252,15 +253,16 @@
 	return err
 }
 
-// nextChange returns a channel that is closed at the next change. Callers get it before they read the state, so that no change is
-// missed.
+// nextChange returns a channel that is closed at the next change. Callers get it before they read the state, so that no
+// change is missed.
 func (s *streams) nextChange() chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// awaitChange waits for a change. It writes the heartbeat text at each interval without one. It returns false if the stream has ended.
+// awaitChange waits for a change. It writes the heartbeat text at each interval without one. It returns false if the
+// stream has ended.
 func (s *stream) awaitChange(changed chan struct{}, interval time.Duration, heartbeat string) bool {
 	for {
 		woken := false
--- a/internal/standin/conveyor.go
+++ b/internal/standin/conveyor.go
@@ -14,7 +14,8 @@
 	"arrowcleat/internal/settings"
 )
 
-// RolloutService is a stand-in for the rollout service: it moves one build after the other through the stages, by votes.
+// RolloutService is a stand-in for the rollout service: it moves one build after the other through the stages, by
+// votes.
 type RolloutService struct {
 	Rollout        *settings.Rollout
 	Delay          func() time.Duration // of each stage update; nil for none
@@ -76,8 +77,8 @@
 	s.close(s.ln)
 }
 
-// SetFaults makes the service silent or has it answer votes with errors. While silent it sends nothing and stays in its state, but
-// counts every other vote, if it is valid, as if only its answer were lost.
+// SetFaults makes the service silent or has it answer votes with errors. While silent it sends nothing and stays in its
+// state, but counts every other vote, if it is valid, as if only its answer were lost.
 func (s *RolloutService) SetFaults(silent, errors bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,7 +196,8 @@
 	}
 }
 
-// sendState queues the current state to a marshal: as the answer to the vote of an id, or as an update where there is none.
+// sendState queues the current state to a marshal: as the answer to the vote of an id, or as an update where there is
+// none.
 func (s *RolloutService) sendState(c *marshalConn, id string) {
 	ver, stage, phase, cap, since := s.ver, s.stage, s.phase, s.cap(), s.since
 	delay := time.Duration(0)
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -1,5 +1,6 @@
-// Package standin has small stand-ins for the services around a marshal: nodes, the service registry, the rollout service, and the
-// platform's discovery and release API. They record what passes on their sockets and inject faults on command.
+// Package standin has small stand-ins for the services around a marshal: nodes, the service registry, the rollout
+// service, and the platform's discovery and release API. They record what passes on their sockets and inject faults on
+// command.
 package standin
 
 import (
@@ -29,8 +30,8 @@
 	WrongValue       = "wrong"
 )
 
-// Node is a stand-in node. Its cores work off a queue. It is slower while it warms up, and too much work in that time makes it stop
-// answering for good.
+// Node is a stand-in node. Its cores work off a queue. It is slower while it warms up, and too much work in that time
+// makes it stop answering for good.
 type Node struct {
 	ID             uint32
 	Ver            int
@@ -208,7 +209,8 @@
 	return warmShare * n.Speed * float64(n.Cores)
 }
 
-// marshalOf returns the number of the marshal that forwarded a request: the last one in Via. It returns -1 if there is none.
+// marshalOf returns the number of the marshal that forwarded a request: the last one in Via. It returns -1 if there is
+// none.
 func marshalOf(r *http.Request) int64 {
 	via := r.Header.Get("Via")
 	if i := strings.LastIndex(via, "marshal-"); i >= 0 {
@@ -236,7 +238,8 @@
 			Key: r.Header.Get(KeyHeader), Text: text})
 	}
 	seen("got", "")
-	// stopWatch ends the watch for a lost connection. It returns false if the connection was lost before, and recorded as that.
+	// stopWatch ends the watch for a lost connection. It returns false if the connection was lost before, and recorded
+	// as that.
 	stopWatch := context.AfterFunc(r.Context(), func() { seen("cut", "connection gone") })
 	delay, lost := n.linkFaults(int(marshal))
 	if lost {
@@ -347,8 +350,8 @@
 	}
 }
 
-// work waits for a core and uses it. If ok is false, the dispatch was rejected before it began if there is a status, else its
-// connection ended first.
+// work waits for a core and uses it. If ok is false, the dispatch was rejected before it began if there is a status,
+// else its connection ended first.
 func (n *Node) work(ctx context.Context, op int, workMs float64) (status int, wrong bool, cutAt string, ok bool) {
 	n.mu.Lock()
 	n.checkOverload(workMs)
@@ -432,7 +435,8 @@
 	return max(0, f.PauseLength-sinceStart)
 }
 
-// checkOverload counts work that arrives while the node warms up; too much of it within OverloadWindow overloads the node.
+// checkOverload counts work that arrives while the node warms up; too much of it within OverloadWindow overloads the
+// node.
 func (n *Node) checkOverload(workMs float64) {
 	now := time.Now()
 	if n.WarmUp <= 0 || n.OverloadFactor <= 0 || now.Sub(n.started) > n.WarmUp || n.overloaded {
@@ -498,7 +502,8 @@
 	return n.overloaded
 }
 
-// ReadCommands executes command lines until the input ends, then kills the node, so that it never outlives the process that started it.
+// ReadCommands executes command lines until the input ends, then kills the node, so that it never outlives the process
+// that started it.
 func (n *Node) ReadCommands(in io.Reader) error {
 	defer n.Kill()
 	return ForEachLine(in, n.Do)
--- a/internal/standin/platformnode.go
+++ b/internal/standin/platformnode.go
@@ -14,30 +14,30 @@
 	"arrowcleat/internal/record"
 )
 
-// Reply is how a PlatformNode deals with one request.
+// Reply is how a PlatformNode answers one request.
 type Reply int
 
-// The replies. All but Served and Rejected are troubles; all but Rejected may have run.
+// The replies. All but Served and Rejected are faults; after all but Rejected the request may have run.
 const (
-	Served     Reply = iota // 200 after a while
-	Rejected                // 503 with the word that nothing ran
+	Served     Reply = iota // 200
+	Rejected                // 503, with the header field that says that nothing ran
 	Error                   // 500
-	Hung                    // nothing, until the other side gives up
+	Hung                    // no answer until the other side closes the connection
 	Reset                   // the connection is reset
-	Closed                  // the connection ends without an answer
-	Truncated               // it ends in the middle of the answer
-	Malformed               // what comes is no HTTP
-	Duplicated              // the answer, and some ms later the same again
+	Closed                  // the connection is closed without an answer
+	Truncated               // the connection is closed in the middle of the answer
+	Malformed               // the answer is not valid HTTP
+	Duplicated              // 200, and some ms later the same answer again
 )
 
-// PlatformNode is a stand-in node on the operators' platform's protocol, over plain sockets: it answers as it is told to, request by
-// request, and writes down what reached it.
+// PlatformNode is a stand-in node with the operators' platform's protocol, over plain sockets. Its Reply function
+// decides the answer to each request, and it records what reaches it.
 type PlatformNode struct {
 	ID          uint32
 	Ver         int
 	Zone        int
 	IdleTimeout time.Duration // after which a connection without a request is closed; 0 for never
-	// Reply says how a request is dealt with, and after how long.
+	// Reply returns how a request is answered, and after which time.
 	Reply  func() (Reply, time.Duration)
 	Record func(*record.Seen)
 
@@ -62,7 +62,7 @@
 			if err != nil {
 				return
 			}
-			if n.keep(c) {
+			if n.add(c) {
 				n.wg.Go(func() { n.serve(c) })
 			}
 		}
@@ -70,10 +70,10 @@
 	return nil
 }
 
-// Address is where it listens.
+// Address returns the address that the node listens at.
 func (n *PlatformNode) Address() string { return n.ln.Addr().String() }
 
-// Kill ends it like a killed process: its connections are reset, new ones refused.
+// Kill ends the node like a killed process: its connections are reset and new ones refused.
 func (n *PlatformNode) Kill() {
 	n.mu.Lock()
 	if !n.dead {
@@ -89,7 +89,8 @@
 	n.wg.Wait()
 }
 
-func (n *PlatformNode) keep(c net.Conn) bool {
+// add registers a connection; it closes it and returns false if the node has been killed.
+func (n *PlatformNode) add(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.dead {
@@ -126,7 +127,7 @@
 			return
 		}
 		if _, err := io.Copy(io.Discard, q.Body); err != nil {
-			return // not whole: it never began
+			return // the request is truncated, so it does not begin
 		}
 		if !n.answer(c, b, q) {
 			return
@@ -134,27 +135,27 @@
 	}
 }
 
-// answer deals with one request; false ends the connection.
+// answer answers one request; it returns false if the connection ends.
 func (n *PlatformNode) answer(c net.Conn, b *bufio.Reader, q *http.Request) (keep bool) {
 	id := q.Header.Get("X-Trace-Id")
-	told, _ := strconv.ParseFloat(q.Header.Get("X-Expires-In-Ms"), 64)
-	instance, _, _ := strings.Cut(id, "-")
-	from, _ := strconv.ParseInt(instance, 10, 64)
+	limitMs, _ := strconv.ParseFloat(q.Header.Get("X-Expires-In-Ms"), 64)
+	number, _, _ := strings.Cut(id, "-")
+	marshal, _ := strconv.ParseInt(number, 10, 64)
 	see := func(kind, text string) {
-		n.see(&record.Seen{Kind: kind, Inv: id, Instance: from, LimitMs: told, Text: text})
+		n.see(&record.Seen{Kind: kind, Inv: id, Instance: marshal, LimitMs: limitMs, Text: text})
 	}
 	see("got", "")
 	reply, after := n.Reply()
 	if reply == Hung {
 		after = time.Hour
 	}
-	if !waits(c, b, after) {
+	if !waitConnected(c, b, after) {
 		see("cut", "given up")
 		return false
 	}
 	end := func(kind, text string) { see(kind, text); c.Close() }
-	text := "made for " + id
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+	body := "made for " + id
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch reply {
 	case Rejected:
 		see("away", "")
@@ -170,29 +171,30 @@
 		end("cut", "closed")
 		return false
 	case Truncated:
-		io.WriteString(c, whole[:len(whole)-3])
+		io.WriteString(c, response[:len(response)-3])
 		end("cut", "in the middle")
 		return false
 	case Malformed:
 		see("done", "spoilt")
 		io.WriteString(c, "HTTP/1.1 2x0 OK\r\nContent-Length: -4\r\n\r\nnoise")
-		waits(c, b, time.Second)
+		waitConnected(c, b, time.Second)
 		return false
 	case Duplicated:
 		see("done", "200")
-		io.WriteString(c, whole)
-		if waits(c, b, 3*time.Millisecond) {
-			io.WriteString(c, whole)
+		io.WriteString(c, response)
+		if waitConnected(c, b, 3*time.Millisecond) {
+			io.WriteString(c, response)
 		}
 	default:
 		see("done", "200")
-		io.WriteString(c, whole)
+		io.WriteString(c, response)
 	}
 	return true
 }
 
-// waits lets time pass, and says whether the other side is still there.
-func waits(c net.Conn, b *bufio.Reader, d time.Duration) bool {
+// waitConnected waits for a time, or until something arrives. It returns false if the other side has closed the
+// connection.
+func waitConnected(c net.Conn, b *bufio.Reader, d time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(d))
 	defer c.SetReadDeadline(time.Time{})
 	if _, err := b.Peek(1); err != nil {
--- a/internal/standin/roster.go
+++ b/internal/standin/roster.go
@@ -15,7 +15,8 @@
 	"arrowcleat/internal/record"
 )
 
-// Registry is a stand-in for the service registry: it sends changes of the node list to the marshals that watch it, after a delay.
+// Registry is a stand-in for the service registry: it sends changes of the node list to the marshals that watch it,
+// after a delay.
 type Registry struct {
 	Delay  func() time.Duration // of each message; nil for none
 	Record func(*record.Seen)
@@ -276,8 +277,8 @@
 	return nil
 }
 
-// changedAfter returns the nodes that changed after a version, in the order of their numbers. After 0 it returns the whole list, which
-// leaves out the nodes that are gone.
+// changedAfter returns the nodes that changed after a version, in the order of their numbers. After 0 it returns the
+// whole list, which leaves out the nodes that are gone.
 func (r *Registry) changedAfter(version uint64) (nodes []entry) {
 	for _, e := range r.nodes {
 		if e.version > version {
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -11,7 +11,7 @@
 
 func millis(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
-// NewNode makes a node of its settings.
+// NewNode returns a node with the given settings.
 func NewNode(s *settings.Standin) *Node {
 	n := &Node{ID: s.Node, Ver: int(s.Ver), Zone: int(s.Zone), Cores: max(1, int(s.Cores)), Speed: s.Speed,
 		Queue: int(s.Queue), Seed: s.Seed}
@@ -32,14 +32,14 @@
 	return n
 }
 
-// ForEachLine hears each line until the input ends.
-func ForEachLine(in io.Reader, hear func(string) error) error {
-	var all []error
+// ForEachLine calls handle with each line of an input, and returns all errors.
+func ForEachLine(in io.Reader, handle func(string) error) error {
+	var errs []error
 	s := bufio.NewScanner(in)
 	for s.Scan() {
-		if err := hear(s.Text()); err != nil {
-			all = append(all, err)
+		if err := handle(s.Text()); err != nil {
+			errs = append(errs, err)
 		}
 	}
-	return errors.Join(append(all, s.Err())...)
+	return errors.Join(append(errs, s.Err())...)
 }
