--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -20,28 +20,28 @@
 
 // client asks one marshal on one connection after the other, as the platform's clients do.
 type client struct {
-	m    *marshalRun
-	life *lifeRun
-	rnd  *rand.Rand
-	nc   net.Conn
-	in   *bufio.Reader
-	used bool   // an answer has come on the connection
-	last string // id of the request before
+	m        *marshalRun
+	process  *processRun
+	rnd      *rand.Rand
+	nc       net.Conn
+	in       *bufio.Reader
+	answered bool   // an answer has come on the connection
+	lastID   string // of the request before
 }
 
 func (c *client) run() {
-	defer c.drop()
-	for !c.life.over() {
-		if !c.ask() {
+	defer c.disconnect()
+	for !c.process.loadOver() {
+		if !c.sendRequest() {
 			return
 		}
-		c.life.wait(c.pause())
+		c.process.wait(c.drawPause())
 	}
 }
 
 // pause draws how long the client rests before its next request. Long ones, longer than a marshal goes on taking new connections
 // after TERM, have requests cross the end of connections that rest.
-func (c *client) pause() time.Duration {
+func (c *client) drawPause() time.Duration {
 	switch {
 	case c.rnd.Float64() < c.m.run.plan.LongPauseShare:
 		return between(c.rnd, 450*time.Millisecond, 1200*time.Millisecond)
@@ -54,18 +54,18 @@
 
 // connect opens a connection; false says that nobody takes it, or that no new one comes any more.
 func (c *client) connect() bool {
-	if !c.life.mayConnect() {
+	if !c.process.mayConnect() {
 		return false
 	}
 	nc, err := net.Dial("tcp", c.m.address)
 	if err != nil {
 		return false
 	}
-	c.nc, c.in, c.used = nc, bufio.NewReader(nc), false
+	c.nc, c.in, c.answered = nc, bufio.NewReader(nc), false
 	return true
 }
 
-func (c *client) drop() {
+func (c *client) disconnect() {
 	if c.nc != nil {
 		c.nc.Close()
 		c.nc = nil
@@ -80,7 +80,7 @@
 	text  string
 }
 
-func (c *client) draw() request {
+func (c *client) drawRequest() request {
 	p := c.m.run.plan
 	r := request{class: c.rnd.IntN(len(p.Classes)), id: c.m.run.nextID(c.m.number)}
 	class := p.Classes[r.class]
@@ -98,74 +98,74 @@
 }
 
 // send writes a request, some in two pieces with a while between them.
-func (c *client) send(text string) error {
+func (c *client) write(text string) error {
 	if c.rnd.Float64() < c.m.run.plan.SplitShare {
 		cut := 1 + c.rnd.IntN(len(text)-1)
 		if _, err := io.WriteString(c.nc, text[:cut]); err != nil {
 			return err
 		}
-		c.life.wait(between(c.rnd, 0, 60*time.Millisecond))
+		c.process.wait(between(c.rnd, 0, 60*time.Millisecond))
 		text = text[cut:]
 	}
 	_, err := io.WriteString(c.nc, text)
 	return err
 }
 
-func (c *client) see(r request, kind, final, text string, at time.Time) {
-	c.m.run.see(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: r.id, Instance: int64(c.m.number), Op: int64(r.class),
+func (c *client) record(r request, kind, final, text string, at time.Time) {
+	c.m.run.record(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: r.id, Instance: int64(c.m.number), Op: int64(r.class),
 		LimitMs: float64(r.limit) / float64(time.Millisecond), Final: final, Text: text})
 }
 
 // ask sends one request and reads what comes; false ends the client.
-func (c *client) ask() bool {
-	if c.nc != nil && c.unasked() {
-		c.drop()
+func (c *client) sendRequest() bool {
+	if c.nc != nil && c.unexpectedBytes() {
+		c.disconnect()
 	}
 	if c.nc == nil && !c.connect() {
 		return false
 	}
-	r := c.draw()
+	r := c.drawRequest()
 	if c.rnd.Float64() < c.m.run.plan.PartialShare {
-		return c.half(r)
+		return c.sendPartial(r)
 	}
 	for again := false; ; again = true {
-		c.life.asking.Add(1)
-		err := c.send(r.text)
+		c.process.openRequests.Add(1)
+		err := c.write(r.text)
 		asked := time.Now()
-		c.see(r, "asked", "", "", asked)
+		c.record(r, "asked", "", "", asked)
 		if err == nil && c.rnd.Float64() < c.m.run.plan.LeaveShare && !again {
-			c.life.wait(time.Duration(c.rnd.Float64() * 0.3 * float64(r.limit)))
-			if c.life.killed.Load() {
-				c.life.asking.Add(-1)
+			c.process.wait(time.Duration(c.rnd.Float64() * 0.3 * float64(r.limit)))
+			if c.process.killed.Load() {
+				c.process.openRequests.Add(-1)
 				return false
 			}
-			c.life.asking.Add(-1)
-			c.see(r, "left", "", "", time.Now())
+			c.process.openRequests.Add(-1)
+			c.record(r, "left", "", "", time.Now())
 			if t, ok := c.nc.(*net.TCPConn); ok && c.rnd.IntN(3) == 0 {
 				t.SetLinger(0)
 			}
-			c.drop()
+			c.disconnect()
 			return true
 		}
-		err = c.read(r, asked)
-		c.life.asking.Add(-1)
+		err = c.readAnswer(r, asked)
+		c.process.openRequests.Add(-1)
 		if err == nil {
 			return true
 		}
-		c.atKill(r, asked)
-		why := c.lost(err, again)
-		c.drop()
+		c.checkUnansweredAtKill(r, asked)
+		why := c.lostReason(err, again)
+		c.disconnect()
 		if why != "" {
 			kind := "broke"
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				kind = "silent"
 			}
-			c.see(r, kind, "", why, time.Now())
+			c.record(r, kind, "", why, time.Now())
 			return true
 		}
-		c.see(r, "crossed", "", err.Error(), time.Now())
+		c.record(r, "crossed", "", err.Error(), time.Now())
 		if !c.connect() {
-			c.see(r, "refused", "", "", time.Now())
+			c.record(r, "refused", "", "", time.Now())
 			return false
 		}
 	}
@@ -173,32 +173,32 @@
 
 // atKill checks a request without an answer against the kill that ended its process after TERM: trouble at nodes frees no request of its
 // final answer.
-func (c *client) atKill(r request, asked time.Time) {
-	killed := c.life.killAt.Load()
+func (c *client) checkUnansweredAtKill(r request, asked time.Time) {
+	killed := c.process.killedAtNs.Load()
 	if killed == 0 {
 		return
 	}
-	if out := time.Unix(0, killed).Sub(asked); out > answeredBefore {
-		c.m.run.fault("%s was asked %v before the kill that came after TERM, and had no answer", r.id, out.Round(time.Millisecond))
+	if out := time.Unix(0, killed).Sub(asked); out > maxUnansweredAtKill {
+		c.m.run.addFinding("%s was asked %v before the kill that came after TERM, and had no answer", r.id, out.Round(time.Millisecond))
 	}
 }
 
 // resetWithin is how long a client waits for the reset that tells that its request was not read.
-const resetWithin = 700 * time.Millisecond
+const resetTimeout = 700 * time.Millisecond
 
 // lost says why a request without an answer is lost; it is empty where it crossed the end of a connection that rested, and was not read:
 // then the client sends it once more.
-func (c *client) lost(err error, again bool) string {
-	if !c.used || again || errors.Is(err, os.ErrDeadlineExceeded) || c.life.killed.Load() {
+func (c *client) lostReason(err error, again bool) string {
+	if !c.answered || again || errors.Is(err, os.ErrDeadlineExceeded) || c.process.killed.Load() {
 		return err.Error()
 	}
-	reset, stateErr := tcpstate.ResetWithin(c.nc, resetWithin)
+	reset, stateErr := tcpstate.ResetWithin(c.nc, resetTimeout)
 	switch {
 	case reset:
 		return ""
 	case stateErr != nil:
 		return fmt.Sprintf("%v; its state: %v", err, stateErr)
-	case c.life.killed.Load():
+	case c.process.killed.Load():
 		return err.Error()
 	default:
 		return fmt.Sprintf("%v; it was read, and its connection closed without an answer", err)
@@ -206,11 +206,11 @@
 }
 
 // errPart says that an answer came, but not whole.
-var errPart = errors.New("not a whole answer")
+var errTruncated = errors.New("not a whole answer")
 
 // read reads an answer. The error is what ended the connection before it.
-func (c *client) read(r request, asked time.Time) error {
-	c.nc.SetReadDeadline(asked.Add(r.limit + answerSlack + seenLate))
+func (c *client) readAnswer(r request, asked time.Time) error {
+	c.nc.SetReadDeadline(asked.Add(r.limit + answerSlack + maxRecordDelay))
 	if _, err := c.in.Peek(1); err != nil {
 		return err
 	}
@@ -221,81 +221,81 @@
 	}
 	now := time.Now()
 	if err != nil {
-		c.see(r, "broke", "", errPart.Error()+": "+err.Error(), now)
-		c.drop()
+		c.record(r, "broke", "", errTruncated.Error()+": "+err.Error(), now)
+		c.disconnect()
 		return nil
 	}
 	final := q.Header.Get(front.AnswerHeader)
-	c.see(r, "answered", final, q.Status, now)
+	c.record(r, "answered", final, q.Status, now)
 	refused := q.StatusCode == http.StatusServiceUnavailable || q.StatusCode == http.StatusTooManyRequests
 	if (q.StatusCode == http.StatusOK) != (final == front.Succeeded) || final == front.Throttled && !refused || refused && final == front.Terminated ||
 		final == front.Succeeded && string(body) != "made for "+r.id {
-		c.see(r, "mixed", final, fmt.Sprintf("%d %.40q", q.StatusCode, body), now)
+		c.record(r, "mixed", final, fmt.Sprintf("%d %.40q", q.StatusCode, body), now)
 	}
-	c.used, c.last = true, r.id
+	c.answered, c.lastID = true, r.id
 	if q.Close {
-		c.drop()
+		c.disconnect()
 	}
 	return nil
 }
 
 // unasked says that something came on the connection behind the last answer; its mere end is none of that.
-func (c *client) unasked() bool {
+func (c *client) unexpectedBytes() bool {
 	if c.in.Buffered() == 0 {
 		return false
 	}
 	b, _ := c.in.Peek(min(c.in.Buffered(), 40))
-	c.see(request{id: c.last}, "extra", "", fmt.Sprintf("%q", b), time.Now())
+	c.record(request{id: c.lastID}, "extra", "", fmt.Sprintf("%q", b), time.Now())
 	return true
 }
 
 // half sends part of a request and stays: an error or a close is due.
-func (c *client) half(r request) bool {
-	c.drop()
+func (c *client) sendPartial(r request) bool {
+	c.disconnect()
 	if !c.connect() {
 		return false
 	}
 	io.WriteString(c.nc, r.text[:1+c.rnd.IntN(len(r.text)-2)])
-	c.life.stranger(c.nc, "half a request")
+	c.process.expectRejection(c.nc, "half a request")
 	c.nc = nil
 	return true
 }
 
 // stranger waits for what a connection is owed that says nothing, or half.
-func (l *lifeRun) stranger(nc net.Conn, what string) {
-	l.strangers.Add(1)
+func (l *processRun) expectRejection(nc net.Conn, what string) {
+	l.incompleteConns.Add(1)
 	defer func() {
 		nc.Close()
-		l.strangers.Add(-1)
+		l.incompleteConns.Add(-1)
 	}()
-	due := time.Now().Add(strangerTime)
-	nc.SetReadDeadline(due.Add(pauseMost + seenLate))
+	due := time.Now().Add(incompleteTimeout)
+	nc.SetReadDeadline(due.Add(maxPause + maxRecordDelay))
 	b := make([]byte, len("HTTP/1.1 4"))
 	n, err := io.ReadFull(nc, b) // it may come in pieces
 	if errors.Is(err, os.ErrDeadlineExceeded) && !l.killed.Load() {
-		l.m.run.fault("%s: neither an error nor a close within %v", what, strangerTime)
+		l.m.run.addFinding("%s: neither an error nor a close within %v", what, incompleteTimeout)
 	}
 	if n > 0 && !strings.HasPrefix(string(b[:n]), "HTTP/1.1 4") && !strings.HasPrefix(string(b[:n]), "HTTP/1.1 5") {
-		l.m.run.fault("%s: got %q", what, b[:n])
+		l.m.run.addFinding("%s: got %q", what, b[:n])
 	}
 }
 
 // crowd opens many connections at once; some ask, the others say nothing.
-func (l *lifeRun) crowd(rnd *rand.Rand) {
+func (l *processRun) burst(rnd *rand.Rand) {
 	p := l.m.run.plan
 	for i := range p.BurstConns {
 		seed := rnd.Uint64()
 		l.clients.Go(func() {
-			c := &client{m: l.m, life: l, rnd: rand.New(rand.NewPCG(seed, 1))}
+			c := &client{m: l.m, process: l, rnd: rand.New(rand.NewPCG(seed, 1))}
 			if !c.connect() {
 				return
 			}
 			if i < p.BurstRequests {
-				defer c.drop()
-				c.ask()
+				defer c.disconnect()
+				c.sendRequest()
 				return
 			}
-			l.stranger(c.nc, "a client that says nothing")
+			l.expectRejection(c.nc, "a client that says nothing")
 		})
 	}
 }
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -14,26 +14,26 @@
 
 // The events.
 const (
-	DrainNode   Event = iota // a node drains, and then goes
-	KillNode                  // a node is killed; the list says so late
-	AddNode                 // another node is listed
+	DrainNode     Event = iota // a node drains, and then goes
+	KillNode                   // a node is killed; the list says so late
+	AddNode                    // another node is listed
 	SilenceAgents              // the agents write nothing for a while
 	ChangeRelease              // the newest build goes on, or back, or another comes
 )
 
 // playEvents has things happen to nodes, lists and builds until it is told to end.
-func (w *world) playEvents() (end func()) {
+func (tb *testbed) startEvents() (end func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	rnd := rand.New(rand.NewPCG(w.run.plan.Seed, 4))
-	events := map[Event]func(*rand.Rand, <-chan struct{}){DrainNode: w.drain, KillNode: w.die, AddNode: w.grow, SilenceAgents: w.silence, ChangeRelease: w.advance}
-	kinds := w.run.plan.EventKinds
+	rnd := rand.New(rand.NewPCG(tb.run.plan.Seed, 4))
+	events := map[Event]func(*rand.Rand, <-chan struct{}){DrainNode: tb.drainNode, KillNode: tb.killNode, AddNode: tb.addNode, SilenceAgents: tb.silenceAgents, ChangeRelease: tb.changeRelease}
+	kinds := tb.run.plan.EventKinds
 	wg.Go(func() {
 		for {
 			select {
 			case <-done:
 				return
-			case <-time.After(between(rnd, w.run.plan.EventInterval/2, 2*w.run.plan.EventInterval)):
+			case <-time.After(between(rnd, tb.run.plan.EventInterval/2, 2*tb.run.plan.EventInterval)):
 			}
 			event, seed := events[kinds[rnd.IntN(len(kinds))]], rnd.Uint64()
 			wg.Go(func() { event(rand.New(rand.NewPCG(seed, 5)), done) })
@@ -43,11 +43,11 @@
 }
 
 // serving gives one of the nodes that serve, if enough are left without it.
-func (w *world) serving(rnd *rand.Rand) (h standin.Host, ok bool) {
+func (tb *testbed) drawServing(rnd *rand.Rand) (h standin.Host, ok bool) {
 	const least = 3
 	var all []standin.Host
-	for i := 1; i <= w.next; i++ { // in an order that the seed gives
-		for _, h := range w.hosts {
+	for i := 1; i <= tb.lastNode; i++ { // in an order that the seed gives
+		for _, h := range tb.hosts {
 			if int(h.NodeID) == i && h.Health == standin.InService {
 				all = append(all, h)
 			}
@@ -60,15 +60,15 @@
 }
 
 // take changes the health of a node that serves.
-func (w *world) take(rnd *rand.Rand, health string) (h standin.Host, n *standin.PlatformNode, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if h, ok = w.serving(rnd); !ok {
+func (tb *testbed) changeHealth(rnd *rand.Rand, health string) (h standin.Host, n *standin.PlatformNode, ok bool) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	if h, ok = tb.drawServing(rnd); !ok {
 		return h, nil, false
 	}
 	h.Health = health
-	w.set(h)
-	return h, w.nodes[h.Name], true
+	tb.publish(h)
+	return h, tb.nodes[h.Name], true
 }
 
 func sleep(d time.Duration, done <-chan struct{}) {
@@ -79,53 +79,53 @@
 }
 
 // drain has a node drain, and then go.
-func (w *world) drain(rnd *rand.Rand, done <-chan struct{}) {
-	h, n, ok := w.take(rnd, standin.Terminating)
+func (tb *testbed) drainNode(rnd *rand.Rand, done <-chan struct{}) {
+	h, n, ok := tb.changeHealth(rnd, standin.Terminating)
 	if !ok {
 		return
 	}
-	sleep(w.run.plan.DrainGrace+between(rnd, 0, 800*time.Millisecond), done)
-	w.mu.Lock()
+	sleep(tb.run.plan.DrainGrace+between(rnd, 0, 800*time.Millisecond), done)
+	tb.mu.Lock()
 	h.Health = standin.Terminated
-	w.set(h)
-	w.mu.Unlock()
+	tb.publish(h)
+	tb.mu.Unlock()
 	sleep(between(rnd, 0, 200*time.Millisecond), done)
 	n.Kill()
 }
 
 // die kills a node; the list says so late.
-func (w *world) die(rnd *rand.Rand, done <-chan struct{}) {
-	w.mu.Lock()
-	h, ok := w.serving(rnd)
-	n := w.nodes[h.Name]
-	w.mu.Unlock()
+func (tb *testbed) killNode(rnd *rand.Rand, done <-chan struct{}) {
+	tb.mu.Lock()
+	h, ok := tb.drawServing(rnd)
+	n := tb.nodes[h.Name]
+	tb.mu.Unlock()
 	if !ok {
 		return
 	}
 	n.Kill()
 	sleep(between(rnd, 0, 500*time.Millisecond), done)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
 	h.Health = standin.Terminated
-	w.set(h)
+	tb.publish(h)
 }
 
 // grow lists another node, of the newest build or of the first.
-func (w *world) grow(rnd *rand.Rand, _ <-chan struct{}) {
+func (tb *testbed) addNode(rnd *rand.Rand, _ <-chan struct{}) {
 	build := firstBuild
 	if rnd.IntN(2) == 0 {
-		build = w.release().Build
+		build = tb.release().Build
 	}
-	if err := w.add(build); err != nil {
-		w.run.fault("another node: %v", err)
+	if err := tb.startNode(build); err != nil {
+		tb.run.addFinding("another node: %v", err)
 	}
 }
 
 // silence has the agents write nothing for a while.
-func (w *world) silence(rnd *rand.Rand, done <-chan struct{}) {
-	w.mu.Lock()
-	agents := append([]*standin.DiscoveryAgent{}, w.all...)
-	w.mu.Unlock()
+func (tb *testbed) silenceAgents(rnd *rand.Rand, done <-chan struct{}) {
+	tb.mu.Lock()
+	agents := append([]*standin.DiscoveryAgent{}, tb.agents...)
+	tb.mu.Unlock()
 	for _, a := range agents {
 		a.SetSilent(true)
 	}
@@ -136,14 +136,14 @@
 }
 
 // advance brings the newest build on, back, or another one: its nodes are listed before or after the news.
-func (w *world) advance(rnd *rand.Rand, _ <-chan struct{}) {
-	s, caps := w.release(), w.run.plan.Caps
+func (tb *testbed) changeRelease(rnd *rand.Rand, _ <-chan struct{}) {
+	s, caps := tb.release(), tb.run.plan.Caps
 	switch {
 	case s.Phase != balance.OnTrial:
 		s = standin.Release{Build: s.Build + 1, Phase: balance.OnTrial, Cap: caps[0]}
 		for range 2 {
-			if err := w.add(s.Build); err != nil {
-				w.run.fault("a node of another build: %v", err)
+			if err := tb.startNode(s.Build); err != nil {
+				tb.run.addFinding("a node of another build: %v", err)
 			}
 		}
 	case rnd.IntN(3) == 0:
@@ -154,5 +154,5 @@
 	default:
 		s.Phase, s.Cap = balance.Released, 1
 	}
-	w.rollout(s)
+	tb.publishRelease(s)
 }
--- a/internal/soak/life.go
+++ b/internal/soak/life.go
@@ -19,28 +19,28 @@
 )
 
 // lifeRun is one process of a marshal, and the clients of its life.
-type lifeRun struct {
+type processRun struct {
 	Process
-	m       *marshalRun
-	log     string // file
-	cmd     *exec.Cmd
-	exited  chan struct{}
-	err     error // that it exited with
-	clients sync.WaitGroup
-	ended   chan struct{} // clients ask no more
-	once    sync.Once
-	until   atomic.Int64 // UnixNano until which new connections come, 0 for no end
-	killed  atomic.Bool
-	killAt  atomic.Int64 // UnixNano of a kill that comes after TERM, 0 for none
+	m              *marshalRun
+	logFile        string
+	cmd            *exec.Cmd
+	exited         chan struct{}
+	err            error // that it exited with
+	clients        sync.WaitGroup
+	loadEnded      chan struct{} // clients send no more requests
+	once           sync.Once
+	connectUntilNs atomic.Int64 // Unix time until which clients open new connections, 0 for no end
+	killed         atomic.Bool
+	killedAtNs     atomic.Int64 // UnixNano of a kill that comes after TERM, 0 for none
 	// Connections that may hold up the end of the process: those that say nothing, or half, and those with a request out.
-	strangers, asking atomic.Int64
+	incompleteConns, openRequests atomic.Int64
 }
 
 // FaultSeedEnv is the variable that tells a process the seed of its machine's faults; without it the machine has none.
 const FaultSeedEnv = "ARROWCLEAT_FAULT_SEED"
 
 // start starts the process. What the agent and the configuration have counts as told from its first moment.
-func (m *marshalRun) start(number int, l Process) (*lifeRun, error) {
+func (m *marshalRun) start(number int, l Process) (*processRun, error) {
 	file := filepath.Join(m.run.dir, fmt.Sprintf("marshal-%d-life-%d.log", m.number, number))
 	log, err := os.Create(file)
 	if err != nil {
@@ -51,22 +51,22 @@
 		m.agent.Close()
 		m.api.Close()
 	}
-	if err := m.move(); err != nil {
+	if err := m.renewServices(); err != nil {
 		return nil, err
 	}
-	r := &lifeRun{Process: l, m: m, log: file, exited: make(chan struct{}), ended: make(chan struct{})}
+	r := &processRun{Process: l, m: m, logFile: file, exited: make(chan struct{}), loadEnded: make(chan struct{})}
 	args := append(append([]string{}, m.run.opts.Program[1:]...), "--log", "debug")
 	r.cmd = exec.Command(m.run.opts.Program[0], args...)
-	r.cmd.Env = append(append(os.Environ(), m.run.opts.Env...), "GW_CONFIG="+m.config)
+	r.cmd.Env = append(append(os.Environ(), m.run.opts.Env...), "GW_CONFIG="+m.configFile)
 	if m.run.plan.MachineFaults {
 		r.cmd.Env = append(r.cmd.Env, fmt.Sprintf("%s=%d", FaultSeedEnv, m.run.plan.Seed<<16|uint64(m.number)<<8|uint64(number)))
 	}
 	r.cmd.Stderr = log
-	m.see("up")
+	m.record("up")
 	for _, h := range m.agent.List() {
-		m.run.see(h.Seen(m.number))
+		m.run.record(h.Seen(m.number))
 	}
-	m.run.see(m.run.world.release().Seen(m.number))
+	m.run.record(m.run.testbed.release().Seen(m.number))
 	if err := r.cmd.Start(); err != nil {
 		return nil, err
 	}
@@ -75,14 +75,14 @@
 }
 
 // ready waits until the marshal says that it serves.
-func (r *lifeRun) ready() error {
+func (r *processRun) awaitReady() error {
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	for end := time.Now().Add(readyWithin); time.Now().Before(end); r.wait(2 * time.Millisecond) {
+	for end := time.Now().Add(readyTimeout); time.Now().Before(end); r.wait(2 * time.Millisecond) {
 		q, err := c.Get("http://" + r.m.address + "/healthz")
 		if err == nil {
 			q.Body.Close()
 			if q.StatusCode == http.StatusOK {
-				return r.itself()
+				return r.checkListener()
 			}
 		}
 		select {
@@ -91,43 +91,43 @@
 		default:
 		}
 	}
-	return fmt.Errorf("not ready within %v", readyWithin)
+	return fmt.Errorf("not ready within %v", readyTimeout)
 }
 
 // errOther says that somebody else answers at a marshal's address.
-var errOther = errors.New("another process listens at its address")
+var errOtherListener = errors.New("another process listens at its address")
 
 // itself checks that it is this process that answers.
-func (r *lifeRun) itself() error {
+func (r *processRun) checkListener() error {
 	own, err := loopback.Listens(r.cmd.Process.Pid, r.m.address)
 	if err == nil && !own {
-		err = errOther
+		err = errOtherListener
 	}
 	return err
 }
 
-func (r *lifeRun) over() bool {
+func (r *processRun) loadOver() bool {
 	select {
-	case <-r.ended:
+	case <-r.loadEnded:
 		return true
 	default:
 		return false
 	}
 }
 
-func (r *lifeRun) endLoad() { r.once.Do(func() { close(r.ended) }) }
+func (r *processRun) endLoad() { r.once.Do(func() { close(r.loadEnded) }) }
 
 // wait lets time pass, or the load end.
-func (r *lifeRun) wait(d time.Duration) {
+func (r *processRun) wait(d time.Duration) {
 	select {
 	case <-time.After(d):
-	case <-r.ended:
+	case <-r.loadEnded:
 	}
 }
 
-func (r *lifeRun) mayConnect() bool {
-	until := r.until.Load()
-	return !r.over() && (until == 0 || time.Now().UnixNano() < until)
+func (r *processRun) mayConnect() bool {
+	until := r.connectUntilNs.Load()
+	return !r.loadOver() && (until == 0 || time.Now().UnixNano() < until)
 }
 
 // play plays one life.
@@ -139,30 +139,30 @@
 	defer func() {
 		r.endLoad()
 		r.clients.Wait()
-		r.ownWord()
+		r.checkLog()
 	}()
 	if l.End == EndBeforeReady {
 		return r.endBeforeReady()
 	}
-	if err := r.ready(); err != nil {
+	if err := r.awaitReady(); err != nil {
 		r.kill()
 		return err
 	}
-	var rest holds
+	var rest resources
 	if l.End == EndIdle {
-		if rest, err = r.atRest(); err != nil {
+		if rest, err = r.resourcesAtRest(); err != nil {
 			return err
 		}
 	}
 	ready := time.Now()
 	for range m.run.plan.Clients {
-		c := &client{m: m, life: r, rnd: rand.New(rand.NewPCG(m.rnd.Uint64(), 2))}
+		c := &client{m: m, process: r, rnd: rand.New(rand.NewPCG(m.rnd.Uint64(), 2))}
 		r.clients.Go(c.run)
 	}
 	if m.run.plan.BurstConns > 0 && number == 0 {
-		r.crowd(m.rnd)
+		r.burst(m.rnd)
 	}
-	if err := r.signals(ready); err != nil {
+	if err := r.playSignals(ready); err != nil {
 		return err
 	}
 	switch l.End {
@@ -172,8 +172,8 @@
 	case EndIdle:
 		r.endLoad()
 		r.clients.Wait()
-		if err := r.leftOver(rest); err != nil {
-			m.run.fault("marshal %d, life %d: %v", m.number, number, err)
+		if err := r.checkLeak(rest); err != nil {
+			m.run.addFinding("marshal %d, life %d: %v", m.number, number, err)
 		}
 		return r.terminate()
 	}
@@ -183,8 +183,8 @@
 var osSignals = map[string]syscall.Signal{HUP: syscall.SIGHUP, Reload: syscall.SIGHUP, USR1: syscall.SIGUSR1, USR2: syscall.SIGUSR2}
 
 // signals sends what the life has, until its load is over.
-func (r *lifeRun) signals(ready time.Time) error {
-	if err := r.send(r.Signals, ready); err != nil {
+func (r *processRun) playSignals(ready time.Time) error {
+	if err := r.sendSignals(r.Signals, ready); err != nil {
 		return err
 	}
 	time.Sleep(time.Until(ready.Add(r.LoadTime)))
@@ -197,17 +197,17 @@
 }
 
 // send sends signals, each at its time since a moment.
-func (r *lifeRun) send(all []Signal, since time.Time) error {
+func (r *processRun) sendSignals(all []Signal, since time.Time) error {
 	for _, s := range all {
 		time.Sleep(time.Until(since.Add(s.After)))
 		switch s.Name {
 		case Pause:
 			r.cmd.Process.Signal(syscall.SIGSTOP)
-			time.Sleep(between(r.m.rnd, 10*time.Millisecond, pauseMost))
+			time.Sleep(between(r.m.rnd, 10*time.Millisecond, maxPause))
 			r.cmd.Process.Signal(syscall.SIGCONT)
 			continue
 		case Reload:
-			if err := r.m.move(); err != nil {
+			if err := r.m.renewServices(); err != nil {
 				return err
 			}
 		}
@@ -217,23 +217,23 @@
 }
 
 // kill ends the process at once, and then the load.
-func (r *lifeRun) kill() {
+func (r *processRun) kill() {
 	r.killed.Store(true)
-	r.m.see("killed")
+	r.m.record("killed")
 	r.cmd.Process.Kill()
 	<-r.exited
 	r.endLoad()
 }
 
 // terminate tells the process to end. Clients use their connections until the kill, which comes as early as it may.
-func (r *lifeRun) terminate() error {
-	r.m.see("stopping")
+func (r *processRun) terminate() error {
+	r.m.record("stopping")
 	told := time.Now()
-	r.until.Store(told.Add(r.ConnectAfterTerm).UnixNano())
+	r.connectUntilNs.Store(told.Add(r.ConnectAfterTerm).UnixNano())
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	if r.HangNodes {
-		r.m.run.world.hung.Add(1)
-		defer r.m.run.world.hung.Add(-1)
+		r.m.run.testbed.hangingProcesses.Add(1)
+		defer r.m.run.testbed.hangingProcesses.Add(-1)
 	}
 	if r.End == EndTermTwice {
 		time.Sleep(r.TermDelay)
@@ -241,15 +241,15 @@
 	}
 	var last sync.WaitGroup
 	defer last.Wait()
-	last.Go(func() { r.send(r.SignalsAfterTerm, told) }) // what can't be sent has nobody to get it any more
+	last.Go(func() { r.sendSignals(r.SignalsAfterTerm, told) }) // what can't be sent has nobody to get it any more
 	select {
 	case <-r.exited:
 		if r.err != nil {
 			return fmt.Errorf("it ended with %w after TERM", r.err)
 		}
 	case <-time.After(time.Until(told.Add(r.m.run.plan.killAfter()))):
-		held := r.strangers.Load() + r.asking.Load()
-		r.killAt.Store(time.Now().UnixNano())
+		held := r.incompleteConns.Load() + r.openRequests.Load()
+		r.killedAtNs.Store(time.Now().UnixNano())
 		r.kill()
 		if held == 0 {
 			return errors.New("it did not end by itself, though nobody had a request out")
@@ -259,7 +259,7 @@
 }
 
 // endBeforeReady tells a process to end that may not be ready yet. Before it can take signals, one ends it.
-func (r *lifeRun) endBeforeReady() error {
+func (r *processRun) endBeforeReady() error {
 	time.Sleep(r.TermDelay)
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	select {
@@ -275,40 +275,40 @@
 }
 
 // holds is what a process holds.
-type holds struct{ descriptors, goroutines int }
+type resources struct{ descriptors, goroutines int }
 
 // violations are the lines in which a process says that it broke an invariant, or that a goroutine of its panicked.
-var violations = regexp.MustCompile(`(?m)^.*level=ERROR msg="(a |the decision).*$`)
+var violationLines = regexp.MustCompile(`(?m)^.*level=ERROR msg="(a |the decision).*$`)
 
 // ownWord looks for them in the log of a process that has ended.
-func (r *lifeRun) ownWord() {
-	text, err := os.ReadFile(r.log)
+func (r *processRun) checkLog() {
+	text, err := os.ReadFile(r.logFile)
 	if err != nil {
-		r.m.run.fault("the log: %v", err)
+		r.m.run.addFinding("the log: %v", err)
 	}
-	for i, line := range violations.FindAll(text, -1) {
-		if i == mostViolations {
+	for i, line := range violationLines.FindAll(text, -1) {
+		if i == maxViolations {
 			break
 		}
-		r.m.run.fault("marshal %d said %s", r.m.number, line)
+		r.m.run.addFinding("marshal %d said %s", r.m.number, line)
 	}
 }
 
-const mostViolations = 5 // that are printed of one process
+const maxViolations = 5 // that are printed of one process
 
-var goroutinesOf = regexp.MustCompile(`msg=view .*goroutines=(\d+)`)
+var viewGoroutines = regexp.MustCompile(`msg=view .*goroutines=(\d+)`)
 
 // holding looks what the process holds; its goroutines by what it has logged after so many views.
-func (r *lifeRun) holding(views int) (h holds, more int, err error) {
+func (r *processRun) measureResources(views int) (h resources, more int, err error) {
 	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid))
 	if err != nil {
 		return h, 0, err
 	}
-	text, err := os.ReadFile(r.log)
+	text, err := os.ReadFile(r.logFile)
 	if err != nil {
 		return h, 0, err
 	}
-	said := goroutinesOf.FindAllSubmatch(text, -1)
+	said := viewGoroutines.FindAllSubmatch(text, -1)
 	h.descriptors = len(all)
 	if len(said) > views {
 		h.goroutines, err = strconv.Atoi(string(said[len(said)-1][1]))
@@ -317,39 +317,39 @@
 }
 
 // viewEvery is how often a marshal logs its view.
-const viewEvery = time.Second
+const viewInterval = time.Second
 
 // steadyFor is for how long what a process holds has to stay the same to be what it holds at rest: longer than a stream that broke takes to
 // be open again.
-const steadyFor = 100 * time.Millisecond
+const steadyTime = 100 * time.Millisecond
 
 // atRest is what the process holds before anybody has asked it.
-func (r *lifeRun) atRest() (rest holds, err error) {
-	for end := time.Now().Add(3 * viewEvery); time.Now().Before(end); time.Sleep(steadyFor) {
-		h, views, err := r.holding(0)
+func (r *processRun) resourcesAtRest() (rest resources, err error) {
+	for end := time.Now().Add(3 * viewInterval); time.Now().Before(end); time.Sleep(steadyTime) {
+		h, views, err := r.measureResources(0)
 		if err != nil || views > 0 && h == rest {
 			return h, err
 		}
 		rest = h
 	}
-	return holds{}, errors.New("it logs no view, or what it holds does not stay the same")
+	return resources{}, errors.New("it logs no view, or what it holds does not stay the same")
 }
 
 // leftOver looks whether the process holds more than at rest, once connections to nodes have had their time.
-func (r *lifeRun) leftOver(rest holds) error {
+func (r *processRun) checkLeak(rest resources) error {
 	idle := r.m.run.plan.NodeIdleTimeout
-	if idle > longestCounted { // they may stay
+	if idle > maxCountedLimit { // they may stay
 		return nil
 	}
-	_, before, err := r.holding(0)
+	_, before, err := r.measureResources(0)
 	if err != nil {
 		return err
 	}
-	var now holds
-	for end := time.Now().Add(idle + 4*viewEvery); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+	var now resources
+	for end := time.Now().Add(idle + 4*viewInterval); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		r.cmd.Process.Signal(syscall.SIGUSR1) // the log may have been told to say less
 		var views int
-		if now, views, err = r.holding(before); err != nil {
+		if now, views, err = r.measureResources(before); err != nil {
 			return err
 		}
 		if views > before && now.descriptors <= rest.descriptors && now.goroutines <= rest.goroutines {
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -14,17 +14,17 @@
 
 // The protocol's own figures.
 const (
-	longestCounted = 3 * time.Second        // a longer deadline counts as this for the kill
-	killRest       = 700 * time.Millisecond // beyond it, until KILL
-	answerSlack    = 500 * time.Millisecond // after its time an answer earns nothing; later it is lost
-	strangerTime   = 3 * time.Second        // in which a client that says nothing or half is owed an error or a close
-	retireAfter    = 1500 * time.Millisecond
-	readyWithin    = 10 * time.Second
-	pauseMost      = 150 * time.Millisecond
-	firstHUP       = time.Second // a process gets none earlier
+	maxCountedLimit   = 3 * time.Second        // a longer deadline counts as this for the kill
+	killMargin        = 700 * time.Millisecond // beyond it, until KILL
+	answerSlack       = 500 * time.Millisecond // after its time an answer earns nothing; later it is lost
+	incompleteTimeout = 3 * time.Second        // in which a client that says nothing or half is owed an error or a close
+	retireAfter       = 1500 * time.Millisecond
+	readyTimeout      = 10 * time.Second
+	maxPause          = 150 * time.Millisecond
+	earliestHUP       = time.Second // a process gets none earlier
 	// answeredBefore is how long before a kill that comes after TERM all that was asked earlier has its answer: a process may be held
 	// up for pauseMost.
-	answeredBefore = pauseMost + seenLate
+	maxUnansweredAtKill = maxPause + maxRecordDelay
 )
 
 // Signal is one that a marshal process gets.
@@ -45,62 +45,62 @@
 
 // Ways in which a life ends.
 const (
-	EndTerm       = "term"       // TERM, and KILL at the earliest that the protocol allows
-	EndTermTwice      = "term twice" // a second TERM soon after
-	EndKill       = "kill"       // without a word
-	EndIdle      = "quiet"      // the load ends; what the process holds is looked at; then TERM
+	EndTerm        = "term"       // TERM, and KILL at the earliest that the protocol allows
+	EndTermTwice   = "term twice" // a second TERM soon after
+	EndKill        = "kill"       // without a word
+	EndIdle        = "quiet"      // the load ends; what the process holds is looked at; then TERM
 	EndBeforeReady = "not ready"  // TERM before it is ready
 )
 
 // Process is one process of a marshal.
 type Process struct {
-	LoadTime    time.Duration // from when it is ready until its end begins
-	Signals []Signal
-	SignalsAfterTerm    []Signal // that come after TERM, since then
-	End     string
-	HangNodes    bool          // from TERM on nodes take what they get and never answer
-	TermDelay  time.Duration // between the two TERMs, or from the start to the TERM that comes before it is ready
-	ConnectAfterTerm  time.Duration // how long new connections come after TERM
+	LoadTime         time.Duration // from when it is ready until its end begins
+	Signals          []Signal
+	SignalsAfterTerm []Signal // that come after TERM, since then
+	End              string
+	HangNodes        bool          // from TERM on nodes take what they get and never answer
+	TermDelay        time.Duration // between the two TERMs, or from the start to the TERM that comes before it is ready
+	ConnectAfterTerm time.Duration // how long new connections come after TERM
 }
 
 // Class is one class of requests.
 type Class struct {
-	Name   string
-	Repeat settings.Repeat
-	Limit  time.Duration
+	Name        string
+	Repeat      settings.Repeat
+	Limit       time.Duration
 	DedupWindow time.Duration
 	DedupGroup  string
 }
 
 // Plan is all that a run is drawn from: the same seed plays the same plan.
 type Plan struct {
-	Seed     uint64
-	Zones    []string
-	Classes  []Class
-	Marshals int
+	Seed            uint64
+	Zones           []string
+	Classes         []Class
+	Marshals        int
 	PeerMessages    bool
-	Sockets  int
-	NodeIdleTimeout     time.Duration // of connections to nodes
+	Sockets         int
+	NodeIdleTimeout time.Duration // of connections to nodes
 	DialTimeout     time.Duration
-	DrainGrace    time.Duration
-	Caps     []float64
-	Allowance     float64
-	CapWindow   time.Duration
-	Nodes    int
-	Clients  int // of each marshal
-	BurstConns    int // connections that come at once; 0 for none
+	DrainGrace      time.Duration
+	Caps            []float64
+	Allowance       float64
+	CapWindow       time.Duration
+	Nodes           int
+	Clients         int // of each marshal
+	BurstConns      int // connections that come at once; 0 for none
 	BurstRequests   int // of them, those that send a request
-	SplitLines   bool
-	LeaveShare    float64 // share of requests whose client leaves before its answer
-	PartialShare     float64 // of those that are sent by half only
-	SplitShare    float64 // of those that are sent in two pieces
-	LongPauseShare    float64 // of clients' pauses, those that are about as long as a marshal drains
-	MachineFaults  bool    // the marshals' machines have faults: package faults
-	ConnFaultShare   float64 // share of the connections between marshals and nodes, agent and release API that are spoilt on the way
+	SplitLines      bool
+	LeaveShare      float64 // share of requests whose client leaves before its answer
+	PartialShare    float64 // of those that are sent by half only
+	SplitShare      float64 // of those that are sent in two pieces
+	LongPauseShare  float64 // of clients' pauses, those that are about as long as a marshal drains
+	MachineFaults   bool    // the marshals' machines have faults: package faults
+	ConnFaultShare  float64 // share of the connections between marshals and nodes, agent and release API that are spoilt on the way
 	NodeFaultShare  float64 // share of requests that a node deals with otherwise than well
 	EventInterval   time.Duration
-	EventKinds    []Event  // what may happen to nodes, lists and builds; those named twice twice as often
-	Processes    [][]Process // by marshal
+	EventKinds      []Event     // what may happen to nodes, lists and builds; those named twice twice as often
+	Processes       [][]Process // by marshal
 }
 
 func between(rnd *rand.Rand, least, most time.Duration) time.Duration {
@@ -129,7 +129,7 @@
 	p.LongPauseShare = pick(rnd, 0, 0.1, 0.5)
 	p.SplitShare = pick(rnd, 0, 0.1)
 	p.MachineFaults, p.ConnFaultShare = rnd.IntN(2) == 0, pick(rnd, 0, 0.1, 0.3)
-	if rnd.IntN(fleetEvery) == 0 {
+	if rnd.IntN(fleetRuns) == 0 {
 		p.Marshals, p.Clients = 12+rnd.IntN(12), 3
 	}
 	p.Zones = pick(rnd, []string{"here"}, []string{"here", "there"}, nil)
@@ -151,7 +151,7 @@
 	for range p.Marshals {
 		var lives []Process
 		for range 2 {
-			lives = append(lives, drawLife(rnd))
+			lives = append(lives, drawProcess(rnd))
 		}
 		p.Processes = append(p.Processes, lives)
 	}
@@ -159,9 +159,9 @@
 }
 
 // fleetEvery is one of how many runs has a few dozen processes.
-const fleetEvery = 10
+const fleetRuns = 10
 
-func drawLife(rnd *rand.Rand) Process {
+func drawProcess(rnd *rand.Rand) Process {
 	ms := time.Millisecond
 	l := Process{LoadTime: between(rnd, 600*ms, 2400*ms), ConnectAfterTerm: between(rnd, 200*ms, 400*ms),
 		End: pick(rnd, EndTerm, EndTerm, EndTerm, EndTermTwice, EndKill, EndIdle, EndBeforeReady)}
@@ -175,11 +175,11 @@
 		l.Signals = append(l.Signals, Signal{at, pick(rnd, Pause, Pause, USR1, USR2)})
 	}
 	if rnd.IntN(2) == 0 {
-		l.SignalsAfterTerm = drawLast(rnd)
+		l.SignalsAfterTerm = drawSignalsAfterTerm(rnd)
 	}
 	l.HangNodes = rnd.IntN(3) == 0
-	if l.LoadTime > firstHUP+100*ms && rnd.IntN(3) > 0 {
-		at := between(rnd, firstHUP+50*ms, l.LoadTime)
+	if l.LoadTime > earliestHUP+100*ms && rnd.IntN(3) > 0 {
+		at := between(rnd, earliestHUP+50*ms, l.LoadTime)
 		series := pick(rnd, []string{Reload}, []string{Reload, HUP}, []string{HUP, HUP}, []string{Reload, USR1, HUP, USR2}, []string{Reload, Reload})
 		for _, name := range series {
 			l.Signals = append(l.Signals, Signal{at, name})
@@ -193,7 +193,7 @@
 }
 
 // drawLast draws signals that come while a process ends.
-func drawLast(rnd *rand.Rand) (last []Signal) {
+func drawSignalsAfterTerm(rnd *rand.Rand) (last []Signal) {
 	for at := time.Duration(0); rnd.IntN(3) > 0; {
 		at += between(rnd, 0, 250*time.Millisecond)
 		last = append(last, Signal{at, pick(rnd, HUP, USR1, USR2, Pause)})
@@ -239,7 +239,7 @@
 "rules":{"stop-sending-within-s":%g,"warm-up-s":1.0},
 "domain":{"api-timeout-s":0.3,"api-rate":20.0,"vote-ttl-s":4.0,"most-shares":[%s],"stage-share":[%s],"counted-over-s":%g,"allowance":%g,
 "cap-scope":"all","gate-mode":"first_voice"},"request-classes":[%s]}}`,
-		m.number, m.address, m.agentAddress, p.Seed, p.Sockets, m.datagrams, strings.Join(m.run.quoted, ","), m.run.all, m.apiAddress,
+		m.number, m.address, m.agentAddress, p.Seed, p.Sockets, m.peerAddress, strings.Join(m.run.quotedPeers, ","), m.run.unreachablePeer, m.apiAddress,
 		news.JSON(), standin.DiscoveryMessage(1, true, known), p.Marshals, m.number, strings.Join(zones, ","), p.PeerMessages, p.NodeIdleTimeout.Seconds(), p.DialTimeout.Seconds(),
 		p.DrainGrace.Seconds(), caps, caps, p.CapWindow.Seconds(), p.Allowance, strings.Join(classes, ","))
 }
@@ -250,5 +250,5 @@
 	for _, c := range p.Classes {
 		longest = max(longest, c.Limit)
 	}
-	return min(longest, longestCounted) + killRest
+	return min(longest, maxCountedLimit) + killMargin
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -20,7 +20,7 @@
 )
 
 // seenLate is how much later than it happened something may be seen here, as the auditor allows.
-const seenLate = 100 * time.Millisecond
+const maxRecordDelay = 100 * time.Millisecond
 
 // Options are how a run is played.
 type Options struct {
@@ -33,8 +33,8 @@
 // Result is what a run found.
 type Result struct {
 	*audit.Report
-	Seed   uint64
-	Findings []string      // what the audit does not see: starts, ends, what is left over, strangers
+	Seed               uint64
+	Findings           []string      // what the audit does not see: starts, ends, what is left over, strangers
 	MaxSchedulingDelay time.Duration // the longest that this process itself was
 }
 
@@ -55,29 +55,29 @@
 
 // run is one run.
 type run struct {
-	plan   *Plan
-	dir    string
-	opts   Options
-	quoted []string // the marshals' datagram addresses, as JSON
-	all    string
-	world  *world
-
-	ids    atomic.Int64
-	mu     sync.Mutex
-	seen   []*record.Seen
-	faults []string
+	plan            *Plan
+	dir             string
+	opts            Options
+	quotedPeers     []string // the marshals' datagram addresses, as JSON
+	unreachablePeer string
+	testbed         *testbed
+
+	ids      atomic.Int64
+	mu       sync.Mutex
+	entries  []*record.Seen
+	findings []string
 }
 
-func (r *run) see(s *record.Seen) {
+func (r *run) record(s *record.Seen) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen = append(r.seen, s)
+	r.entries = append(r.entries, s)
 }
 
-func (r *run) fault(format string, args ...any) {
+func (r *run) addFinding(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, fmt.Sprintf(format, args...))
+	r.findings = append(r.findings, fmt.Sprintf(format, args...))
 }
 
 func (r *run) nextID(marshal int) string {
@@ -90,32 +90,32 @@
 	r := &run{plan: p, dir: o.Dir, opts: o}
 	heldUp := schedlag.Watch()
 	var err error
-	if r.world, err = newWorld(r); err != nil {
+	if r.testbed, err = newTestbed(r); err != nil {
 		return nil, err
 	}
-	marshals, err := r.newMarshals()
+	marshals, err := r.startMarshals()
 	if err != nil {
 		return nil, err
 	}
-	stopEvents := r.world.playEvents()
+	stopEvents := r.testbed.startEvents()
 	var wg sync.WaitGroup
 	for _, m := range marshals {
-		wg.Go(m.live)
+		wg.Go(m.playAll)
 	}
 	wg.Wait()
 	stopEvents()
 	for _, m := range marshals {
 		m.close()
 	}
-	r.world.close()
-	outcome := &Result{Report: audit.CheckWithin(p.settings(), bounds, r.seen), Seed: p.Seed, Findings: r.faults, MaxSchedulingDelay: heldUp()}
+	r.testbed.close()
+	outcome := &Result{Report: audit.CheckWithin(p.settings(), bounds, r.entries), Seed: p.Seed, Findings: r.findings, MaxSchedulingDelay: heldUp()}
 	return outcome, r.writeSeen()
 }
 
 // writeSeen keeps what passed on the sockets, a line each, beside the marshals' logs.
 func (r *run) writeSeen() error {
 	var b bytes.Buffer
-	for _, s := range r.seen { // the auditor has sorted them
+	for _, s := range r.entries { // the auditor has sorted them
 		fmt.Fprintf(&b, "%s %s\n", time.UnixMicro(s.AtUs).UTC().Format("15:04:05.000000"), s)
 	}
 	return os.WriteFile(filepath.Join(r.dir, "seen.txt"), b.Bytes(), 0o644)
@@ -123,34 +123,34 @@
 
 // marshalRun is one marshal over its lives, each at the same address.
 type marshalRun struct {
-	run       *run
-	number    int
-	rnd       *rand.Rand
-	own       *loopback.Reservation
-	address   string
-	datagrams string
-	config    string // file
-	agent     *standin.DiscoveryAgent
-	api       *standin.ReleaseAPI
+	run         *run
+	number      int
+	rnd         *rand.Rand
+	reservation *loopback.Reservation
+	address     string
+	peerAddress string
+	configFile  string
+	agent       *standin.DiscoveryAgent
+	api         *standin.ReleaseAPI
 	// Where the marshal reaches them: at a proxy, in some runs.
 	agentAddress, apiAddress string
-	old                      []interface{ Close() }
+	retired                  []interface{ Close() }
 }
 
-func (r *run) newMarshals() (all []*marshalRun, err error) {
+func (r *run) startMarshals() (all []*marshalRun, err error) {
 	for i := range r.plan.Marshals {
 		m := &marshalRun{run: r, number: i, rnd: rand.New(rand.NewPCG(r.plan.Seed, uint64(10+i))),
-			config: filepath.Join(r.dir, fmt.Sprintf("config-%d.json", i))}
-		if m.own, err = loopback.Reserve(); err != nil {
+			configFile: filepath.Join(r.dir, fmt.Sprintf("config-%d.json", i))}
+		if m.reservation, err = loopback.Reserve(); err != nil {
 			return nil, err
 		}
-		m.address, m.datagrams = m.own.At(loopback.RequestPort), m.own.At(loopback.DatagramPort)
-		r.all = m.own.Nowhere()
-		r.quoted = append(r.quoted, strconv.Quote(m.datagrams))
+		m.address, m.peerAddress = m.reservation.At(loopback.RequestPort), m.reservation.At(loopback.DatagramPort)
+		r.unreachablePeer = m.reservation.Nowhere()
+		r.quotedPeers = append(r.quotedPeers, strconv.Quote(m.peerAddress))
 		all = append(all, m)
 	}
 	for _, m := range all {
-		if err := m.move(); err != nil {
+		if err := m.renewServices(); err != nil {
 			return nil, err
 		}
 	}
@@ -158,9 +158,9 @@
 }
 
 // move gives the marshal a new agent and release API and writes the configuration that names them; the old ones retire.
-func (m *marshalRun) move() error {
+func (m *marshalRun) renewServices() error {
 	before, beforeAPI := m.agent, m.api
-	agent, api, err := m.run.world.surroundings(m)
+	agent, api, err := m.run.testbed.startServices(m)
 	if err != nil {
 		return err
 	}
@@ -168,29 +168,29 @@
 	if before != nil {
 		before.Retire(retireAfter)
 		beforeAPI.Retire(retireAfter)
-		m.old = append(m.old, before, beforeAPI)
+		m.retired = append(m.retired, before, beforeAPI)
 	}
-	text := m.run.plan.configuration(m, m.run.world.release(), m.agent.List())
-	return os.WriteFile(m.config, []byte(text), 0o644)
+	text := m.run.plan.configuration(m, m.run.testbed.release(), m.agent.List())
+	return os.WriteFile(m.configFile, []byte(text), 0o644)
 }
 
 func (m *marshalRun) close() {
-	m.own.Release()
+	m.reservation.Release()
 	m.agent.Close()
 	m.api.Close()
-	for _, o := range m.old {
+	for _, o := range m.retired {
 		o.Close()
 	}
 }
 
-func (m *marshalRun) see(kind string) {
-	m.run.see(&record.Seen{Kind: kind, AtUs: time.Now().UnixMicro(), Instance: int64(m.number)})
+func (m *marshalRun) record(kind string) {
+	m.run.record(&record.Seen{Kind: kind, AtUs: time.Now().UnixMicro(), Instance: int64(m.number)})
 }
 
-func (m *marshalRun) live() {
+func (m *marshalRun) playAll() {
 	for i, l := range m.run.plan.Processes[m.number] {
 		if err := m.play(i, l); err != nil {
-			m.run.fault("marshal %d, life %d (%s): %v", m.number, i, l.End, err)
+			m.run.addFinding("marshal %d, life %d (%s): %v", m.number, i, l.End, err)
 		}
 	}
 }
