--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,5 +1,6 @@
-// Package soak plays seeded runs of the real marshal process on the operators' platform's protocol: stand-in discovery, release API and
-// nodes, clients that use their connections until the kill, and signals in series. What passed on the sockets is audited.
+// Package soak plays seeded runs of the real marshal process with the operators' platform's protocol: stand-ins for discovery, the release
+// API and nodes, clients that use their connections until the process is killed, and series of signals. What passes on the sockets is
+// audited.
 package soak
 
 import (
@@ -43,80 +44,83 @@
 	Term   = "term"
 )
 
-// Ways in which a life ends.
+// Ways in which a process ends.
 const (
-	EndTerm        = "term"       // TERM, and KILL at the earliest that the protocol allows
-	EndTermTwice   = "term twice" // a second TERM soon after
-	EndKill        = "kill"       // without a word
-	EndIdle        = "quiet"      // the load ends; what the process holds is looked at; then TERM
+	EndTerm        = "term"       // TERM, and KILL at the earliest time that the protocol allows
+	EndTermTwice   = "term twice" // a second TERM soon after the first
+	EndKill        = "kill"       // KILL without TERM
+	EndIdle        = "quiet"      // the load ends and the process is checked for leaks; then TERM
 	EndBeforeReady = "not ready"  // TERM before it is ready
 )
 
-// Process is one process of a marshal.
+// Process describes one process of a marshal.
 type Process struct {
 	LoadTime         time.Duration // from when it is ready until its end begins
 	Signals          []Signal
-	SignalsAfterTerm []Signal // that come after TERM, since then
-	End              string
-	HangNodes        bool          // from TERM on nodes take what they get and never answer
-	TermDelay        time.Duration // between the two TERMs, or from the start to the TERM that comes before it is ready
-	ConnectAfterTerm time.Duration // how long new connections come after TERM
+	SignalsAfterTerm []Signal
+	End              string        // one of the ways above
+	HangNodes        bool          // from TERM on, nodes read requests and never answer
+	TermDelay        time.Duration // between the two TERMs, or from the start to a TERM before the process is ready
+	ConnectAfterTerm time.Duration // for which clients open new connections after TERM
 }
 
-// Class is one class of requests.
+// Class is a class of requests.
 type Class struct {
 	Name        string
 	Repeat      settings.Repeat
-	Limit       time.Duration
-	DedupWindow time.Duration
-	DedupGroup  string
+	Limit       time.Duration // for the answer
+	DedupWindow time.Duration // for which nodes recognize a repeated request
+	DedupGroup  string        // the nodes that recognize it
 }
 
-// Plan is all that a run is drawn from: the same seed plays the same plan.
+// Plan describes a run. The same seed gives the same plan.
 type Plan struct {
 	Seed            uint64
 	Zones           []string
 	Classes         []Class
 	Marshals        int
-	PeerMessages    bool
-	Sockets         int
+	PeerMessages    bool          // marshals send messages to each other
+	Sockets         int           // limit of a marshal
 	NodeIdleTimeout time.Duration // of connections to nodes
-	DialTimeout     time.Duration
-	DrainGrace      time.Duration
-	Caps            []float64
-	Allowance       float64
-	CapWindow       time.Duration
-	Nodes           int
-	Clients         int // of each marshal
-	BurstConns      int // connections that come at once; 0 for none
-	BurstRequests   int // of them, those that send a request
-	SplitLines      bool
-	LeaveShare      float64 // share of requests whose client leaves before its answer
-	PartialShare    float64 // of those that are sent by half only
-	SplitShare      float64 // of those that are sent in two pieces
-	LongPauseShare  float64 // of clients' pauses, those that are about as long as a marshal drains
-	MachineFaults   bool    // the marshals' machines have faults: package faults
-	ConnFaultShare  float64 // share of the connections between marshals and nodes, agent and release API that are spoilt on the way
-	NodeFaultShare  float64 // share of requests that a node deals with otherwise than well
-	EventInterval   time.Duration
-	EventKinds      []Event     // what may happen to nodes, lists and builds; those named twice twice as often
-	Processes       [][]Process // by marshal
+	DialTimeout     time.Duration // of connections to nodes
+	DrainGrace      time.Duration // for which a draining node may still get requests
+	Caps            []float64     // by stage
+	Allowance       float64       // of a cap
+	CapWindow       time.Duration // over which a cap counts
+	Nodes           int           // at the start
+	Clients         int           // of each marshal
+	BurstConns      int           // connections that are opened at once; 0 for none
+	BurstRequests   int           // of BurstConns, those that send a request
+	SplitLines      bool          // the discovery agent writes its messages in pieces
+	LeaveShare      float64       // of requests whose client disconnects before the answer
+	PartialShare    float64       // of requests of which only a part is sent
+	SplitShare      float64       // of requests that are sent in two pieces
+	LongPauseShare  float64       // of clients' pauses that are about as long as a marshal drains
+	MachineFaults   bool          // the marshals' machines have the faults of package faults
+	ConnFaultShare  float64       // of connections from marshals to nodes, agent and release API that get a fault
+	NodeFaultShare  float64       // of requests that a node answers late, wrongly or not at all
+	EventInterval   time.Duration // an event comes after half to twice this time
+	EventKinds      []Event       // events to draw from; those named twice are twice as likely
+	Processes       [][]Process   // by marshal
 }
 
+// between draws a time between two others.
+
 func between(rnd *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(rnd.Float64()*float64(most-least))
 }
 
+// pick draws one of the values.
 func pick[T any](rnd *rand.Rand, of ...T) T { return of[rnd.IntN(len(of))] }
 
-// AllClasses has one class of each kind, with the same limit.
+// AllClasses returns a class for each kind of repeat, all with the same time limit.
 func AllClasses(limit time.Duration) []Class {
 	return []Class{{Name: "look", Repeat: settings.Repeat_IDEMPOTENT, Limit: limit},
 		{Name: "book", Repeat: settings.Repeat_FINGERPRINTED, Limit: limit, DedupGroup: "zone", DedupWindow: limit / 4},
 		{Name: "once", Repeat: settings.Repeat_SIDE_EFFECTING, Limit: limit}}
 }
 
-// RandomPlan makes the plan of a seed.
+// RandomPlan draws the plan of a seed.
 func RandomPlan(seed uint64) *Plan {
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	ms := time.Millisecond
@@ -149,59 +153,60 @@
 		p.BurstRequests = max(0, p.Sockets/3-p.Clients-10) / 2
 	}
 	for range p.Marshals {
-		var lives []Process
+		var processes []Process
 		for range 2 {
-			lives = append(lives, drawProcess(rnd))
+			processes = append(processes, drawProcess(rnd))
 		}
-		p.Processes = append(p.Processes, lives)
+		p.Processes = append(p.Processes, processes)
 	}
 	return p
 }
 
-// fleetEvery is one of how many runs has a few dozen processes.
+// fleetRuns is the number of runs of which one, on average, has a few dozen processes.
 const fleetRuns = 10
 
+// drawProcess draws the plan of one process.
 func drawProcess(rnd *rand.Rand) Process {
 	ms := time.Millisecond
-	l := Process{LoadTime: between(rnd, 600*ms, 2400*ms), ConnectAfterTerm: between(rnd, 200*ms, 400*ms),
+	p := Process{LoadTime: between(rnd, 600*ms, 2400*ms), ConnectAfterTerm: between(rnd, 200*ms, 400*ms),
 		End: pick(rnd, EndTerm, EndTerm, EndTerm, EndTermTwice, EndKill, EndIdle, EndBeforeReady)}
-	switch l.End {
+	switch p.End {
 	case EndTermTwice:
-		l.TermDelay = between(rnd, 0, 300*ms)
+		p.TermDelay = between(rnd, 0, 300*ms)
 	case EndBeforeReady:
-		l.TermDelay = between(rnd, 0, 60*ms)
+		p.TermDelay = between(rnd, 0, 60*ms)
 	}
-	for at := between(rnd, 0, 600*ms); at < l.LoadTime; at += between(rnd, 200*ms, 700*ms) {
-		l.Signals = append(l.Signals, Signal{at, pick(rnd, Pause, Pause, USR1, USR2)})
+	for at := between(rnd, 0, 600*ms); at < p.LoadTime; at += between(rnd, 200*ms, 700*ms) {
+		p.Signals = append(p.Signals, Signal{at, pick(rnd, Pause, Pause, USR1, USR2)})
 	}
 	if rnd.IntN(2) == 0 {
-		l.SignalsAfterTerm = drawSignalsAfterTerm(rnd)
+		p.SignalsAfterTerm = drawSignalsAfterTerm(rnd)
 	}
-	l.HangNodes = rnd.IntN(3) == 0
-	if l.LoadTime > earliestHUP+100*ms && rnd.IntN(3) > 0 {
-		at := between(rnd, earliestHUP+50*ms, l.LoadTime)
+	p.HangNodes = rnd.IntN(3) == 0
+	if p.LoadTime > earliestHUP+100*ms && rnd.IntN(3) > 0 {
+		at := between(rnd, earliestHUP+50*ms, p.LoadTime)
 		series := pick(rnd, []string{Reload}, []string{Reload, HUP}, []string{HUP, HUP}, []string{Reload, USR1, HUP, USR2}, []string{Reload, Reload})
 		for _, name := range series {
-			l.Signals = append(l.Signals, Signal{at, name})
+			p.Signals = append(p.Signals, Signal{at, name})
 			at += between(rnd, 0, 3*ms)
 		}
 		if rnd.IntN(2) == 0 {
-			l.LoadTime = at // TERM during HUP
+			p.LoadTime = at // TERM during HUP
 		}
 	}
-	return l
+	return p
 }
 
-// drawLast draws signals that come while a process ends.
-func drawSignalsAfterTerm(rnd *rand.Rand) (last []Signal) {
+// drawSignalsAfterTerm draws signals that come while a process ends.
+func drawSignalsAfterTerm(rnd *rand.Rand) (signals []Signal) {
 	for at := time.Duration(0); rnd.IntN(3) > 0; {
 		at += between(rnd, 0, 250*time.Millisecond)
-		last = append(last, Signal{at, pick(rnd, HUP, USR1, USR2, Pause)})
+		signals = append(signals, Signal{at, pick(rnd, HUP, USR1, USR2, Pause)})
 	}
-	return last
+	return signals
 }
 
-// settings are the plan's as the auditor reads them.
+// settings returns the settings of the plan that the audit reads.
 func (p *Plan) settings() *settings.Settings {
 	s := &settings.Settings{Rules: &settings.Rules{AnswerSlackMs: float64(answerSlack.Milliseconds()), GraceMs: float64(p.DrainGrace.Milliseconds())},
 		Rollout: &settings.Rollout{Allowance: p.Allowance, CountedOverMs: float64(p.CapWindow.Milliseconds()), CapScope: "all"}}
@@ -215,14 +220,15 @@
 	return s
 }
 
-var repeats = map[settings.Repeat]string{settings.Repeat_IDEMPOTENT: "free", settings.Repeat_FINGERPRINTED: "guarded",
+// repeatWords are the platform's words for the kinds of repeat.
+var repeatWords = map[settings.Repeat]string{settings.Repeat_IDEMPOTENT: "free", settings.Repeat_FINGERPRINTED: "guarded",
 	settings.Repeat_SIDE_EFFECTING: "single_shot"}
 
-// configuration is what a marshal process is started with.
-func (p *Plan) configuration(m *marshalRun, news standin.Release, known []standin.Host) string {
+// configuration returns the configuration of a marshal process in the platform's form.
+func (p *Plan) configuration(m *marshalRun, release standin.Release, known []standin.Host) string {
 	var classes, zones []string
 	for _, c := range p.Classes {
-		text := fmt.Sprintf(`{"name":%q,"aim-s":%g,"deadline-s":%g,"repeat":%q`, c.Name, c.Limit.Seconds()/2, c.Limit.Seconds(), repeats[c.Repeat])
+		text := fmt.Sprintf(`{"name":%q,"aim-s":%g,"deadline-s":%g,"repeat":%q`, c.Name, c.Limit.Seconds()/2, c.Limit.Seconds(), repeatWords[c.Repeat])
 		if c.Repeat == settings.Repeat_FINGERPRINTED {
 			text += fmt.Sprintf(`,"group":%q,"window-s":%g`, c.DedupGroup, c.DedupWindow.Seconds())
 		}
@@ -240,11 +246,11 @@
 "domain":{"api-timeout-s":0.3,"api-rate":20.0,"vote-ttl-s":4.0,"most-shares":[%s],"stage-share":[%s],"counted-over-s":%g,"allowance":%g,
 "cap-scope":"all","gate-mode":"first_voice"},"request-classes":[%s]}}`,
 		m.number, m.address, m.agentAddress, p.Seed, p.Sockets, m.peerAddress, strings.Join(m.run.quotedPeers, ","), m.run.unreachablePeer, m.apiAddress,
-		news.JSON(), standin.DiscoveryMessage(1, true, known), p.Marshals, m.number, strings.Join(zones, ","), p.PeerMessages, p.NodeIdleTimeout.Seconds(), p.DialTimeout.Seconds(),
+		release.JSON(), standin.DiscoveryMessage(1, true, known), p.Marshals, m.number, strings.Join(zones, ","), p.PeerMessages, p.NodeIdleTimeout.Seconds(), p.DialTimeout.Seconds(),
 		p.DrainGrace.Seconds(), caps, caps, p.CapWindow.Seconds(), p.Allowance, strings.Join(classes, ","))
 }
 
-// killAfter is when KILL comes after TERM, at the earliest that the protocol allows.
+// killAfter returns the time from TERM to KILL, the shortest that the protocol allows.
 func (p *Plan) killAfter() time.Duration {
 	var longest time.Duration
 	for _, c := range p.Classes {
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -22,49 +22,49 @@
 // seenLate is how much later than it happened something may be seen here, as the auditor allows.
 const maxRecordDelay = 100 * time.Millisecond
 
-// Options are how a run is played.
+// Options says how to play a run.
 type Options struct {
 	Plan    *Plan
 	Program []string // the marshal's program and its arguments
-	Env     []string // beside the test's own
+	Env     []string // added to the environment of this process
 	Dir     string   // for logs and configurations
 }
 
-// Result is what a run found.
+// Result holds what a run found.
 type Result struct {
 	*audit.Report
 	Seed               uint64
-	Findings           []string      // what the audit does not see: starts, ends, what is left over, strangers
-	MaxSchedulingDelay time.Duration // the longest that this process itself was
+	Findings           []string      // beside the audit's: failed starts and ends, leaks, clients that send no whole request
+	MaxSchedulingDelay time.Duration // of this process
 }
 
-// Clean says that nothing was found.
-func (o *Result) Clean() bool { return o.Report.Clean() && len(o.Findings) == 0 }
+// Clean reports whether nothing was found.
+func (r *Result) Clean() bool { return r.Report.Clean() && len(r.Findings) == 0 }
 
 // Print writes a line for the run, and one for each finding.
-func (o *Result) Print(out io.Writer) {
-	fmt.Fprintf(out, "seed %d: %d taken, %d succeeded, %d throttled, %d terminated, %d left, %d not taken; %d unanswered, broken %v, held up %v\n",
-		o.Seed, o.Invocations, o.Succeeded, o.Throttled, o.Terminated, o.Left, o.NotTaken, o.Unanswered, o.RulesBroken, o.MaxSchedulingDelay.Round(time.Millisecond))
-	for _, text := range append(append([]string{}, o.Findings...), o.Examples...) {
+func (r *Result) Print(out io.Writer) {
+	fmt.Fprintf(out, "seed %d: %d taken, %d succeeded, %d throttled, %d terminated, %d left, %d not taken; %d unanswered, broken %v, scheduling delay %v\n",
+		r.Seed, r.Invocations, r.Succeeded, r.Throttled, r.Terminated, r.Left, r.NotTaken, r.Unanswered, r.RulesBroken, r.MaxSchedulingDelay.Round(time.Millisecond))
+	for _, text := range append(append([]string{}, r.Findings...), r.Examples...) {
 		fmt.Fprintln(out, "  "+text)
 	}
 }
 
-// bounds are the platform's, from its protocol page.
+// bounds are the bounds of the platform's protocol.
 var bounds = audit.Bounds{LowerCap: 150, SpareSends: 2, SparePart: 0.04, ToldMs: 150, GoneMs: 100, StopMs: 700, ResendAtEnd: true}
 
-// run is one run.
+// run is the state of a run.
 type run struct {
 	plan            *Plan
 	dir             string
 	opts            Options
-	quotedPeers     []string // the marshals' datagram addresses, as JSON
-	unreachablePeer string
+	quotedPeers     []string // the marshals' addresses for peer messages, as JSON
+	unreachablePeer string   // the address for messages to all peers, at which nobody listens
 	testbed         *testbed
 
 	ids      atomic.Int64
 	mu       sync.Mutex
-	entries  []*record.Seen
+	entries  []*record.Seen // what passed on the sockets
 	findings []string
 }
 
@@ -84,16 +84,16 @@
 	return fmt.Sprintf("%d-%d-%d", marshal, r.plan.Seed, r.ids.Add(1))
 }
 
-// Run plays a plan and audits it.
+// Run plays a plan and audits what passed.
 func Run(o Options) (*Result, error) {
 	p := o.Plan
 	r := &run{plan: p, dir: o.Dir, opts: o}
-	heldUp := schedlag.Watch()
+	schedulingDelay := schedlag.Watch()
 	var err error
 	if r.testbed, err = newTestbed(r); err != nil {
 		return nil, err
 	}
-	marshals, err := r.startMarshals()
+	marshals, err := r.prepareMarshals()
 	if err != nil {
 		return nil, err
 	}
@@ -108,20 +108,20 @@
 		m.close()
 	}
 	r.testbed.close()
-	outcome := &Result{Report: audit.CheckWithin(p.settings(), bounds, r.entries), Seed: p.Seed, Findings: r.findings, MaxSchedulingDelay: heldUp()}
-	return outcome, r.writeSeen()
+	result := &Result{Report: audit.CheckWithin(p.settings(), bounds, r.entries), Seed: p.Seed, Findings: r.findings, MaxSchedulingDelay: schedulingDelay()}
+	return result, r.writeEntries()
 }
 
-// writeSeen keeps what passed on the sockets, a line each, beside the marshals' logs.
-func (r *run) writeSeen() error {
+// writeEntries writes what passed on the sockets to a file beside the marshals' logs, an entry per line.
+func (r *run) writeEntries() error {
 	var b bytes.Buffer
-	for _, s := range r.entries { // the auditor has sorted them
+	for _, s := range r.entries { // the audit has sorted them
 		fmt.Fprintf(&b, "%s %s\n", time.UnixMicro(s.AtUs).UTC().Format("15:04:05.000000"), s)
 	}
 	return os.WriteFile(filepath.Join(r.dir, "seen.txt"), b.Bytes(), 0o644)
 }
 
-// marshalRun is one marshal over its lives, each at the same address.
+// marshalRun is one marshal with its processes, which run one after the other at the same address.
 type marshalRun struct {
 	run         *run
 	number      int
@@ -132,12 +132,13 @@
 	configFile  string
 	agent       *standin.DiscoveryAgent
 	api         *standin.ReleaseAPI
-	// Where the marshal reaches them: at a proxy, in some runs.
+	// The addresses at which the marshal reaches agent and api; those of proxies in some runs.
 	agentAddress, apiAddress string
-	retired                  []interface{ Close() }
+	retired                  []interface{ Close() } // earlier agents and release APIs
 }
 
-func (r *run) startMarshals() (all []*marshalRun, err error) {
+// prepareMarshals reserves the addresses of all marshals and then starts their services.
+func (r *run) prepareMarshals() (all []*marshalRun, err error) {
 	for i := range r.plan.Marshals {
 		m := &marshalRun{run: r, number: i, rnd: rand.New(rand.NewPCG(r.plan.Seed, uint64(10+i))),
 			configFile: filepath.Join(r.dir, fmt.Sprintf("config-%d.json", i))}
@@ -157,18 +158,18 @@
 	return all, nil
 }
 
-// move gives the marshal a new agent and release API and writes the configuration that names them; the old ones retire.
+// renewServices gives the marshal a new agent and release API, and writes the configuration with their addresses. The earlier ones retire.
 func (m *marshalRun) renewServices() error {
-	before, beforeAPI := m.agent, m.api
+	oldAgent, oldAPI := m.agent, m.api
 	agent, api, err := m.run.testbed.startServices(m)
 	if err != nil {
 		return err
 	}
 	m.agent, m.api = agent, api
-	if before != nil {
-		before.Retire(retireAfter)
-		beforeAPI.Retire(retireAfter)
-		m.retired = append(m.retired, before, beforeAPI)
+	if oldAgent != nil {
+		oldAgent.Retire(retireAfter)
+		oldAPI.Retire(retireAfter)
+		m.retired = append(m.retired, oldAgent, oldAPI)
 	}
 	text := m.run.plan.configuration(m, m.run.testbed.release(), m.agent.List())
 	return os.WriteFile(m.configFile, []byte(text), 0o644)
@@ -178,19 +179,21 @@
 	m.reservation.Release()
 	m.agent.Close()
 	m.api.Close()
-	for _, o := range m.retired {
-		o.Close()
+	for _, service := range m.retired {
+		service.Close()
 	}
 }
 
+// record records an event of the marshal's process.
 func (m *marshalRun) record(kind string) {
 	m.run.record(&record.Seen{Kind: kind, AtUs: time.Now().UnixMicro(), Instance: int64(m.number)})
 }
 
+// playAll plays the marshal's processes one after the other.
 func (m *marshalRun) playAll() {
-	for i, l := range m.run.plan.Processes[m.number] {
-		if err := m.play(i, l); err != nil {
-			m.run.addFinding("marshal %d, life %d (%s): %v", m.number, i, l.End, err)
+	for i, p := range m.run.plan.Processes[m.number] {
+		if err := m.play(i, p); err != nil {
+			m.run.addFinding("marshal %d, process %d (%s): %v", m.number, i, p.End, err)
 		}
 	}
 }
