--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -9,20 +9,20 @@
 	"arrowcleat/internal/standin"
 )
 
-// Event is something that happens to nodes, lists or builds.
+// Event is a change of the nodes, their list or the builds.
 type Event int
 
 // The events.
 const (
-	DrainNode     Event = iota // a node drains, and then goes
-	KillNode                   // a node is killed; the list says so late
-	AddNode                    // another node is listed
+	DrainNode     Event = iota // a node drains and is then killed
+	KillNode                   // a node is killed; the list changes later
+	AddNode                    // another node is started and listed
 	SilenceAgents              // the agents write nothing for a while
-	ChangeRelease              // the newest build goes on, or back, or another comes
+	ChangeRelease              // the newest build advances or is rolled back, or another build goes on trial
 )
 
-// playEvents has things happen to nodes, lists and builds until it is told to end.
-func (tb *testbed) startEvents() (end func()) {
+// startEvents starts to play events, until the returned function is called.
+func (tb *testbed) startEvents() (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	rnd := rand.New(rand.NewPCG(tb.run.plan.Seed, 4))
@@ -42,24 +42,24 @@
 	return func() { close(done); wg.Wait() }
 }
 
-// serving gives one of the nodes that serve, if enough are left without it.
+// drawServing draws one of the serving nodes, if enough are left without it.
 func (tb *testbed) drawServing(rnd *rand.Rand) (h standin.Host, ok bool) {
-	const least = 3
-	var all []standin.Host
-	for i := 1; i <= tb.lastNode; i++ { // in an order that the seed gives
+	const minServing = 3 // that are left
+	var serving []standin.Host
+	for i := 1; i <= tb.lastNode; i++ { // in the order of the numbers, so that the seed determines the draw
 		for _, h := range tb.hosts {
 			if int(h.NodeID) == i && h.Health == standin.InService {
-				all = append(all, h)
+				serving = append(serving, h)
 			}
 		}
 	}
-	if len(all) <= least {
+	if len(serving) <= minServing {
 		return h, false
 	}
-	return all[rnd.IntN(len(all))], true
+	return serving[rnd.IntN(len(serving))], true
 }
 
-// take changes the health of a node that serves.
+// changeHealth draws a serving node and changes its health in the list.
 func (tb *testbed) changeHealth(rnd *rand.Rand, health string) (h standin.Host, n *standin.PlatformNode, ok bool) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -71,6 +71,7 @@
 	return h, tb.nodes[h.Name], true
 }
 
+// sleep waits for a time, or until the events end.
 func sleep(d time.Duration, done <-chan struct{}) {
 	select {
 	case <-time.After(d):
@@ -78,7 +79,7 @@
 	}
 }
 
-// drain has a node drain, and then go.
+// drainNode lists a node as terminating, later as terminated, and then kills it.
 func (tb *testbed) drainNode(rnd *rand.Rand, done <-chan struct{}) {
 	h, n, ok := tb.changeHealth(rnd, standin.Terminating)
 	if !ok {
@@ -93,7 +94,7 @@
 	n.Kill()
 }
 
-// die kills a node; the list says so late.
+// killNode kills a node and lists it as terminated later.
 func (tb *testbed) killNode(rnd *rand.Rand, done <-chan struct{}) {
 	tb.mu.Lock()
 	h, ok := tb.drawServing(rnd)
@@ -110,18 +111,18 @@
 	tb.publish(h)
 }
 
-// grow lists another node, of the newest build or of the first.
+// addNode starts another node, of the newest build or of the first, and lists it.
 func (tb *testbed) addNode(rnd *rand.Rand, _ <-chan struct{}) {
 	build := firstBuild
 	if rnd.IntN(2) == 0 {
 		build = tb.release().Build
 	}
 	if err := tb.startNode(build); err != nil {
-		tb.run.addFinding("another node: %v", err)
+		tb.run.addFinding("starting another node: %v", err)
 	}
 }
 
-// silence has the agents write nothing for a while.
+// silenceAgents has the agents write nothing for a while.
 func (tb *testbed) silenceAgents(rnd *rand.Rand, done <-chan struct{}) {
 	tb.mu.Lock()
 	agents := append([]*standin.DiscoveryAgent{}, tb.agents...)
@@ -135,24 +136,25 @@
 	}
 }
 
-// advance brings the newest build on, back, or another one: its nodes are listed before or after the news.
+// changeRelease advances the newest build, rolls it back, or puts another build on trial. The nodes of another build
+// are listed before its release is published; marshals may see them in either order.
 func (tb *testbed) changeRelease(rnd *rand.Rand, _ <-chan struct{}) {
-	s, caps := tb.release(), tb.run.plan.Caps
+	release, caps := tb.release(), tb.run.plan.Caps
 	switch {
-	case s.Phase != balance.OnTrial:
-		s = standin.Release{Build: s.Build + 1, Phase: balance.OnTrial, Cap: caps[0]}
+	case release.Phase != balance.OnTrial:
+		release = standin.Release{Build: release.Build + 1, Phase: balance.OnTrial, Cap: caps[0]}
 		for range 2 {
-			if err := tb.startNode(s.Build); err != nil {
-				tb.run.addFinding("a node of another build: %v", err)
+			if err := tb.startNode(release.Build); err != nil {
+				tb.run.addFinding("starting a node of another build: %v", err)
 			}
 		}
 	case rnd.IntN(3) == 0:
-		s.Phase, s.Cap = balance.RollingBack, 0
-	case s.Stage+1 < len(caps):
-		s.Stage++
-		s.Cap = caps[s.Stage]
+		release.Phase, release.Cap = balance.RollingBack, 0
+	case release.Stage+1 < len(caps):
+		release.Stage++
+		release.Cap = caps[release.Stage]
 	default:
-		s.Phase, s.Cap = balance.Released, 1
+		release.Phase, release.Cap = balance.Released, 1
 	}
-	tb.publishRelease(s)
+	tb.publishRelease(release)
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,6 +1,6 @@
-// Package soak plays seeded runs of the real marshal process with the operators' platform's protocol: stand-ins for discovery, the release
-// API and nodes, clients that use their connections until the process is killed, and series of signals. What passes on the sockets is
-// audited.
+// Package soak plays seeded runs of the real marshal process with the operators' platform's protocol: stand-ins for
+// discovery, the release API and nodes, clients that use their connections until the process is killed, and series of
+// signals. What passes on the sockets is audited.
 package soak
 
 import (
@@ -13,28 +13,28 @@
 	"arrowcleat/internal/standin"
 )
 
-// The protocol's own figures.
+// Times of the platform's protocol, and of the runs.
 const (
-	maxCountedLimit   = 3 * time.Second        // a longer deadline counts as this for the kill
-	killMargin        = 700 * time.Millisecond // beyond it, until KILL
-	answerSlack       = 500 * time.Millisecond // after its time an answer earns nothing; later it is lost
-	incompleteTimeout = 3 * time.Second        // in which a client that says nothing or half is owed an error or a close
-	retireAfter       = 1500 * time.Millisecond
+	maxCountedLimit   = 3 * time.Second         // a longer time limit counts as this for the time of KILL
+	killMargin        = 700 * time.Millisecond  // from the end of the longest time limit until KILL
+	answerSlack       = 500 * time.Millisecond  // after the time limit: an answer in it is worth nothing, a later one counts as lost
+	incompleteTimeout = 3 * time.Second         // until a client that sends nothing or half a request has to get an error or a close
+	retireAfter       = 1500 * time.Millisecond // until a replaced agent or release API closes its connections
 	readyTimeout      = 10 * time.Second
-	maxPause          = 150 * time.Millisecond
-	earliestHUP       = time.Second // a process gets none earlier
-	// answeredBefore is how long before a kill that comes after TERM all that was asked earlier has its answer: a process may be held
-	// up for pauseMost.
+	maxPause          = 150 * time.Millisecond // of a process between STOP and CONT
+	earliestHUP       = time.Second            // after the process is ready
+	// maxUnansweredAtKill is the longest that a request may be without its answer at a kill that comes after TERM. A
+	// process may have been paused for maxPause.
 	maxUnansweredAtKill = maxPause + maxRecordDelay
 )
 
-// Signal is one that a marshal process gets.
+// Signal is a signal to a marshal process.
 type Signal struct {
-	After time.Duration // since it was ready
-	Name  string        // one of the words below
+	After time.Duration // since the process was ready, or since TERM
+	Name  string        // one of the names below
 }
 
-// Words of a Signal; Pause is STOP and, a while later, CONT. A reload is a new configuration and HUP.
+// Names of signals. Pause is STOP and, after a time, CONT. Reload is HUP after a change of the configuration.
 const (
 	Reload = "reload"
 	HUP    = "hup"
@@ -70,7 +70,7 @@
 	Repeat      settings.Repeat
 	Limit       time.Duration // for the answer
 	DedupWindow time.Duration // for which nodes recognize a repeated request
-	DedupGroup  string        // the nodes that recognize it
+	DedupGroup  string        // of nodes that recognize it: those of a "zone", or "all"
 }
 
 // Plan describes a run. The same seed gives the same plan.
@@ -85,7 +85,7 @@
 	DialTimeout     time.Duration // of connections to nodes
 	DrainGrace      time.Duration // for which a draining node may still get requests
 	Caps            []float64     // by stage
-	Allowance       float64       // of a cap
+	Allowance       float64       // dispatches to a trial build that are allowed beyond its cap
 	CapWindow       time.Duration // over which a cap counts
 	Nodes           int           // at the start
 	Clients         int           // of each marshal
@@ -105,7 +105,6 @@
 }
 
 // between draws a time between two others.
-
 func between(rnd *rand.Rand, least, most time.Duration) time.Duration {
 	return least + time.Duration(rnd.Float64()*float64(most-least))
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -19,7 +19,7 @@
 	"arrowcleat/internal/standin"
 )
 
-// seenLate is how much later than it happened something may be seen here, as the auditor allows.
+// maxRecordDelay is the longest time between an event and its record entry; the audit allows as much.
 const maxRecordDelay = 100 * time.Millisecond
 
 // Options says how to play a run.
@@ -59,7 +59,7 @@
 	dir             string
 	opts            Options
 	quotedPeers     []string // the marshals' addresses for peer messages, as JSON
-	unreachablePeer string   // the address for messages to all peers, at which nobody listens
+	unreachablePeer string   // the address for messages to all peers; nobody receives what is sent there
 	testbed         *testbed
 
 	ids      atomic.Int64
@@ -158,7 +158,8 @@
 	return all, nil
 }
 
-// renewServices gives the marshal a new agent and release API, and writes the configuration with their addresses. The earlier ones retire.
+// renewServices gives the marshal a new agent and release API, and writes the configuration with their addresses. The
+// earlier ones retire.
 func (m *marshalRun) renewServices() error {
 	oldAgent, oldAPI := m.agent, m.api
 	agent, api, err := m.run.testbed.startServices(m)
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -14,28 +14,29 @@
 	"arrowcleat/internal/standin"
 )
 
-// world is what the marshals of a run work among.
+// testbed holds the stand-ins around the marshals of a run.
 type testbed struct {
 	run              *run
 	rnd              *rand.Rand
 	mu               sync.Mutex
-	nodes            map[string]*standin.PlatformNode
-	hosts            map[string]standin.Host
+	nodes            map[string]*standin.PlatformNode // by name
+	hosts            map[string]standin.Host          // by name
 	agents           []*standin.DiscoveryAgent
 	apis             []*standin.ReleaseAPI
 	proxies          []*faults.Proxy
 	reservations     []*loopback.Reservation
-	current          standin.Release
-	lastNode         int
-	rndMu            sync.Mutex
-	hangingProcesses atomic.Int32 // processes whose end nodes hang through
+	currentRelease   standin.Release
+	lastNode         int          // the number of the newest node
+	rndMu            sync.Mutex   // guards rnd
+	hangingProcesses atomic.Int32 // processes that are ending while nodes hang
 }
 
 const firstBuild = 7
 
+// newTestbed starts the nodes that a plan has at the start.
 func newTestbed(r *run) (*testbed, error) {
 	tb := &testbed{run: r, rnd: rand.New(rand.NewPCG(r.plan.Seed, 3)), nodes: map[string]*standin.PlatformNode{}, hosts: map[string]standin.Host{},
-		current: standin.Release{Build: firstBuild, Stage: len(r.plan.Caps) - 1, Phase: balance.Released, Cap: 1, Since: time.Now().Add(-90 * time.Second)}}
+		currentRelease: standin.Release{Build: firstBuild, Stage: len(r.plan.Caps) - 1, Phase: balance.Released, Cap: 1, Since: time.Now().Add(-90 * time.Second)}}
 	for range r.plan.Nodes {
 		if err := tb.startNode(firstBuild); err != nil {
 			return nil, err
@@ -44,7 +45,7 @@
 	return tb, nil
 }
 
-// add starts a node and lists it.
+// startNode starts a node and lists it.
 func (tb *testbed) startNode(build int) error {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -55,12 +56,12 @@
 		site = tb.run.plan.Zones[zone]
 	}
 	n := &standin.PlatformNode{ID: uint32(tb.lastNode), Ver: build, Zone: zone, IdleTimeout: tb.run.plan.NodeIdleTimeout, Reply: tb.reply, Record: tb.run.record}
-	own, err := loopback.Reserve() // else its port may be another run's node's once it is killed
+	reservation, err := loopback.Reserve() // without it a node of another run may get the port once this node is killed
 	if err != nil {
 		return err
 	}
-	tb.reservations = append(tb.reservations, own)
-	if err := n.Start(own.At(loopback.RequestPort)); err != nil {
+	tb.reservations = append(tb.reservations, reservation)
+	if err := n.Start(reservation.At(loopback.RequestPort)); err != nil {
 		return err
 	}
 	address, err := tb.viaProxy(n.Address(), true)
@@ -73,13 +74,14 @@
 	return nil
 }
 
-// through puts a proxy that spoils connections before an address, where the plan has it so; w.mu is held. The watch and the news may only
-// break: what is written there counts as told, however late it comes.
-func (tb *testbed) viaProxy(address string, late bool) (string, error) {
+// viaProxy starts a proxy with connection faults in front of an address if the plan has such faults, and returns its
+// address. The caller holds tb.mu. Connections to agents and release APIs are never delayed, only broken: what is
+// written there is recorded as received by the marshal, however late it arrives.
+func (tb *testbed) viaProxy(address string, allowDelays bool) (string, error) {
 	if tb.run.plan.ConnFaultShare == 0 {
 		return address, nil
 	}
-	p := &faults.Proxy{Target: address, FaultShare: tb.run.plan.ConnFaultShare, AllowDelays: late, Seed: tb.run.plan.Seed + uint64(len(tb.proxies))<<32}
+	p := &faults.Proxy{Target: address, FaultShare: tb.run.plan.ConnFaultShare, AllowDelays: allowDelays, Seed: tb.run.plan.Seed + uint64(len(tb.proxies))<<32}
 	address, err := p.Start()
 	if err == nil {
 		tb.proxies = append(tb.proxies, p)
@@ -87,7 +89,7 @@
 	return address, err
 }
 
-// set tells a change; w.mu is held.
+// publish stores a host and sends it to all agents; the caller holds tb.mu.
 func (tb *testbed) publish(h standin.Host) {
 	tb.hosts[h.Name] = h
 	for _, a := range tb.agents {
@@ -95,7 +97,7 @@
 	}
 }
 
-// reply draws how a node deals with a request.
+// reply draws a node's reply to a request, and the time until it.
 func (tb *testbed) reply() (standin.Reply, time.Duration) {
 	tb.rndMu.Lock()
 	defer tb.rndMu.Unlock()
@@ -107,12 +109,12 @@
 		return standin.Served, took
 	}
 	if tb.rnd.IntN(6) == 0 {
-		return standin.Served, between(tb.rnd, 100*time.Millisecond, 2*time.Second) // late
+		return standin.Served, between(tb.rnd, 100*time.Millisecond, 2*time.Second) // a late answer
 	}
 	return pick(tb.rnd, standin.Rejected, standin.Error, standin.Hung, standin.Reset, standin.Closed, standin.Truncated, standin.Malformed, standin.Duplicated), took
 }
 
-// surroundings starts an agent and a release API for a marshal that know what there is.
+// startServices starts an agent and a release API for a marshal, with the current hosts and release.
 func (tb *testbed) startServices(m *marshalRun) (*standin.DiscoveryAgent, *standin.ReleaseAPI, error) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -124,7 +126,7 @@
 		a.Set(h)
 	}
 	api := &standin.ReleaseAPI{Instance: m.number, Record: tb.run.record, VoteStatus: tb.vote}
-	if err := api.Start("127.0.0.1:0", tb.current); err != nil {
+	if err := api.Start("127.0.0.1:0", tb.currentRelease); err != nil {
 		return nil, nil, err
 	}
 	var err error
@@ -138,6 +140,7 @@
 	return a, api, nil
 }
 
+// vote draws the status of the answer to a vote.
 func (tb *testbed) vote() int {
 	tb.rndMu.Lock()
 	defer tb.rndMu.Unlock()
@@ -147,17 +150,17 @@
 func (tb *testbed) release() standin.Release {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	return tb.current
+	return tb.currentRelease
 }
 
-// rollout tells another state of the newest build.
-func (tb *testbed) publishRelease(s standin.Release) {
+// publishRelease stores another state of the newest build and sends it to all release APIs.
+func (tb *testbed) publishRelease(release standin.Release) {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
-	s.Since = time.Now()
-	tb.current = s
+	release.Since = time.Now()
+	tb.currentRelease = release
 	for _, a := range tb.apis {
-		a.Set(s)
+		a.Set(release)
 	}
 }
 
@@ -170,7 +173,7 @@
 	for _, p := range tb.proxies {
 		p.Close()
 	}
-	for _, own := range tb.reservations {
-		own.Release()
+	for _, reservation := range tb.reservations {
+		reservation.Release()
 	}
 }
