--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -18,7 +18,7 @@
 	"arrowcleat/internal/tcpstate"
 )
 
-// client asks one marshal on one connection after the other, as the platform's clients do.
+// client sends requests to one marshal, on one connection after the other, as the platform's clients do.
 type client struct {
 	m        *marshalRun
 	process  *processRun
@@ -26,9 +26,10 @@
 	nc       net.Conn
 	in       *bufio.Reader
 	answered bool   // an answer has come on the connection
-	lastID   string // of the request before
+	lastID   string // of the last request with an answer
 }
 
+// run sends requests until the load ends or the marshal accepts no more connections.
 func (c *client) run() {
 	defer c.disconnect()
 	for !c.process.loadOver() {
@@ -39,8 +40,8 @@
 	}
 }
 
-// pause draws how long the client rests before its next request. Long ones, longer than a marshal goes on taking new connections
-// after TERM, have requests cross the end of connections that rest.
+// drawPause draws the pause before the next request. Long pauses are longer than a marshal accepts new connections
+// after TERM, so that requests are sent while the marshal closes idle connections.
 func (c *client) drawPause() time.Duration {
 	switch {
 	case c.rnd.Float64() < c.m.run.plan.LongPauseShare:
@@ -52,7 +53,8 @@
 	}
 }
 
-// connect opens a connection; false says that nobody takes it, or that no new one comes any more.
+// connect opens a connection. It returns false if the marshal does not accept it, or if clients open no more
+// connections.
 func (c *client) connect() bool {
 	if !c.process.mayConnect() {
 		return false
@@ -65,6 +67,7 @@
 	return true
 }
 
+// disconnect closes the connection if there is one.
 func (c *client) disconnect() {
 	if c.nc != nil {
 		c.nc.Close()
@@ -72,14 +75,15 @@
 	}
 }
 
-// request is one that a client asks.
+// request is a request of a client.
 type request struct {
 	id    string
-	class int
+	class int // index in the plan's classes
 	limit time.Duration
-	text  string
+	text  string // as sent
 }
 
+// drawRequest draws a request.
 func (c *client) drawRequest() request {
 	p := c.m.run.plan
 	r := request{class: c.rnd.IntN(len(p.Classes)), id: c.m.run.nextID(c.m.number)}
@@ -97,7 +101,7 @@
 	return r
 }
 
-// send writes a request, some in two pieces with a while between them.
+// write writes a request, in some cases in two pieces with a pause between them.
 func (c *client) write(text string) error {
 	if c.rnd.Float64() < c.m.run.plan.SplitShare {
 		cut := 1 + c.rnd.IntN(len(text)-1)
@@ -111,12 +115,13 @@
 	return err
 }
 
+// record records an event of a request.
 func (c *client) record(r request, kind, final, text string, at time.Time) {
 	c.m.run.record(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: r.id, Instance: int64(c.m.number), Op: int64(r.class),
 		LimitMs: float64(r.limit) / float64(time.Millisecond), Final: final, Text: text})
 }
 
-// ask sends one request and reads what comes; false ends the client.
+// sendRequest sends a request and reads its answer. It returns false if the client ends.
 func (c *client) sendRequest() bool {
 	if c.nc != nil && c.unexpectedBytes() {
 		c.disconnect()
@@ -128,12 +133,12 @@
 	if c.rnd.Float64() < c.m.run.plan.PartialShare {
 		return c.sendPartial(r)
 	}
-	for again := false; ; again = true {
+	for isRetry := false; ; isRetry = true {
 		c.process.openRequests.Add(1)
 		err := c.write(r.text)
-		asked := time.Now()
-		c.record(r, "asked", "", "", asked)
-		if err == nil && c.rnd.Float64() < c.m.run.plan.LeaveShare && !again {
+		sent := time.Now()
+		c.record(r, "asked", "", "", sent)
+		if err == nil && c.rnd.Float64() < c.m.run.plan.LeaveShare && !isRetry {
 			c.process.wait(time.Duration(c.rnd.Float64() * 0.3 * float64(r.limit)))
 			if c.process.killed.Load() {
 				c.process.openRequests.Add(-1)
@@ -147,20 +152,20 @@
 			c.disconnect()
 			return true
 		}
-		err = c.readAnswer(r, asked)
+		err = c.readAnswer(r, sent)
 		c.process.openRequests.Add(-1)
 		if err == nil {
 			return true
 		}
-		c.checkUnansweredAtKill(r, asked)
-		why := c.lostReason(err, again)
+		c.checkUnansweredAtKill(r, sent)
+		reason := c.lostReason(err, isRetry)
 		c.disconnect()
-		if why != "" {
+		if reason != "" {
 			kind := "broke"
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				kind = "silent"
 			}
-			c.record(r, kind, "", why, time.Now())
+			c.record(r, kind, "", reason, time.Now())
 			return true
 		}
 		c.record(r, "crossed", "", err.Error(), time.Now())
@@ -171,25 +176,25 @@
 	}
 }
 
-// atKill checks a request without an answer against the kill that ended its process after TERM: trouble at nodes frees no request of its
-// final answer.
-func (c *client) checkUnansweredAtKill(r request, asked time.Time) {
-	killed := c.process.killedAtNs.Load()
-	if killed == 0 {
+// checkUnansweredAtKill adds a finding if a request without an answer was sent too long before a kill that came after
+// TERM. Faults of nodes are no excuse: every request gets a final answer.
+func (c *client) checkUnansweredAtKill(r request, sent time.Time) {
+	killedAtNs := c.process.killedAtNs.Load()
+	if killedAtNs == 0 {
 		return
 	}
-	if out := time.Unix(0, killed).Sub(asked); out > maxUnansweredAtKill {
-		c.m.run.addFinding("%s was asked %v before the kill that came after TERM, and had no answer", r.id, out.Round(time.Millisecond))
+	if unanswered := time.Unix(0, killedAtNs).Sub(sent); unanswered > maxUnansweredAtKill {
+		c.m.run.addFinding("%s was sent %v before the kill that came after TERM, and got no answer", r.id, unanswered.Round(time.Millisecond))
 	}
 }
 
-// resetWithin is how long a client waits for the reset that tells that its request was not read.
+// resetTimeout is the time that a client waits for the reset that shows that its request was not read.
 const resetTimeout = 700 * time.Millisecond
 
-// lost says why a request without an answer is lost; it is empty where it crossed the end of a connection that rested, and was not read:
-// then the client sends it once more.
-func (c *client) lostReason(err error, again bool) string {
-	if !c.answered || again || errors.Is(err, os.ErrDeadlineExceeded) || c.process.killed.Load() {
+// lostReason returns why a request without an answer is lost. It returns an empty text if the marshal closed the idle
+// connection without reading the request, which the client then sends once more.
+func (c *client) lostReason(err error, isRetry bool) string {
+	if !c.answered || isRetry || errors.Is(err, os.ErrDeadlineExceeded) || c.process.killed.Load() {
 		return err.Error()
 	}
 	reset, stateErr := tcpstate.ResetWithin(c.nc, resetTimeout)
@@ -197,27 +202,27 @@
 	case reset:
 		return ""
 	case stateErr != nil:
-		return fmt.Sprintf("%v; its state: %v", err, stateErr)
+		return fmt.Sprintf("%v; reading the connection's state: %v", err, stateErr)
 	case c.process.killed.Load():
 		return err.Error()
 	default:
-		return fmt.Sprintf("%v; it was read, and its connection closed without an answer", err)
+		return fmt.Sprintf("%v; the request was read, and its connection closed without an answer", err)
 	}
 }
 
-// errPart says that an answer came, but not whole.
-var errTruncated = errors.New("not a whole answer")
+// errTruncated is the error of an answer that began and did not arrive completely.
+var errTruncated = errors.New("answer truncated")
 
-// read reads an answer. The error is what ended the connection before it.
-func (c *client) readAnswer(r request, asked time.Time) error {
-	c.nc.SetReadDeadline(asked.Add(r.limit + answerSlack + maxRecordDelay))
+// readAnswer reads an answer and records it. It returns an error only if the connection ended before the answer began.
+func (c *client) readAnswer(r request, sent time.Time) error {
+	c.nc.SetReadDeadline(sent.Add(r.limit + answerSlack + maxRecordDelay))
 	if _, err := c.in.Peek(1); err != nil {
 		return err
 	}
-	q, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(c.in, nil)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(q.Body)
+		body, err = io.ReadAll(response.Body)
 	}
 	now := time.Now()
 	if err != nil {
@@ -225,21 +230,22 @@
 		c.disconnect()
 		return nil
 	}
-	final := q.Header.Get(front.AnswerHeader)
-	c.record(r, "answered", final, q.Status, now)
-	refused := q.StatusCode == http.StatusServiceUnavailable || q.StatusCode == http.StatusTooManyRequests
-	if (q.StatusCode == http.StatusOK) != (final == front.Succeeded) || final == front.Throttled && !refused || refused && final == front.Terminated ||
+	final := response.Header.Get(front.AnswerHeader)
+	c.record(r, "answered", final, response.Status, now)
+	rejected := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
+	if (response.StatusCode == http.StatusOK) != (final == front.Succeeded) || final == front.Throttled && !rejected || rejected && final == front.Terminated ||
 		final == front.Succeeded && string(body) != "made for "+r.id {
-		c.record(r, "mixed", final, fmt.Sprintf("%d %.40q", q.StatusCode, body), now)
+		c.record(r, "mixed", final, fmt.Sprintf("%d %.40q", response.StatusCode, body), now)
 	}
 	c.answered, c.lastID = true, r.id
-	if q.Close {
+	if response.Close {
 		c.disconnect()
 	}
 	return nil
 }
 
-// unasked says that something came on the connection behind the last answer; its mere end is none of that.
+// unexpectedBytes reports and records bytes after the last answer on the connection. The end of the connection alone
+// does not count.
 func (c *client) unexpectedBytes() bool {
 	if c.in.Buffered() == 0 {
 		return false
@@ -249,44 +255,46 @@
 	return true
 }
 
-// half sends part of a request and stays: an error or a close is due.
+// sendPartial sends a part of a request on a new connection, and expects an error or a close. It returns false if the
+// client ends.
 func (c *client) sendPartial(r request) bool {
 	c.disconnect()
 	if !c.connect() {
 		return false
 	}
 	io.WriteString(c.nc, r.text[:1+c.rnd.IntN(len(r.text)-2)])
-	c.process.expectRejection(c.nc, "half a request")
+	c.process.expectRejection(c.nc, "a client that sends a part of a request")
 	c.nc = nil
 	return true
 }
 
-// stranger waits for what a connection is owed that says nothing, or half.
-func (l *processRun) expectRejection(nc net.Conn, what string) {
-	l.incompleteConns.Add(1)
+// expectRejection waits for an error or a close on a connection without a whole request, and adds a finding if there is
+// none in time.
+func (r *processRun) expectRejection(nc net.Conn, what string) {
+	r.incompleteConns.Add(1)
 	defer func() {
 		nc.Close()
-		l.incompleteConns.Add(-1)
+		r.incompleteConns.Add(-1)
 	}()
-	due := time.Now().Add(incompleteTimeout)
-	nc.SetReadDeadline(due.Add(maxPause + maxRecordDelay))
+	deadline := time.Now().Add(incompleteTimeout)
+	nc.SetReadDeadline(deadline.Add(maxPause + maxRecordDelay))
 	b := make([]byte, len("HTTP/1.1 4"))
 	n, err := io.ReadFull(nc, b) // it may come in pieces
-	if errors.Is(err, os.ErrDeadlineExceeded) && !l.killed.Load() {
-		l.m.run.addFinding("%s: neither an error nor a close within %v", what, incompleteTimeout)
+	if errors.Is(err, os.ErrDeadlineExceeded) && !r.killed.Load() {
+		r.m.run.addFinding("%s: neither an error nor a close within %v", what, incompleteTimeout)
 	}
 	if n > 0 && !strings.HasPrefix(string(b[:n]), "HTTP/1.1 4") && !strings.HasPrefix(string(b[:n]), "HTTP/1.1 5") {
-		l.m.run.addFinding("%s: got %q", what, b[:n])
+		r.m.run.addFinding("%s: got %q", what, b[:n])
 	}
 }
 
-// crowd opens many connections at once; some ask, the others say nothing.
-func (l *processRun) burst(rnd *rand.Rand) {
-	p := l.m.run.plan
+// burst opens many connections at once. BurstRequests of them send a request, the others nothing.
+func (r *processRun) burst(rnd *rand.Rand) {
+	p := r.m.run.plan
 	for i := range p.BurstConns {
 		seed := rnd.Uint64()
-		l.clients.Go(func() {
-			c := &client{m: l.m, process: l, rnd: rand.New(rand.NewPCG(seed, 1))}
+		r.clients.Go(func() {
+			c := &client{m: r.m, process: r, rnd: rand.New(rand.NewPCG(seed, 1))}
 			if !c.connect() {
 				return
 			}
@@ -295,7 +303,7 @@
 				c.sendRequest()
 				return
 			}
-			l.expectRejection(c.nc, "a client that says nothing")
+			r.expectRejection(c.nc, "a client that sends nothing")
 		})
 	}
 }
--- a/internal/soak/life.go
+++ b/internal/soak/life.go
@@ -18,43 +18,45 @@
 	"arrowcleat/internal/loopback"
 )
 
-// lifeRun is one process of a marshal, and the clients of its life.
+// processRun is a running process of a marshal, with its clients.
 type processRun struct {
 	Process
 	m              *marshalRun
 	logFile        string
 	cmd            *exec.Cmd
-	exited         chan struct{}
-	err            error // that it exited with
+	exited         chan struct{} // closed when the process has ended
+	exitErr        error         // set before exited is closed
 	clients        sync.WaitGroup
-	loadEnded      chan struct{} // clients send no more requests
-	once           sync.Once
+	loadEnded      chan struct{} // closed when clients send no more requests
+	endLoadOnce    sync.Once
 	connectUntilNs atomic.Int64 // Unix time until which clients open new connections, 0 for no end
 	killed         atomic.Bool
-	killedAtNs     atomic.Int64 // UnixNano of a kill that comes after TERM, 0 for none
-	// Connections that may hold up the end of the process: those that say nothing, or half, and those with a request out.
+	killedAtNs     atomic.Int64 // Unix time of a kill that came after TERM, 0 for none
+	// Connections that may delay the end of the process: those on which no whole request was sent, and those that wait
+	// for an answer.
 	incompleteConns, openRequests atomic.Int64
 }
 
-// FaultSeedEnv is the variable that tells a process the seed of its machine's faults; without it the machine has none.
+// FaultSeedEnv is the environment variable with the seed of a process's machine faults. Without it the machine has
+// none.
 const FaultSeedEnv = "ARROWCLEAT_FAULT_SEED"
 
-// start starts the process. What the agent and the configuration have counts as told from its first moment.
-func (m *marshalRun) start(number int, l Process) (*processRun, error) {
+// start starts the process. The entries of the agent and the configuration are recorded as received at its start.
+func (m *marshalRun) start(number int, plan Process) (*processRun, error) {
 	file := filepath.Join(m.run.dir, fmt.Sprintf("marshal-%d-life-%d.log", m.number, number))
 	log, err := os.Create(file)
 	if err != nil {
 		return nil, err
 	}
 	defer log.Close()
-	if number > 0 { // what they still wrote to the process before would count as told to this one
+	if number > 0 { // writes to the process before would be recorded as received by this one
 		m.agent.Close()
 		m.api.Close()
 	}
 	if err := m.renewServices(); err != nil {
 		return nil, err
 	}
-	r := &processRun{Process: l, m: m, logFile: file, exited: make(chan struct{}), loadEnded: make(chan struct{})}
+	r := &processRun{Process: plan, m: m, logFile: file, exited: make(chan struct{}), loadEnded: make(chan struct{})}
 	args := append(append([]string{}, m.run.opts.Program[1:]...), "--log", "debug")
 	r.cmd = exec.Command(m.run.opts.Program[0], args...)
 	r.cmd.Env = append(append(os.Environ(), m.run.opts.Env...), "GW_CONFIG="+m.configFile)
@@ -70,11 +72,11 @@
 	if err := r.cmd.Start(); err != nil {
 		return nil, err
 	}
-	go func() { r.err = r.cmd.Wait(); close(r.exited) }()
+	go func() { r.exitErr = r.cmd.Wait(); close(r.exited) }()
 	return r, nil
 }
 
-// ready waits until the marshal says that it serves.
+// awaitReady waits until the marshal answers health checks.
 func (r *processRun) awaitReady() error {
 	c := http.Client{Timeout: time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	for end := time.Now().Add(readyTimeout); time.Now().Before(end); r.wait(2 * time.Millisecond) {
@@ -87,17 +89,17 @@
 		}
 		select {
 		case <-r.exited:
-			return fmt.Errorf("it ended before it was ready: %w", r.err)
+			return fmt.Errorf("the process ended before it was ready: %w", r.exitErr)
 		default:
 		}
 	}
-	return fmt.Errorf("not ready within %v", readyTimeout)
+	return fmt.Errorf("the process was not ready within %v", readyTimeout)
 }
 
-// errOther says that somebody else answers at a marshal's address.
-var errOtherListener = errors.New("another process listens at its address")
+// errOtherListener is the error of a marshal whose address another process listens at.
+var errOtherListener = errors.New("another process listens at the marshal's address")
 
-// itself checks that it is this process that answers.
+// checkListener checks that this process listens at the marshal's address.
 func (r *processRun) checkListener() error {
 	own, err := loopback.Listens(r.cmd.Process.Pid, r.m.address)
 	if err == nil && !own {
@@ -115,9 +117,9 @@
 	}
 }
 
-func (r *processRun) endLoad() { r.once.Do(func() { close(r.loadEnded) }) }
+func (r *processRun) endLoad() { r.endLoadOnce.Do(func() { close(r.loadEnded) }) }
 
-// wait lets time pass, or the load end.
+// wait waits for a time, or until the load ends.
 func (r *processRun) wait(d time.Duration) {
 	select {
 	case <-time.After(d):
@@ -125,14 +127,15 @@
 	}
 }
 
+// mayConnect reports whether clients still open new connections.
 func (r *processRun) mayConnect() bool {
 	until := r.connectUntilNs.Load()
 	return !r.loadOver() && (until == 0 || time.Now().UnixNano() < until)
 }
 
-// play plays one life.
-func (m *marshalRun) play(number int, l Process) error {
-	r, err := m.start(number, l)
+// play plays one process from its start to its end.
+func (m *marshalRun) play(number int, plan Process) error {
+	r, err := m.start(number, plan)
 	if err != nil {
 		return err
 	}
@@ -141,16 +144,16 @@
 		r.clients.Wait()
 		r.checkLog()
 	}()
-	if l.End == EndBeforeReady {
+	if plan.End == EndBeforeReady {
 		return r.endBeforeReady()
 	}
 	if err := r.awaitReady(); err != nil {
 		r.kill()
 		return err
 	}
-	var rest resources
-	if l.End == EndIdle {
-		if rest, err = r.resourcesAtRest(); err != nil {
+	var atRest resources
+	if plan.End == EndIdle {
+		if atRest, err = r.resourcesAtRest(); err != nil {
 			return err
 		}
 	}
@@ -165,15 +168,15 @@
 	if err := r.playSignals(ready); err != nil {
 		return err
 	}
-	switch l.End {
+	switch plan.End {
 	case EndKill:
 		r.kill()
 		return nil
 	case EndIdle:
 		r.endLoad()
 		r.clients.Wait()
-		if err := r.checkLeak(rest); err != nil {
-			m.run.addFinding("marshal %d, life %d: %v", m.number, number, err)
+		if err := r.checkLeak(atRest); err != nil {
+			m.run.addFinding("marshal %d, process %d: %v", m.number, number, err)
 		}
 		return r.terminate()
 	}
@@ -182,7 +185,7 @@
 
 var osSignals = map[string]syscall.Signal{HUP: syscall.SIGHUP, Reload: syscall.SIGHUP, USR1: syscall.SIGUSR1, USR2: syscall.SIGUSR2}
 
-// signals sends what the life has, until its load is over.
+// playSignals sends the signals of the plan, and waits for the end of the load.
 func (r *processRun) playSignals(ready time.Time) error {
 	if err := r.sendSignals(r.Signals, ready); err != nil {
 		return err
@@ -190,15 +193,15 @@
 	time.Sleep(time.Until(ready.Add(r.LoadTime)))
 	select {
 	case <-r.exited:
-		return fmt.Errorf("it crashed: %w", errors.Join(r.err, errors.New("before it was told to end")))
+		return fmt.Errorf("it crashed: %w", errors.Join(r.exitErr, errors.New("before the end of its load")))
 	default:
 		return nil
 	}
 }
 
-// send sends signals, each at its time since a moment.
-func (r *processRun) sendSignals(all []Signal, since time.Time) error {
-	for _, s := range all {
+// sendSignals sends signals, each at its time after a moment.
+func (r *processRun) sendSignals(signals []Signal, since time.Time) error {
+	for _, s := range signals {
 		time.Sleep(time.Until(since.Add(s.After)))
 		switch s.Name {
 		case Pause:
@@ -216,7 +219,7 @@
 	return nil
 }
 
-// kill ends the process at once, and then the load.
+// kill kills the process, and then ends the load.
 func (r *processRun) kill() {
 	r.killed.Store(true)
 	r.m.record("killed")
@@ -225,11 +228,12 @@
 	r.endLoad()
 }
 
-// terminate tells the process to end. Clients use their connections until the kill, which comes as early as it may.
+// terminate ends the process with TERM, and with KILL at the earliest time that the protocol allows. Until then clients
+// go on.
 func (r *processRun) terminate() error {
 	r.m.record("stopping")
-	told := time.Now()
-	r.connectUntilNs.Store(told.Add(r.ConnectAfterTerm).UnixNano())
+	terminated := time.Now()
+	r.connectUntilNs.Store(terminated.Add(r.ConnectAfterTerm).UnixNano())
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	if r.HangNodes {
 		r.m.run.testbed.hangingProcesses.Add(1)
@@ -239,26 +243,26 @@
 		time.Sleep(r.TermDelay)
 		r.cmd.Process.Signal(syscall.SIGTERM)
 	}
-	var last sync.WaitGroup
-	defer last.Wait()
-	last.Go(func() { r.sendSignals(r.SignalsAfterTerm, told) }) // what can't be sent has nobody to get it any more
+	var signals sync.WaitGroup
+	defer signals.Wait()
+	signals.Go(func() { r.sendSignals(r.SignalsAfterTerm, terminated) }) // an error here means that the process has ended
 	select {
 	case <-r.exited:
-		if r.err != nil {
-			return fmt.Errorf("it ended with %w after TERM", r.err)
+		if r.exitErr != nil {
+			return fmt.Errorf("it ended with %w after TERM", r.exitErr)
 		}
-	case <-time.After(time.Until(told.Add(r.m.run.plan.killAfter()))):
-		held := r.incompleteConns.Load() + r.openRequests.Load()
+	case <-time.After(time.Until(terminated.Add(r.m.run.plan.killAfter()))):
+		openConns := r.incompleteConns.Load() + r.openRequests.Load()
 		r.killedAtNs.Store(time.Now().UnixNano())
 		r.kill()
-		if held == 0 {
-			return errors.New("it did not end by itself, though nobody had a request out")
+		if openConns == 0 {
+			return errors.New("it did not end by itself, though no connection waited for an answer")
 		}
 	}
 	return nil
 }
 
-// endBeforeReady tells a process to end that may not be ready yet. Before it can take signals, one ends it.
+// endBeforeReady ends a process with TERM that may not be ready yet. Until it handles signals, TERM itself ends it.
 func (r *processRun) endBeforeReady() error {
 	time.Sleep(r.TermDelay)
 	r.cmd.Process.Signal(syscall.SIGTERM)
@@ -266,95 +270,97 @@
 	case <-r.exited:
 	case <-time.After(r.m.run.plan.killAfter()):
 		r.kill()
-		return errors.New("it does not end")
+		return errors.New("it did not end after TERM")
 	}
-	if status, ok := r.cmd.ProcessState.Sys().(syscall.WaitStatus); r.err != nil && !(ok && status.Signal() == syscall.SIGTERM) {
-		return fmt.Errorf("it ended with %w after TERM", r.err)
+	if status, ok := r.cmd.ProcessState.Sys().(syscall.WaitStatus); r.exitErr != nil && !(ok && status.Signal() == syscall.SIGTERM) {
+		return fmt.Errorf("it ended with %w after TERM", r.exitErr)
 	}
 	return nil
 }
 
-// holds is what a process holds.
+// resources counts what a process holds.
 type resources struct{ descriptors, goroutines int }
 
-// violations are the lines in which a process says that it broke an invariant, or that a goroutine of its panicked.
+// violationLines matches log lines of a broken invariant or of a goroutine that panicked.
 var violationLines = regexp.MustCompile(`(?m)^.*level=ERROR msg="(a |the decision).*$`)
 
-// ownWord looks for them in the log of a process that has ended.
+// checkLog adds the violation lines in the log of a process that has ended to the findings.
 func (r *processRun) checkLog() {
 	text, err := os.ReadFile(r.logFile)
 	if err != nil {
-		r.m.run.addFinding("the log: %v", err)
+		r.m.run.addFinding("reading the log: %v", err)
 	}
 	for i, line := range violationLines.FindAll(text, -1) {
 		if i == maxViolations {
 			break
 		}
-		r.m.run.addFinding("marshal %d said %s", r.m.number, line)
+		r.m.run.addFinding("marshal %d logged %s", r.m.number, line)
 	}
 }
 
-const maxViolations = 5 // that are printed of one process
+const maxViolations = 5 // log lines that are reported of one process
 
+// viewGoroutines matches the number of goroutines in a view, a line with the marshal's state.
 var viewGoroutines = regexp.MustCompile(`msg=view .*goroutines=(\d+)`)
 
-// holding looks what the process holds; its goroutines by what it has logged after so many views.
-func (r *processRun) measureResources(views int) (h resources, more int, err error) {
-	all, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid))
+// measureResources returns the resources of the process and the number of views in its log. The goroutines are those of
+// the last view, if there are more than viewsBefore.
+func (r *processRun) measureResources(viewsBefore int) (held resources, views int, err error) {
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", r.cmd.Process.Pid))
 	if err != nil {
-		return h, 0, err
+		return held, 0, err
 	}
 	text, err := os.ReadFile(r.logFile)
 	if err != nil {
-		return h, 0, err
+		return held, 0, err
 	}
-	said := viewGoroutines.FindAllSubmatch(text, -1)
-	h.descriptors = len(all)
-	if len(said) > views {
-		h.goroutines, err = strconv.Atoi(string(said[len(said)-1][1]))
+	goroutines := viewGoroutines.FindAllSubmatch(text, -1)
+	held.descriptors = len(descriptors)
+	if len(goroutines) > viewsBefore {
+		held.goroutines, err = strconv.Atoi(string(goroutines[len(goroutines)-1][1]))
 	}
-	return h, len(said), err
+	return held, len(goroutines), err
 }
 
-// viewEvery is how often a marshal logs its view.
+// viewInterval is the time between two views that a marshal logs.
 const viewInterval = time.Second
 
-// steadyFor is for how long what a process holds has to stay the same to be what it holds at rest: longer than a stream that broke takes to
-// be open again.
+// steadyTime is the time for which the resources of a process have to stay the same to count as those at rest. It is
+// longer than a broken stream takes to be reopened.
 const steadyTime = 100 * time.Millisecond
 
-// atRest is what the process holds before anybody has asked it.
-func (r *processRun) resourcesAtRest() (rest resources, err error) {
+// resourcesAtRest returns the resources of the process before it has got any request.
+func (r *processRun) resourcesAtRest() (last resources, err error) {
 	for end := time.Now().Add(3 * viewInterval); time.Now().Before(end); time.Sleep(steadyTime) {
-		h, views, err := r.measureResources(0)
-		if err != nil || views > 0 && h == rest {
-			return h, err
+		now, views, err := r.measureResources(0)
+		if err != nil || views > 0 && now == last {
+			return now, err
 		}
-		rest = h
+		last = now
 	}
-	return resources{}, errors.New("it logs no view, or what it holds does not stay the same")
+	return resources{}, errors.New("it logged no view, or its descriptors and goroutines did not stay the same")
 }
 
-// leftOver looks whether the process holds more than at rest, once connections to nodes have had their time.
-func (r *processRun) checkLeak(rest resources) error {
-	idle := r.m.run.plan.NodeIdleTimeout
-	if idle > maxCountedLimit { // they may stay
+// checkLeak checks that the process holds no more than at rest, once idle connections to nodes have timed out.
+func (r *processRun) checkLeak(atRest resources) error {
+	idleTimeout := r.m.run.plan.NodeIdleTimeout
+	if idleTimeout > maxCountedLimit { // the connections may stay open
 		return nil
 	}
-	_, before, err := r.measureResources(0)
+	_, viewsBefore, err := r.measureResources(0)
 	if err != nil {
 		return err
 	}
 	var now resources
-	for end := time.Now().Add(idle + 4*viewInterval); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		r.cmd.Process.Signal(syscall.SIGUSR1) // the log may have been told to say less
+	for end := time.Now().Add(idleTimeout + 4*viewInterval); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
+		r.cmd.Process.Signal(syscall.SIGUSR1) // raises the log level, which an earlier signal may have lowered
 		var views int
-		if now, views, err = r.measureResources(before); err != nil {
+		if now, views, err = r.measureResources(viewsBefore); err != nil {
 			return err
 		}
-		if views > before && now.descriptors <= rest.descriptors && now.goroutines <= rest.goroutines {
+		if views > viewsBefore && now.descriptors <= atRest.descriptors && now.goroutines <= atRest.goroutines {
 			return nil
 		}
 	}
-	return fmt.Errorf("it holds %+v, and held %+v at rest", now, rest)
+	return fmt.Errorf("the process holds %+v, and held %+v at rest", now, atRest)
 }
