--- a/internal/soak/life.go
+++ b/internal/soak/life.go
@@ -232,8 +232,8 @@
 // go on.
 func (r *processRun) terminate() error {
 	r.m.record("stopping")
-	terminated := time.Now()
-	r.connectUntilNs.Store(terminated.Add(r.ConnectAfterTerm).UnixNano())
+	termAt := time.Now()
+	r.connectUntilNs.Store(termAt.Add(r.ConnectAfterTerm).UnixNano())
 	r.cmd.Process.Signal(syscall.SIGTERM)
 	if r.HangNodes {
 		r.m.run.testbed.hangingProcesses.Add(1)
@@ -245,13 +245,13 @@
 	}
 	var signals sync.WaitGroup
 	defer signals.Wait()
-	signals.Go(func() { r.sendSignals(r.SignalsAfterTerm, terminated) }) // an error here means that the process has ended
+	signals.Go(func() { r.sendSignals(r.SignalsAfterTerm, termAt) }) // signals to a process that has ended are lost
 	select {
 	case <-r.exited:
 		if r.exitErr != nil {
 			return fmt.Errorf("it ended with %w after TERM", r.exitErr)
 		}
-	case <-time.After(time.Until(terminated.Add(r.m.run.plan.killAfter()))):
+	case <-time.After(time.Until(termAt.Add(r.m.run.plan.killAfter()))):
 		openConns := r.incompleteConns.Load() + r.openRequests.Load()
 		r.killedAtNs.Store(time.Now().UnixNano())
 		r.kill()
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -31,6 +31,7 @@
 	hangingProcesses atomic.Int32 // processes that are ending while nodes hang
 }
 
+// firstBuild is the build that is released at the start.
 const firstBuild = 7
 
 // newTestbed starts the nodes that a plan has at the start.
--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -98,7 +98,7 @@
 	return a.seq, hosts
 }
 
-// DiscoveryMessage returns a message of the discovery protocol with the entries.
+// DiscoveryMessage returns a message of the discovery protocol; whole says that the entries are the complete list.
 func DiscoveryMessage(seq int64, whole bool, hosts []Host) string {
 	var entries []string
 	for _, h := range hosts {
--- a/internal/standin/conveyor.go
+++ b/internal/standin/conveyor.go
@@ -176,7 +176,7 @@
 	s.stateChanged(fmt.Sprintf("build %d released", s.ver))
 }
 
-// cap returns the share of the exposure that the newest build may have in its state.
+// cap returns the largest share of the traffic that the newest build may get.
 func (s *RolloutService) cap() float64 {
 	switch s.phase {
 	case balance.OnTrial:
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -21,13 +21,13 @@
 
 // Header fields between stand-in clients and nodes; a marshal forwards them like any other.
 const (
-	InvHeader        = "X-Inv"
-	OpHeader         = "X-Op"
-	KeyHeader        = "X-Key"
-	WorkHeader       = "X-Work-Ms"
-	NotStartedHeader = "X-Not-Started"
-	BadRequestHeader = "X-Bad"
-	WrongValue       = "wrong"
+	InvHeader        = "X-Inv"         // the id of the invocation, in requests and answers
+	OpHeader         = "X-Op"          // the number of the operation
+	KeyHeader        = "X-Key"         // the key of the invocation
+	WorkHeader       = "X-Work-Ms"     // the work, 1 ms if it is missing
+	NotStartedHeader = "X-Not-Started" // in rejections: the work did not begin
+	BadRequestHeader = "X-Bad"         // nodes answer with an error, without work
+	WrongValue       = "wrong"         // of the field X-Answer: the answer is wrong
 )
 
 // Node is a stand-in node. Its cores work off a queue. It is slower while it warms up, and too much work in that time
@@ -115,7 +115,7 @@
 	n.hangEnded, n.recent, n.stats = make(chan struct{}), map[string]time.Time{}, map[int]*OperationStats{}
 	n.ln = &listener{Listener: ln, n: n, conns: map[net.Conn]bool{}}
 	n.server = &http.Server{Handler: n, ErrorLog: log.New(io.Discard, "", 0)}
-	n.see(&record.Seen{Kind: "begins"})
+	n.recordSeen(&record.Seen{Kind: "begins"})
 	go n.server.Serve(n.ln)
 	return nil
 }
@@ -135,7 +135,7 @@
 	}
 	n.dead = true
 	n.mu.Unlock()
-	n.see(&record.Seen{Kind: "dies"})
+	n.recordSeen(&record.Seen{Kind: "dies"})
 	n.ln.resetAll()
 	n.server.Close()
 }
@@ -192,7 +192,7 @@
 	return nil
 }
 
-func (n *Node) see(s *record.Seen) {
+func (n *Node) recordSeen(s *record.Seen) {
 	if n.Record == nil {
 		return
 	}
@@ -233,14 +233,14 @@
 		workMs = 1
 	}
 	marshal := marshalOf(r)
-	seen := func(kind, text string) {
-		n.see(&record.Seen{Kind: kind, Inv: r.Header.Get(InvHeader), Instance: marshal, Op: int64(op),
+	recordSeen := func(kind, text string) {
+		n.recordSeen(&record.Seen{Kind: kind, Inv: r.Header.Get(InvHeader), Instance: marshal, Op: int64(op),
 			Key: r.Header.Get(KeyHeader), Text: text})
 	}
-	seen("got", "")
+	recordSeen("got", "")
 	// stopWatch ends the watch for a lost connection. It returns false if the connection was lost before, and recorded
 	// as that.
-	stopWatch := context.AfterFunc(r.Context(), func() { seen("cut", "connection gone") })
+	stopWatch := context.AfterFunc(r.Context(), func() { recordSeen("cut", "connection gone") })
 	delay, lost := n.linkFaults(int(marshal))
 	if lost {
 		<-r.Context().Done()
@@ -249,14 +249,14 @@
 	sleep(r.Context(), delay)
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		if stopWatch() {
-			seen("cut", "body broken off")
+			recordSeen("cut", "body broken off")
 		}
 		panic(http.ErrAbortHandler)
 	}
 	start := time.Now()
 	if r.Header.Get(BadRequestHeader) != "" { // an error on every node, without work
 		if stopWatch() {
-			seen("done", "500")
+			recordSeen("done", "500")
 		}
 		w.WriteHeader(http.StatusInternalServerError)
 		return
@@ -268,7 +268,7 @@
 			panic(http.ErrAbortHandler)
 		}
 		if stopWatch() {
-			seen("away", "")
+			recordSeen("away", "")
 		}
 		w.Header().Set(NotStartedHeader, "1")
 		w.WriteHeader(status)
@@ -284,7 +284,7 @@
 	body := "node " + strconv.Itoa(int(n.ID)) + " did " + r.Header.Get(InvHeader) + "\n"
 	if cutAt != "" {
 		if stopWatch() {
-			seen("cut", cutAt)
+			recordSeen("cut", cutAt)
 		}
 		if r.Method == http.MethodHead { // the head alone would be a complete answer
 			cutAt = "before"
@@ -294,7 +294,7 @@
 	}
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if stopWatch() { // recorded before it is sent: the marshal may dispatch again as soon as it has read the answer
-		seen("done", strconv.Itoa(status))
+		recordSeen("done", strconv.Itoa(status))
 	}
 	w.WriteHeader(status)
 	io.WriteString(w, body)
@@ -454,7 +454,7 @@
 	windowMs := float64(n.OverloadWindow) / float64(time.Millisecond)
 	if slackMs := 3 * workMs; sumMs > n.OverloadFactor*n.capacity()*windowMs+slackMs {
 		n.overloaded = true
-		n.see(&record.Seen{Kind: "fell", Text: fmt.Sprintf("%.0f ms of work in %.0f ms", sumMs, windowMs)})
+		n.recordSeen(&record.Seen{Kind: "fell", Text: fmt.Sprintf("%.0f ms of work in %.0f ms", sumMs, windowMs)})
 	}
 }
 
--- a/internal/standin/platformnode.go
+++ b/internal/standin/platformnode.go
@@ -55,7 +55,7 @@
 		return fmt.Errorf("node %d: %w", n.ID, err)
 	}
 	n.ln, n.conns = ln, map[net.Conn]bool{}
-	n.see(&record.Seen{Kind: "begins"})
+	n.recordSeen(&record.Seen{Kind: "begins"})
 	n.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
@@ -78,7 +78,7 @@
 	n.mu.Lock()
 	if !n.dead {
 		n.dead = true
-		n.see(&record.Seen{Kind: "dies"})
+		n.recordSeen(&record.Seen{Kind: "dies"})
 	}
 	for c := range n.conns {
 		c.(*net.TCPConn).SetLinger(0)
@@ -101,7 +101,7 @@
 	return true
 }
 
-func (n *PlatformNode) see(s *record.Seen) {
+func (n *PlatformNode) recordSeen(s *record.Seen) {
 	s.AtUs, s.Node, s.Ver, s.Zone = time.Now().UnixMicro(), n.ID, int64(n.Ver), int64(n.Zone)
 	n.Record(s)
 }
@@ -141,27 +141,27 @@
 	limitMs, _ := strconv.ParseFloat(q.Header.Get("X-Expires-In-Ms"), 64)
 	number, _, _ := strings.Cut(id, "-")
 	marshal, _ := strconv.ParseInt(number, 10, 64)
-	see := func(kind, text string) {
-		n.see(&record.Seen{Kind: kind, Inv: id, Instance: marshal, LimitMs: limitMs, Text: text})
+	recordSeen := func(kind, text string) {
+		n.recordSeen(&record.Seen{Kind: kind, Inv: id, Instance: marshal, LimitMs: limitMs, Text: text})
 	}
-	see("got", "")
+	recordSeen("got", "")
 	reply, after := n.Reply()
 	if reply == Hung {
 		after = time.Hour
 	}
 	if !waitConnected(c, b, after) {
-		see("cut", "given up")
+		recordSeen("cut", "given up")
 		return false
 	}
-	end := func(kind, text string) { see(kind, text); c.Close() }
+	end := func(kind, text string) { recordSeen(kind, text); c.Close() }
 	body := "made for " + id
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch reply {
 	case Rejected:
-		see("away", "")
+		recordSeen("away", "")
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 	case Error:
-		see("done", "500")
+		recordSeen("done", "500")
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	case Reset:
 		c.(*net.TCPConn).SetLinger(0)
@@ -175,18 +175,18 @@
 		end("cut", "in the middle")
 		return false
 	case Malformed:
-		see("done", "spoilt")
+		recordSeen("done", "spoilt")
 		io.WriteString(c, "HTTP/1.1 2x0 OK\r\nContent-Length: -4\r\n\r\nnoise")
 		waitConnected(c, b, time.Second)
 		return false
 	case Duplicated:
-		see("done", "200")
+		recordSeen("done", "200")
 		io.WriteString(c, response)
 		if waitConnected(c, b, 3*time.Millisecond) {
 			io.WriteString(c, response)
 		}
 	default:
-		see("done", "200")
+		recordSeen("done", "200")
 		io.WriteString(c, response)
 	}
 	return true
