--- a/cmd/arrowcleat/soak.go
+++ b/cmd/arrowcleat/soak.go
@@ -72,10 +72,10 @@
 		Args:   noArgs,
 		RunE: func(*cobra.Command, []string) error {
 			var hooks serve.Hooks
-			if text := os.Getenv(soak.FaultSeed); text != "" {
+			if text := os.Getenv(soak.FaultSeedEnv); text != "" {
 				seed, err := strconv.ParseUint(text, 10, 64)
 				if err != nil {
-					return badInput{fmt.Errorf("%s: %w", soak.FaultSeed, err)}
+					return badInput{fmt.Errorf("%s: %w", soak.FaultSeedEnv, err)}
 				}
 				hooks = faults.NewMachine(seed).Hooks()
 			}
@@ -94,7 +94,7 @@
 	slots := make(chan struct{}, maxParallelRuns)
 	for i := range runs {
 		options := o
-		options.Plan = soak.Draw(seed + uint64(i))
+		options.Plan = soak.RandomPlan(seed + uint64(i))
 		options.Dir = filepath.Join(o.Dir, fmt.Sprint(options.Plan.Seed))
 		slots <- struct{}{}
 		wg.Go(func() {
@@ -126,7 +126,7 @@
 }
 
 // runSoak creates the folder of a run and executes the run.
-func runSoak(o soak.Options) (*soak.Outcome, error) {
+func runSoak(o soak.Options) (*soak.Result, error) {
 	if err := os.MkdirAll(o.Dir, 0o755); err != nil {
 		return nil, err
 	}
--- a/cmd/arrowcleat/standin.go
+++ b/cmd/arrowcleat/standin.go
@@ -92,19 +92,19 @@
 
 // runNode runs a stand-in node.
 func runNode(cfg *settings.Standin, w *record.Writer) error {
-	n := standin.FromSettings(cfg)
-	n.Seen = recordSeen(w)
+	n := standin.NewNode(cfg)
+	n.Record = recordSeen(w)
 	if err := n.Start(cfg.Address); err != nil {
 		return badInput{err}
 	}
 	fmt.Println(n.Address())
 	defer n.Kill()
-	return waitForStop(func() error { return n.Commands(os.Stdin) })
+	return waitForStop(func() error { return n.ReadCommands(os.Stdin) })
 }
 
 // runRegistry runs a stand-in service registry. Each line of standard input adds or changes a node.
 func runRegistry(cfg *settings.Standin, w *record.Writer) error {
-	r := &standin.Roster{Seen: recordSeen(w)}
+	r := &standin.Registry{Record: recordSeen(w)}
 	if err := r.Start(cfg.Address); err != nil {
 		return badInput{err}
 	}
@@ -118,7 +118,7 @@
 	}
 	fmt.Println(r.Address())
 	return waitForStop(func() error {
-		return standin.Lines(os.Stdin, func(text string) error {
+		return standin.ForEachLine(os.Stdin, func(text string) error {
 			line, err := control.ParseNode(text)
 			if err == nil {
 				r.Set(line, time.Duration(line.UptimeMs*float64(time.Millisecond)))
@@ -130,8 +130,8 @@
 
 // runRolloutService runs a stand-in rollout service. Each line of standard input offers a build.
 func runRolloutService(cfg *settings.Standin, w *record.Writer) error {
-	c := &standin.Conveyor{Rollout: cfg.Rollout, Every: 2 * time.Second, Seen: recordSeen(w),
-		Fleet: func(int, float64) func() bool { return func() bool { return true } }, Back: func(int) {}}
+	c := &standin.RolloutService{Rollout: cfg.Rollout, ResendInterval: 2 * time.Second, Record: recordSeen(w),
+		Deploy: func(int, float64) func() bool { return func() bool { return true } }, Undeploy: func(int) {}}
 	if cfg.Rollout == nil || len(cfg.Rollout.Stage) == 0 {
 		return badInput{errors.New("rollout.stage is missing: describe the stages")}
 	}
@@ -141,12 +141,12 @@
 	defer c.Close()
 	fmt.Println(c.Address())
 	return waitForStop(func() error {
-		err := standin.Lines(os.Stdin, func(text string) error {
+		err := standin.ForEachLine(os.Stdin, func(text string) error {
 			var ver int
 			if _, err := fmt.Sscanf(text, "offer %d", &ver); err != nil {
 				return fmt.Errorf("unknown command %.40q: want offer VER", text)
 			}
-			c.Offer(ver)
+			c.StartRollout(ver)
 			return nil
 		})
 		if ver, stage, phase, _ := c.State(); phase == balance.OnTrial {
--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -184,7 +184,7 @@
 		fmt.Fprintf(&b, "%s: %s\r\n", set.Headers.Mark, v.idempotencyKey)
 	}
 	if v.bad {
-		b.WriteString(standin.BadHeader + ": 1\r\n")
+		b.WriteString(standin.BadRequestHeader + ": 1\r\n")
 	}
 	if v.attempt > 1 && set.Headers.Retry != "" {
 		fmt.Fprintf(&b, "%s: %d\r\n", set.Headers.Retry, v.attempt)
@@ -327,7 +327,7 @@
 	if resp.Header.Get("X-Answer") == standin.WrongValue {
 		if node, err := strconv.ParseUint(resp.Header.Get("X-Node"), 10, 32); err == nil {
 			c.tb.after(500*time.Millisecond, func() {
-				c.tb.rollout.Flag(v.marshal, uint32(node), v.op, time.Since(start))
+				c.tb.rollout.SendWrongAnswer(v.marshal, uint32(node), v.op, time.Since(start))
 			})
 		}
 	}
--- a/internal/day/parts.go
+++ b/internal/day/parts.go
@@ -33,8 +33,8 @@
 		set.Record = filepath.Join(tb.Dir, fmt.Sprintf("node-%d-%d.seen", set.Node, set.Seed))
 		return tb.spawnStandin(fmt.Sprintf("node-%d-%d", set.Node, set.Seed), set, "standin", "node")
 	}
-	n := standin.FromSettings(set)
-	n.Seen = tb.record
+	n := standin.NewNode(set)
+	n.Record = tb.record
 	return n, n.Start("127.0.0.1:0")
 }
 
--- a/internal/day/trouble.go
+++ b/internal/day/trouble.go
@@ -168,14 +168,14 @@
 func rolloutServiceDown(tb *testbed, t *settings.Trouble, _ *rand.Rand) func() {
 	switch t.How {
 	case "errors":
-		tb.rollout.Trouble(false, true)
+		tb.rollout.SetFaults(false, true)
 	case "stale":
 		tb.setExtraDelay(&tb.extraRolloutDelay, time.Duration(t.Extra*float64(time.Second)))
 	default:
-		tb.rollout.Trouble(true, false)
+		tb.rollout.SetFaults(true, false)
 	}
 	return func() {
-		tb.rollout.Trouble(false, false)
+		tb.rollout.SetFaults(false, false)
 		tb.setExtraDelay(&tb.extraRolloutDelay, 0)
 	}
 }
--- a/internal/day/world.go
+++ b/internal/day/world.go
@@ -58,8 +58,8 @@
 	cancel    context.CancelFunc
 	tasks     tasks
 	startTime time.Time
-	registry  *standin.Roster
-	rollout   *standin.Conveyor
+	registry  *standin.Registry
+	rollout   *standin.RolloutService
 	marshals  []*testMarshal
 	clients   *clients
 	hooks     serve.Hooks
@@ -208,12 +208,12 @@
 // run starts everything and runs the scenario to its end.
 func (tb *testbed) run() error {
 	p := tb.Scenario
-	tb.registry = &standin.Roster{Lag: tb.delay(p.RosterLagMs, &tb.extraRegistryDelay), Seen: tb.record}
+	tb.registry = &standin.Registry{Delay: tb.delay(p.RosterLagMs, &tb.extraRegistryDelay), Record: tb.record}
 	if err := tb.registry.Start("127.0.0.1:0"); err != nil {
 		return err
 	}
-	tb.rollout = &standin.Conveyor{Rollout: p.Settings.Rollout, Lag: tb.delay(p.ConveyorLagMs, &tb.extraRolloutDelay),
-		Every: 2 * time.Second, Seen: tb.record, Fleet: tb.deployBuild, Back: tb.rollBackBuild}
+	tb.rollout = &standin.RolloutService{Rollout: p.Settings.Rollout, Delay: tb.delay(p.ConveyorLagMs, &tb.extraRolloutDelay),
+		ResendInterval: 2 * time.Second, Record: tb.record, Deploy: tb.deployBuild, Undeploy: tb.rollBackBuild}
 	if err := tb.rollout.Start("127.0.0.1:0", 1); err != nil {
 		return err
 	}
@@ -275,7 +275,7 @@
 		tb.builds[ver] = b
 		tb.after(seconds(b.AtS), func() {
 			tb.logEvent("build %d is offered (%s)", ver, describeBuild(b))
-			tb.rollout.Offer(ver)
+			tb.rollout.StartRollout(ver)
 		})
 		if b.Shared > 0 {
 			tb.goTask(func() { tb.slowAllNodes(ver, b.Shared) })
@@ -330,21 +330,21 @@
 		case <-time.After(time.Duration(period * float64(time.Millisecond))):
 		}
 		type scope struct{ ver, op int }
-		sums := map[scope]standin.Count{}
+		sums := map[scope]standin.OperationStats{}
 		tb.mu.Lock()
 		for _, s := range tb.slots {
 			if n, ok := s.node.(*standin.Node); ok {
-				for op, c := range n.Counts() {
+				for op, c := range n.TakeStats() {
 					k := scope{n.Ver, op}
 					sum := sums[k]
-					sum.Samples, sum.Errors, sum.Time = sum.Samples+c.Samples, sum.Errors+c.Errors, sum.Time+c.Time
+					sum.Samples, sum.Errors, sum.TotalMs = sum.Samples+c.Samples, sum.Errors+c.Errors, sum.TotalMs+c.TotalMs
 					sums[k] = sum
 				}
 			}
 		}
 		tb.mu.Unlock()
 		for k, c := range sums {
-			tb.rollout.Tally(k.ver, k.op, c, 0)
+			tb.rollout.SendBuildStats(k.ver, k.op, c, 0)
 		}
 	}
 }
@@ -409,7 +409,7 @@
 func (tb *testbed) rollBackBuild(ver int) {
 	to := 0
 	for v := range tb.rollout.Released {
-		if v != ver && !tb.rollout.Taken[v] {
+		if v != ver && !tb.rollout.RolledBack[v] {
 			to = max(to, v)
 		}
 	}
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -307,7 +307,7 @@
 	cmd      *exec.Cmd
 	stdin    io.Closer
 	address  string
-	registry *standin.Roster
+	registry *standin.Registry
 }
 
 func (o Options) spawn(args ...string) (*child, error) {
@@ -385,7 +385,7 @@
 }
 
 func startMarshal(o Options, n *nodeSet) (*child, error) {
-	r := &standin.Roster{}
+	r := &standin.Registry{}
 	if err := r.Start("127.0.0.1:0"); err != nil {
 		return nil, err
 	}
--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -18,32 +18,33 @@
 	"arrowcleat/internal/tcpstate"
 )
 
-// client asks one marshal on one connection after the other, as the platform's clients do.
+// client sends requests to one marshal, on one connection after the other, as the platform's clients do.
 type client struct {
-	m    *marshalRun
-	life *lifeRun
-	rnd  *rand.Rand
-	nc   net.Conn
-	in   *bufio.Reader
-	used bool   // an answer has come on the connection
-	last string // id of the request before
+	m        *marshalRun
+	process  *processRun
+	rnd      *rand.Rand
+	nc       net.Conn
+	in       *bufio.Reader
+	answered bool   // an answer has come on the connection
+	lastID   string // of the last request with an answer
 }
 
+// run sends requests until the load ends or the marshal accepts no more connections.
 func (c *client) run() {
-	defer c.drop()
-	for !c.life.over() {
-		if !c.ask() {
+	defer c.disconnect()
+	for !c.process.loadOver() {
+		if !c.sendRequest() {
 			return
 		}
-		c.life.wait(c.pause())
+		c.process.wait(c.drawPause())
 	}
 }
 
-// pause draws how long the client rests before its next request. Long ones, longer than a marshal goes on taking new connections
-// after TERM, have requests cross the end of connections that rest.
-func (c *client) pause() time.Duration {
+// drawPause draws the pause before the next request. Long pauses are longer than a marshal accepts new connections
+// after TERM, so that requests are sent while the marshal closes idle connections.
+func (c *client) drawPause() time.Duration {
 	switch {
-	case c.rnd.Float64() < c.m.run.plan.Rests:
+	case c.rnd.Float64() < c.m.run.plan.LongPauseShare:
 		return between(c.rnd, 450*time.Millisecond, 1200*time.Millisecond)
 	case c.rnd.IntN(30) == 0:
 		return between(c.rnd, 100*time.Millisecond, time.Second)
@@ -52,35 +53,38 @@
 	}
 }
 
-// connect opens a connection; false says that nobody takes it, or that no new one comes any more.
+// connect opens a connection. It returns false if the marshal does not accept it, or if clients open no more
+// connections.
 func (c *client) connect() bool {
-	if !c.life.mayConnect() {
+	if !c.process.mayConnect() {
 		return false
 	}
 	nc, err := net.Dial("tcp", c.m.address)
 	if err != nil {
 		return false
 	}
-	c.nc, c.in, c.used = nc, bufio.NewReader(nc), false
+	c.nc, c.in, c.answered = nc, bufio.NewReader(nc), false
 	return true
 }
 
-func (c *client) drop() {
+// disconnect closes the connection if there is one.
+func (c *client) disconnect() {
 	if c.nc != nil {
 		c.nc.Close()
 		c.nc = nil
 	}
 }
 
-// request is one that a client asks.
+// request is a request of a client.
 type request struct {
 	id    string
-	class int
+	class int // index in the plan's classes
 	limit time.Duration
-	text  string
+	text  string // as sent
 }
 
-func (c *client) draw() request {
+// drawRequest draws a request.
+func (c *client) drawRequest() request {
 	p := c.m.run.plan
 	r := request{class: c.rnd.IntN(len(p.Classes)), id: c.m.run.nextID(c.m.number)}
 	class := p.Classes[r.class]
@@ -97,205 +101,209 @@
 	return r
 }
 
-// send writes a request, some in two pieces with a while between them.
-func (c *client) send(text string) error {
-	if c.rnd.Float64() < c.m.run.plan.Pause {
+// write writes a request, in some cases in two pieces with a pause between them.
+func (c *client) write(text string) error {
+	if c.rnd.Float64() < c.m.run.plan.SplitShare {
 		cut := 1 + c.rnd.IntN(len(text)-1)
 		if _, err := io.WriteString(c.nc, text[:cut]); err != nil {
 			return err
 		}
-		c.life.wait(between(c.rnd, 0, 60*time.Millisecond))
+		c.process.wait(between(c.rnd, 0, 60*time.Millisecond))
 		text = text[cut:]
 	}
 	_, err := io.WriteString(c.nc, text)
 	return err
 }
 
-func (c *client) see(r request, kind, final, text string, at time.Time) {
-	c.m.run.see(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: r.id, Instance: int64(c.m.number), Op: int64(r.class),
+// record records an event of a request.
+func (c *client) record(r request, kind, final, text string, at time.Time) {
+	c.m.run.record(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: r.id, Instance: int64(c.m.number), Op: int64(r.class),
 		LimitMs: float64(r.limit) / float64(time.Millisecond), Final: final, Text: text})
 }
 
-// ask sends one request and reads what comes; false ends the client.
-func (c *client) ask() bool {
-	if c.nc != nil && c.unasked() {
-		c.drop()
+// sendRequest sends a request and reads its answer. It returns false if the client ends.
+func (c *client) sendRequest() bool {
+	if c.nc != nil && c.unexpectedBytes() {
+		c.disconnect()
 	}
 	if c.nc == nil && !c.connect() {
 		return false
 	}
-	r := c.draw()
-	if c.rnd.Float64() < c.m.run.plan.Half {
-		return c.half(r)
+	r := c.drawRequest()
+	if c.rnd.Float64() < c.m.run.plan.PartialShare {
+		return c.sendPartial(r)
 	}
-	for again := false; ; again = true {
-		c.life.asking.Add(1)
-		err := c.send(r.text)
-		asked := time.Now()
-		c.see(r, "asked", "", "", asked)
-		if err == nil && c.rnd.Float64() < c.m.run.plan.Leave && !again {
-			c.life.wait(time.Duration(c.rnd.Float64() * 0.3 * float64(r.limit)))
-			if c.life.killed.Load() {
-				c.life.asking.Add(-1)
+	for isRetry := false; ; isRetry = true {
+		c.process.openRequests.Add(1)
+		err := c.write(r.text)
+		sent := time.Now()
+		c.record(r, "asked", "", "", sent)
+		if err == nil && c.rnd.Float64() < c.m.run.plan.LeaveShare && !isRetry {
+			c.process.wait(time.Duration(c.rnd.Float64() * 0.3 * float64(r.limit)))
+			if c.process.killed.Load() {
+				c.process.openRequests.Add(-1)
 				return false
 			}
-			c.life.asking.Add(-1)
-			c.see(r, "left", "", "", time.Now())
+			c.process.openRequests.Add(-1)
+			c.record(r, "left", "", "", time.Now())
 			if t, ok := c.nc.(*net.TCPConn); ok && c.rnd.IntN(3) == 0 {
 				t.SetLinger(0)
 			}
-			c.drop()
+			c.disconnect()
 			return true
 		}
-		err = c.read(r, asked)
-		c.life.asking.Add(-1)
+		err = c.readAnswer(r, sent)
+		c.process.openRequests.Add(-1)
 		if err == nil {
 			return true
 		}
-		c.atKill(r, asked)
-		why := c.lost(err, again)
-		c.drop()
-		if why != "" {
+		c.checkUnansweredAtKill(r, sent)
+		reason := c.lostReason(err, isRetry)
+		c.disconnect()
+		if reason != "" {
 			kind := "broke"
 			if errors.Is(err, os.ErrDeadlineExceeded) {
 				kind = "silent"
 			}
-			c.see(r, kind, "", why, time.Now())
+			c.record(r, kind, "", reason, time.Now())
 			return true
 		}
-		c.see(r, "crossed", "", err.Error(), time.Now())
+		c.record(r, "crossed", "", err.Error(), time.Now())
 		if !c.connect() {
-			c.see(r, "refused", "", "", time.Now())
+			c.record(r, "refused", "", "", time.Now())
 			return false
 		}
 	}
 }
 
-// atKill checks a request without an answer against the kill that ended its process after TERM: trouble at nodes frees no request of its
-// final answer.
-func (c *client) atKill(r request, asked time.Time) {
-	killed := c.life.killAt.Load()
-	if killed == 0 {
+// checkUnansweredAtKill adds a finding if a request without an answer was sent too long before a kill that came after
+// TERM. Faults of nodes are no excuse: every request gets a final answer.
+func (c *client) checkUnansweredAtKill(r request, sent time.Time) {
+	killedAtNs := c.process.killedAtNs.Load()
+	if killedAtNs == 0 {
 		return
 	}
-	if out := time.Unix(0, killed).Sub(asked); out > answeredBefore {
-		c.m.run.fault("%s was asked %v before the kill that came after TERM, and had no answer", r.id, out.Round(time.Millisecond))
+	if unanswered := time.Unix(0, killedAtNs).Sub(sent); unanswered > maxUnansweredAtKill {
+		c.m.run.addFinding("%s was sent %v before the kill that came after TERM, and got no answer", r.id, unanswered.Round(time.Millisecond))
 	}
 }
 
-// resetWithin is how long a client waits for the reset that tells that its request was not read.
-const resetWithin = 700 * time.Millisecond
+// resetTimeout is the time that a client waits for the reset that shows that its request was not read.
+const resetTimeout = 700 * time.Millisecond
 
-// lost says why a request without an answer is lost; it is empty where it crossed the end of a connection that rested, and was not read:
-// then the client sends it once more.
-func (c *client) lost(err error, again bool) string {
-	if !c.used || again || errors.Is(err, os.ErrDeadlineExceeded) || c.life.killed.Load() {
+// lostReason returns why a request without an answer is lost. It returns an empty text if the marshal closed the idle
+// connection without reading the request, which the client then sends once more.
+func (c *client) lostReason(err error, isRetry bool) string {
+	if !c.answered || isRetry || errors.Is(err, os.ErrDeadlineExceeded) || c.process.killed.Load() {
 		return err.Error()
 	}
-	reset, stateErr := tcpstate.ResetWithin(c.nc, resetWithin)
+	reset, stateErr := tcpstate.ResetWithin(c.nc, resetTimeout)
 	switch {
 	case reset:
 		return ""
 	case stateErr != nil:
-		return fmt.Sprintf("%v; its state: %v", err, stateErr)
-	case c.life.killed.Load():
+		return fmt.Sprintf("%v; reading the connection's state: %v", err, stateErr)
+	case c.process.killed.Load():
 		return err.Error()
 	default:
-		return fmt.Sprintf("%v; it was read, and its connection closed without an answer", err)
+		return fmt.Sprintf("%v; the request was read, and its connection closed without an answer", err)
 	}
 }
 
-// errPart says that an answer came, but not whole.
-var errPart = errors.New("not a whole answer")
+// errTruncated is the error of an answer that began and did not arrive completely.
+var errTruncated = errors.New("answer truncated")
 
-// read reads an answer. The error is what ended the connection before it.
-func (c *client) read(r request, asked time.Time) error {
-	c.nc.SetReadDeadline(asked.Add(r.limit + answerSlack + seenLate))
+// readAnswer reads an answer and records it. It returns an error only if the connection ended before the answer began.
+func (c *client) readAnswer(r request, sent time.Time) error {
+	c.nc.SetReadDeadline(sent.Add(r.limit + answerSlack + maxRecordDelay))
 	if _, err := c.in.Peek(1); err != nil {
 		return err
 	}
-	q, err := http.ReadResponse(c.in, nil)
+	response, err := http.ReadResponse(c.in, nil)
 	var body []byte
 	if err == nil {
-		body, err = io.ReadAll(q.Body)
+		body, err = io.ReadAll(response.Body)
 	}
 	now := time.Now()
 	if err != nil {
-		c.see(r, "broke", "", errPart.Error()+": "+err.Error(), now)
-		c.drop()
+		c.record(r, "broke", "", errTruncated.Error()+": "+err.Error(), now)
+		c.disconnect()
 		return nil
 	}
-	final := q.Header.Get(front.AnswerHeader)
-	c.see(r, "answered", final, q.Status, now)
-	refused := q.StatusCode == http.StatusServiceUnavailable || q.StatusCode == http.StatusTooManyRequests
-	if (q.StatusCode == http.StatusOK) != (final == front.Succeeded) || final == front.Throttled && !refused || refused && final == front.Terminated ||
+	final := response.Header.Get(front.AnswerHeader)
+	c.record(r, "answered", final, response.Status, now)
+	rejected := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
+	if (response.StatusCode == http.StatusOK) != (final == front.Succeeded) || final == front.Throttled && !rejected || rejected && final == front.Terminated ||
 		final == front.Succeeded && string(body) != "made for "+r.id {
-		c.see(r, "mixed", final, fmt.Sprintf("%d %.40q", q.StatusCode, body), now)
+		c.record(r, "mixed", final, fmt.Sprintf("%d %.40q", response.StatusCode, body), now)
 	}
-	c.used, c.last = true, r.id
-	if q.Close {
-		c.drop()
+	c.answered, c.lastID = true, r.id
+	if response.Close {
+		c.disconnect()
 	}
 	return nil
 }
 
-// unasked says that something came on the connection behind the last answer; its mere end is none of that.
-func (c *client) unasked() bool {
+// unexpectedBytes reports and records bytes after the last answer on the connection. The end of the connection alone
+// does not count.
+func (c *client) unexpectedBytes() bool {
 	if c.in.Buffered() == 0 {
 		return false
 	}
 	b, _ := c.in.Peek(min(c.in.Buffered(), 40))
-	c.see(request{id: c.last}, "extra", "", fmt.Sprintf("%q", b), time.Now())
+	c.record(request{id: c.lastID}, "extra", "", fmt.Sprintf("%q", b), time.Now())
 	return true
 }
 
-// half sends part of a request and stays: an error or a close is due.
-func (c *client) half(r request) bool {
-	c.drop()
+// sendPartial sends a part of a request on a new connection, and expects an error or a close. It returns false if the
+// client ends.
+func (c *client) sendPartial(r request) bool {
+	c.disconnect()
 	if !c.connect() {
 		return false
 	}
 	io.WriteString(c.nc, r.text[:1+c.rnd.IntN(len(r.text)-2)])
-	c.life.stranger(c.nc, "half a request")
+	c.process.expectRejection(c.nc, "a client that sends a part of a request")
 	c.nc = nil
 	return true
 }
 
-// stranger waits for what a connection is owed that says nothing, or half.
-func (l *lifeRun) stranger(nc net.Conn, what string) {
-	l.strangers.Add(1)
+// expectRejection waits for an error or a close on a connection without a whole request, and adds a finding if there is
+// none in time.
+func (r *processRun) expectRejection(nc net.Conn, what string) {
+	r.incompleteConns.Add(1)
 	defer func() {
 		nc.Close()
-		l.strangers.Add(-1)
+		r.incompleteConns.Add(-1)
 	}()
-	due := time.Now().Add(strangerTime)
-	nc.SetReadDeadline(due.Add(pauseMost + seenLate))
+	deadline := time.Now().Add(incompleteTimeout)
+	nc.SetReadDeadline(deadline.Add(maxPause + maxRecordDelay))
 	b := make([]byte, len("HTTP/1.1 4"))
 	n, err := io.ReadFull(nc, b) // it may come in pieces
-	if errors.Is(err, os.ErrDeadlineExceeded) && !l.killed.Load() {
-		l.m.run.fault("%s: neither an error nor a close within %v", what, strangerTime)
+	if errors.Is(err, os.ErrDeadlineExceeded) && !r.killed.Load() {
+		r.m.run.addFinding("%s: neither an error nor a close within %v", what, incompleteTimeout)
 	}
 	if n > 0 && !strings.HasPrefix(string(b[:n]), "HTTP/1.1 4") && !strings.HasPrefix(string(b[:n]), "HTTP/1.1 5") {
-		l.m.run.fault("%s: got %q", what, b[:n])
+		r.m.run.addFinding("%s: got %q", what, b[:n])
 	}
 }
 
-// crowd opens many connections at once; some ask, the others say nothing.
-func (l *lifeRun) crowd(rnd *rand.Rand) {
-	p := l.m.run.plan
-	for i := range p.Crowd {
+// burst opens many connections at once. BurstRequests of them send a request, the others nothing.
+func (r *processRun) burst(rnd *rand.Rand) {
+	p := r.m.run.plan
+	for i := range p.BurstConns {
 		seed := rnd.Uint64()
-		l.clients.Go(func() {
-			c := &client{m: l.m, life: l, rnd: rand.New(rand.NewPCG(seed, 1))}
+		r.clients.Go(func() {
+			c := &client{m: r.m, process: r, rnd: rand.New(rand.NewPCG(seed, 1))}
 			if !c.connect() {
 				return
 			}
-			if i < p.Asking {
-				defer c.drop()
-				c.ask()
+			if i < p.BurstRequests {
+				defer c.disconnect()
+				c.sendRequest()
 				return
 			}
-			l.stranger(c.nc, "a client that says nothing")
+			r.expectRejection(c.nc, "a client that sends nothing")
 		})
 	}
 }
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -9,31 +9,31 @@
 	"arrowcleat/internal/standin"
 )
 
-// Event is something that happens to nodes, lists or builds.
+// Event is a change of the nodes, their list or the builds.
 type Event int
 
 // The events.
 const (
-	Drain   Event = iota // a node drains, and then goes
-	Die                  // a node is killed; the list says so late
-	Grow                 // another node is listed
-	Silence              // the agents write nothing for a while
-	Advance              // the newest build goes on, or back, or another comes
+	DrainNode     Event = iota // a node drains and is then killed
+	KillNode                   // a node is killed; the list changes later
+	AddNode                    // another node is started and listed
+	SilenceAgents              // the agents write nothing for a while
+	ChangeRelease              // the newest build advances or is rolled back, or another build goes on trial
 )
 
-// playEvents has things happen to nodes, lists and builds until it is told to end.
-func (w *world) playEvents() (end func()) {
+// startEvents starts to play events, until the returned function is called.
+func (tb *testbed) startEvents() (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
-	rnd := rand.New(rand.NewPCG(w.run.plan.Seed, 4))
-	events := map[Event]func(*rand.Rand, <-chan struct{}){Drain: w.drain, Die: w.die, Grow: w.grow, Silence: w.silence, Advance: w.advance}
-	kinds := w.run.plan.Kinds
+	rnd := rand.New(rand.NewPCG(tb.run.plan.Seed, 4))
+	events := map[Event]func(*rand.Rand, <-chan struct{}){DrainNode: tb.drainNode, KillNode: tb.killNode, AddNode: tb.addNode, SilenceAgents: tb.silenceAgents, ChangeRelease: tb.changeRelease}
+	kinds := tb.run.plan.EventKinds
 	wg.Go(func() {
 		for {
 			select {
 			case <-done:
 				return
-			case <-time.After(between(rnd, w.run.plan.Events/2, 2*w.run.plan.Events)):
+			case <-time.After(between(rnd, tb.run.plan.EventInterval/2, 2*tb.run.plan.EventInterval)):
 			}
 			event, seed := events[kinds[rnd.IntN(len(kinds))]], rnd.Uint64()
 			wg.Go(func() { event(rand.New(rand.NewPCG(seed, 5)), done) })
@@ -42,35 +42,36 @@
 	return func() { close(done); wg.Wait() }
 }
 
-// serving gives one of the nodes that serve, if enough are left without it.
-func (w *world) serving(rnd *rand.Rand) (h standin.Host, ok bool) {
-	const least = 3
-	var all []standin.Host
-	for i := 1; i <= w.next; i++ { // in an order that the seed gives
-		for _, h := range w.hosts {
-			if int(h.Number) == i && h.Health == standin.InService {
-				all = append(all, h)
+// drawServing draws one of the serving nodes, if enough are left without it.
+func (tb *testbed) drawServing(rnd *rand.Rand) (h standin.Host, ok bool) {
+	const minServing = 3 // that are left
+	var serving []standin.Host
+	for i := 1; i <= tb.lastNode; i++ { // in the order of the numbers, so that the seed determines the draw
+		for _, h := range tb.hosts {
+			if int(h.NodeID) == i && h.Health == standin.InService {
+				serving = append(serving, h)
 			}
 		}
 	}
-	if len(all) <= least {
+	if len(serving) <= minServing {
 		return h, false
 	}
-	return all[rnd.IntN(len(all))], true
+	return serving[rnd.IntN(len(serving))], true
 }
 
-// take changes the health of a node that serves.
-func (w *world) take(rnd *rand.Rand, health string) (h standin.Host, n *standin.PlatformNode, ok bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if h, ok = w.serving(rnd); !ok {
+// changeHealth draws a serving node and changes its health in the list.
+func (tb *testbed) changeHealth(rnd *rand.Rand, health string) (h standin.Host, n *standin.PlatformNode, ok bool) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	if h, ok = tb.drawServing(rnd); !ok {
 		return h, nil, false
 	}
 	h.Health = health
-	w.set(h)
-	return h, w.nodes[h.Name], true
+	tb.publish(h)
+	return h, tb.nodes[h.Name], true
 }
 
+// sleep waits for a time, or until the events end.
 func sleep(d time.Duration, done <-chan struct{}) {
 	select {
 	case <-time.After(d):
@@ -78,81 +79,82 @@
 	}
 }
 
-// drain has a node drain, and then go.
-func (w *world) drain(rnd *rand.Rand, done <-chan struct{}) {
-	h, n, ok := w.take(rnd, standin.Terminating)
+// drainNode lists a node as terminating, later as terminated, and then kills it.
+func (tb *testbed) drainNode(rnd *rand.Rand, done <-chan struct{}) {
+	h, n, ok := tb.changeHealth(rnd, standin.Terminating)
 	if !ok {
 		return
 	}
-	sleep(w.run.plan.Grace+between(rnd, 0, 800*time.Millisecond), done)
-	w.mu.Lock()
+	sleep(tb.run.plan.DrainGrace+between(rnd, 0, 800*time.Millisecond), done)
+	tb.mu.Lock()
 	h.Health = standin.Terminated
-	w.set(h)
-	w.mu.Unlock()
+	tb.publish(h)
+	tb.mu.Unlock()
 	sleep(between(rnd, 0, 200*time.Millisecond), done)
 	n.Kill()
 }
 
-// die kills a node; the list says so late.
-func (w *world) die(rnd *rand.Rand, done <-chan struct{}) {
-	w.mu.Lock()
-	h, ok := w.serving(rnd)
-	n := w.nodes[h.Name]
-	w.mu.Unlock()
+// killNode kills a node and lists it as terminated later.
+func (tb *testbed) killNode(rnd *rand.Rand, done <-chan struct{}) {
+	tb.mu.Lock()
+	h, ok := tb.drawServing(rnd)
+	n := tb.nodes[h.Name]
+	tb.mu.Unlock()
 	if !ok {
 		return
 	}
 	n.Kill()
 	sleep(between(rnd, 0, 500*time.Millisecond), done)
-	w.mu.Lock()
-	defer w.mu.Unlock()
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
 	h.Health = standin.Terminated
-	w.set(h)
+	tb.publish(h)
 }
 
-// grow lists another node, of the newest build or of the first.
-func (w *world) grow(rnd *rand.Rand, _ <-chan struct{}) {
+// addNode starts another node, of the newest build or of the first, and lists it.
+func (tb *testbed) addNode(rnd *rand.Rand, _ <-chan struct{}) {
 	build := firstBuild
 	if rnd.IntN(2) == 0 {
-		build = w.release().Build
+		build = tb.release().Build
 	}
-	if err := w.add(build); err != nil {
-		w.run.fault("another node: %v", err)
+	if err := tb.startNode(build); err != nil {
+		tb.run.addFinding("starting another node: %v", err)
 	}
 }
 
-// silence has the agents write nothing for a while.
-func (w *world) silence(rnd *rand.Rand, done <-chan struct{}) {
-	w.mu.Lock()
-	agents := append([]*standin.Agent{}, w.all...)
-	w.mu.Unlock()
+// silenceAgents has the agents write nothing for a while.
+func (tb *testbed) silenceAgents(rnd *rand.Rand, done <-chan struct{}) {
+	tb.mu.Lock()
+	agents := append([]*standin.DiscoveryAgent{}, tb.agents...)
+	tb.mu.Unlock()
 	for _, a := range agents {
-		a.Silence(true)
+		a.SetSilent(true)
 	}
 	sleep(between(rnd, 200*time.Millisecond, 4*time.Second), done)
 	for _, a := range agents {
-		a.Silence(false)
+		a.SetSilent(false)
 	}
 }
 
-// advance brings the newest build on, back, or another one: its nodes are listed before or after the news.
-func (w *world) advance(rnd *rand.Rand, _ <-chan struct{}) {
-	s, caps := w.release(), w.run.plan.Caps
+// changeRelease advances the newest build, rolls it back, or puts another build on trial. The nodes of another build
+// are listed before its release is published; marshals may see them in either order.
+func (tb *testbed) changeRelease(rnd *rand.Rand, _ <-chan struct{}) {
+	release, caps := tb.release(), tb.run.plan.Caps
 	switch {
-	case s.Phase != balance.OnTrial:
-		s = standin.Release{Build: s.Build + 1, Phase: balance.OnTrial, Cap: caps[0]}
+	case release.Phase != balance.OnTrial:
+		release = standin.Release{Build: release.Build + 1, Phase: balance.OnTrial, Cap: caps[0]}
 		for range 2 {
-			if err := w.add(s.Build); err != nil {
-				w.run.fault("a node of another build: %v", err)
+			if err := tb.startNode(release.Build); err != nil {
+				tb.run.addFinding("starting a node of another build: %v", err)
 			}
 		}
 	case rnd.IntN(3) == 0:
-		s.Phase, s.Cap = balance.RollingBack, 0
-	case s.Stage+1 < len(caps):
-		s.Stage++
-		s.Cap = caps[s.Stage]
+		release.Phase, release.Cap = balance.RollingBack, 0
+	case release.Stage+1 < len(caps):
+		release.Stage++
+		release.Cap = caps[release.Stage]
 	default:
-		s.Phase, s.Cap = balance.Released, 1
+		release.Phase, release.Cap = balance.Released, 1
 	}
-	w.rollout(s)
+	tb.publishRelease(release)
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -19,178 +19,182 @@
 	"arrowcleat/internal/standin"
 )
 
-// seenLate is how much later than it happened something may be seen here, as the auditor allows.
-const seenLate = 100 * time.Millisecond
+// maxRecordDelay is the longest time between an event and its record entry; the audit allows as much.
+const maxRecordDelay = 100 * time.Millisecond
 
-// Options are how a run is played.
+// Options says how to play a run.
 type Options struct {
 	Plan    *Plan
 	Program []string // the marshal's program and its arguments
-	Env     []string // beside the test's own
+	Env     []string // added to the environment of this process
 	Dir     string   // for logs and configurations
 }
 
-// Outcome is what a run found.
-type Outcome struct {
+// Result holds what a run found.
+type Result struct {
 	*audit.Report
-	Seed   uint64
-	Faults []string      // what the audit does not see: starts, ends, what is left over, strangers
-	HeldUp time.Duration // the longest that this process itself was
+	Seed               uint64
+	Findings           []string      // beside the audit's: failed starts and ends, leaks, clients that send no whole request
+	MaxSchedulingDelay time.Duration // of this process
 }
 
-// Clean says that nothing was found.
-func (o *Outcome) Clean() bool { return o.Report.Clean() && len(o.Faults) == 0 }
+// Clean reports whether nothing was found.
+func (r *Result) Clean() bool { return r.Report.Clean() && len(r.Findings) == 0 }
 
 // Print writes a line for the run, and one for each finding.
-func (o *Outcome) Print(out io.Writer) {
-	fmt.Fprintf(out, "seed %d: %d taken, %d succeeded, %d throttled, %d terminated, %d left, %d not taken; %d unanswered, broken %v, held up %v\n",
-		o.Seed, o.Invocations, o.Succeeded, o.Throttled, o.Terminated, o.ClientsLeft, o.NotAccepted, o.Unanswered, o.RulesBroken, o.HeldUp.Round(time.Millisecond))
-	for _, text := range append(append([]string{}, o.Faults...), o.Examples...) {
+func (r *Result) Print(out io.Writer) {
+	fmt.Fprintf(out, "seed %d: %d taken, %d succeeded, %d throttled, %d terminated, %d left, %d not taken; %d unanswered, broken %v, scheduling delay %v\n",
+		r.Seed, r.Invocations, r.Succeeded, r.Throttled, r.Terminated, r.ClientsLeft, r.NotAccepted, r.Unanswered, r.RulesBroken, r.MaxSchedulingDelay.Round(time.Millisecond))
+	for _, text := range append(append([]string{}, r.Findings...), r.Examples...) {
 		fmt.Fprintln(out, "  "+text)
 	}
 }
 
-// bounds are the platform's, from its protocol page.
+// bounds are the bounds of the platform's protocol.
 var bounds = audit.Bounds{LowerCapGraceMs: 150, ExtraAttempts: 2, ExtraAttemptsShare: 0.04, TimeLimitSlackMs: 150, ClientGoneGraceMs: 100, StopGraceMs: 700, ResendOnClose: true}
 
-// run is one run.
+// run is the state of a run.
 type run struct {
-	plan   *Plan
-	dir    string
-	opts   Options
-	quoted []string // the marshals' datagram addresses, as JSON
-	all    string
-	world  *world
-
-	ids    atomic.Int64
-	mu     sync.Mutex
-	seen   []*record.Seen
-	faults []string
+	plan            *Plan
+	dir             string
+	opts            Options
+	quotedPeers     []string // the marshals' addresses for peer messages, as JSON
+	unreachablePeer string   // the address for messages to all peers; nobody receives what is sent there
+	testbed         *testbed
+
+	ids      atomic.Int64
+	mu       sync.Mutex
+	entries  []*record.Seen // what passed on the sockets
+	findings []string
 }
 
-func (r *run) see(s *record.Seen) {
+func (r *run) record(s *record.Seen) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.seen = append(r.seen, s)
+	r.entries = append(r.entries, s)
 }
 
-func (r *run) fault(format string, args ...any) {
+func (r *run) addFinding(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.faults = append(r.faults, fmt.Sprintf(format, args...))
+	r.findings = append(r.findings, fmt.Sprintf(format, args...))
 }
 
 func (r *run) nextID(marshal int) string {
 	return fmt.Sprintf("%d-%d-%d", marshal, r.plan.Seed, r.ids.Add(1))
 }
 
-// Run plays a plan and audits it.
-func Run(o Options) (*Outcome, error) {
+// Run plays a plan and audits what passed.
+func Run(o Options) (*Result, error) {
 	p := o.Plan
 	r := &run{plan: p, dir: o.Dir, opts: o}
-	heldUp := schedlag.Watch()
+	schedulingDelay := schedlag.Watch()
 	var err error
-	if r.world, err = newWorld(r); err != nil {
+	if r.testbed, err = newTestbed(r); err != nil {
 		return nil, err
 	}
-	marshals, err := r.newMarshals()
+	marshals, err := r.prepareMarshals()
 	if err != nil {
 		return nil, err
 	}
-	stopEvents := r.world.playEvents()
+	stopEvents := r.testbed.startEvents()
 	var wg sync.WaitGroup
 	for _, m := range marshals {
-		wg.Go(m.live)
+		wg.Go(m.playAll)
 	}
 	wg.Wait()
 	stopEvents()
 	for _, m := range marshals {
 		m.close()
 	}
-	r.world.close()
-	outcome := &Outcome{Report: audit.CheckWithBounds(p.settings(), bounds, r.seen), Seed: p.Seed, Faults: r.faults, HeldUp: heldUp()}
-	return outcome, r.writeSeen()
+	r.testbed.close()
+	result := &Result{Report: audit.CheckWithBounds(p.settings(), bounds, r.entries), Seed: p.Seed, Findings: r.findings, MaxSchedulingDelay: schedulingDelay()}
+	return result, r.writeEntries()
 }
 
-// writeSeen keeps what passed on the sockets, a line each, beside the marshals' logs.
-func (r *run) writeSeen() error {
+// writeEntries writes what passed on the sockets to a file beside the marshals' logs, an entry per line.
+func (r *run) writeEntries() error {
 	var b bytes.Buffer
-	for _, s := range r.seen { // the auditor has sorted them
+	for _, s := range r.entries { // the audit has sorted them
 		fmt.Fprintf(&b, "%s %s\n", time.UnixMicro(s.AtUs).UTC().Format("15:04:05.000000"), s)
 	}
 	return os.WriteFile(filepath.Join(r.dir, "seen.txt"), b.Bytes(), 0o644)
 }
 
-// marshalRun is one marshal over its lives, each at the same address.
+// marshalRun is one marshal with its processes, which run one after the other at the same address.
 type marshalRun struct {
-	run       *run
-	number    int
-	rnd       *rand.Rand
-	own       *loopback.Reservation
-	address   string
-	datagrams string
-	config    string // file
-	agent     *standin.Agent
-	api       *standin.ReleaseAPI
-	// Where the marshal reaches them: at a proxy, in some runs.
+	run         *run
+	number      int
+	rnd         *rand.Rand
+	reservation *loopback.Reservation
+	address     string
+	peerAddress string
+	configFile  string
+	agent       *standin.DiscoveryAgent
+	api         *standin.ReleaseAPI
+	// The addresses at which the marshal reaches agent and api; those of proxies in some runs.
 	agentAddress, apiAddress string
-	old                      []interface{ Close() }
+	retired                  []interface{ Close() } // earlier agents and release APIs
 }
 
-func (r *run) newMarshals() (all []*marshalRun, err error) {
+// prepareMarshals reserves the addresses of all marshals and then starts their services.
+func (r *run) prepareMarshals() (all []*marshalRun, err error) {
 	for i := range r.plan.Marshals {
 		m := &marshalRun{run: r, number: i, rnd: rand.New(rand.NewPCG(r.plan.Seed, uint64(10+i))),
-			config: filepath.Join(r.dir, fmt.Sprintf("config-%d.json", i))}
-		if m.own, err = loopback.Reserve(); err != nil {
+			configFile: filepath.Join(r.dir, fmt.Sprintf("config-%d.json", i))}
+		if m.reservation, err = loopback.Reserve(); err != nil {
 			return nil, err
 		}
-		m.address, m.datagrams = m.own.Address(loopback.RequestPort), m.own.Address(loopback.DatagramPort)
-		r.all = m.own.BlackholeAddress()
-		r.quoted = append(r.quoted, strconv.Quote(m.datagrams))
+		m.address, m.peerAddress = m.reservation.Address(loopback.RequestPort), m.reservation.Address(loopback.DatagramPort)
+		r.unreachablePeer = m.reservation.BlackholeAddress()
+		r.quotedPeers = append(r.quotedPeers, strconv.Quote(m.peerAddress))
 		all = append(all, m)
 	}
 	for _, m := range all {
-		if err := m.move(); err != nil {
+		if err := m.renewServices(); err != nil {
 			return nil, err
 		}
 	}
 	return all, nil
 }
 
-// move gives the marshal a new agent and release API and writes the configuration that names them; the old ones retire.
-func (m *marshalRun) move() error {
-	before, beforeAPI := m.agent, m.api
-	agent, api, err := m.run.world.surroundings(m)
+// renewServices gives the marshal a new agent and release API, and writes the configuration with their addresses. The
+// earlier ones retire.
+func (m *marshalRun) renewServices() error {
+	oldAgent, oldAPI := m.agent, m.api
+	agent, api, err := m.run.testbed.startServices(m)
 	if err != nil {
 		return err
 	}
 	m.agent, m.api = agent, api
-	if before != nil {
-		before.Retire(retireAfter)
-		beforeAPI.Retire(retireAfter)
-		m.old = append(m.old, before, beforeAPI)
+	if oldAgent != nil {
+		oldAgent.Retire(retireAfter)
+		oldAPI.Retire(retireAfter)
+		m.retired = append(m.retired, oldAgent, oldAPI)
 	}
-	text := m.run.plan.configuration(m, m.run.world.release(), m.agent.List())
-	return os.WriteFile(m.config, []byte(text), 0o644)
+	text := m.run.plan.configuration(m, m.run.testbed.release(), m.agent.List())
+	return os.WriteFile(m.configFile, []byte(text), 0o644)
 }
 
 func (m *marshalRun) close() {
-	m.own.Release()
+	m.reservation.Release()
 	m.agent.Close()
 	m.api.Close()
-	for _, o := range m.old {
-		o.Close()
+	for _, service := range m.retired {
+		service.Close()
 	}
 }
 
-func (m *marshalRun) see(kind string) {
-	m.run.see(&record.Seen{Kind: kind, AtUs: time.Now().UnixMicro(), Instance: int64(m.number)})
+// record records an event of the marshal's process.
+func (m *marshalRun) record(kind string) {
+	m.run.record(&record.Seen{Kind: kind, AtUs: time.Now().UnixMicro(), Instance: int64(m.number)})
 }
 
-func (m *marshalRun) live() {
-	for i, l := range m.run.plan.Lives[m.number] {
-		if err := m.play(i, l); err != nil {
-			m.run.fault("marshal %d, life %d (%s): %v", m.number, i, l.End, err)
+// playAll plays the marshal's processes one after the other.
+func (m *marshalRun) playAll() {
+	for i, p := range m.run.plan.Processes[m.number] {
+		if err := m.play(i, p); err != nil {
+			m.run.addFinding("marshal %d, process %d (%s): %v", m.number, i, p.End, err)
 		}
 	}
 }
--- a/internal/standin/platformnode.go
+++ b/internal/standin/platformnode.go
@@ -14,32 +14,32 @@
 	"arrowcleat/internal/record"
 )
 
-// Reply is how a PlatformNode deals with one request.
+// Reply is how a PlatformNode answers one request.
 type Reply int
 
-// The replies. All but Served and TurnedAway are troubles; all but TurnedAway may have run.
+// The replies. All but Served and Rejected are faults; after all but Rejected the request may have run.
 const (
-	Served     Reply = iota // 200 after a while
-	TurnedAway              // 503 with the word that nothing ran
+	Served     Reply = iota // 200
+	Rejected                // 503, with the header field that says that nothing ran
 	Error                   // 500
-	Hung                    // nothing, until the other side gives up
+	Hung                    // no answer until the other side closes the connection
 	Reset                   // the connection is reset
-	Closed                  // the connection ends without an answer
-	Cut                     // it ends in the middle of the answer
-	Spoilt                  // what comes is no HTTP
-	Twice                   // the answer, and some ms later the same again
+	Closed                  // the connection is closed without an answer
+	Truncated               // the connection is closed in the middle of the answer
+	Malformed               // the answer is not valid HTTP
+	Duplicated              // 200, and some ms later the same answer again
 )
 
-// PlatformNode is a stand-in node on the operators' platform's protocol, over plain sockets: it answers as it is told to, request by
-// request, and writes down what reached it.
+// PlatformNode is a stand-in node with the operators' platform's protocol, over plain sockets. Its Reply function
+// decides the answer to each request, and it records what reaches it.
 type PlatformNode struct {
-	ID   uint32
-	Ver  int
-	Zone int
-	Idle time.Duration // after which a connection without a request is closed; 0 for never
-	// Reply says how a request is dealt with, and after how long.
-	Reply func() (Reply, time.Duration)
-	Seen  func(*record.Seen)
+	ID          uint32
+	Ver         int
+	Zone        int
+	IdleTimeout time.Duration // after which a connection without a request is closed; 0 for never
+	// Reply returns how a request is answered, and after which time.
+	Reply  func() (Reply, time.Duration)
+	Record func(*record.Seen)
 
 	ln    net.Listener
 	wg    sync.WaitGroup
@@ -55,14 +55,14 @@
 		return fmt.Errorf("node %d: %w", n.ID, err)
 	}
 	n.ln, n.conns = ln, map[net.Conn]bool{}
-	n.see(&record.Seen{Kind: "begins"})
+	n.recordSeen(&record.Seen{Kind: "begins"})
 	n.wg.Go(func() {
 		for {
 			c, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			if n.keep(c) {
+			if n.add(c) {
 				n.wg.Go(func() { n.serve(c) })
 			}
 		}
@@ -70,15 +70,15 @@
 	return nil
 }
 
-// Address is where it listens.
+// Address returns the address that the node listens at.
 func (n *PlatformNode) Address() string { return n.ln.Addr().String() }
 
-// Kill ends it like a killed process: its connections are reset, new ones refused.
+// Kill ends the node like a killed process: its connections are reset and new ones refused.
 func (n *PlatformNode) Kill() {
 	n.mu.Lock()
 	if !n.dead {
 		n.dead = true
-		n.see(&record.Seen{Kind: "dies"})
+		n.recordSeen(&record.Seen{Kind: "dies"})
 	}
 	for c := range n.conns {
 		c.(*net.TCPConn).SetLinger(0)
@@ -89,7 +89,8 @@
 	n.wg.Wait()
 }
 
-func (n *PlatformNode) keep(c net.Conn) bool {
+// add registers a connection; it closes it and returns false if the node has been killed.
+func (n *PlatformNode) add(c net.Conn) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.dead {
@@ -100,9 +101,9 @@
 	return true
 }
 
-func (n *PlatformNode) see(s *record.Seen) {
+func (n *PlatformNode) recordSeen(s *record.Seen) {
 	s.AtUs, s.Node, s.Ver, s.Zone = time.Now().UnixMicro(), n.ID, int64(n.Ver), int64(n.Zone)
-	n.Seen(s)
+	n.Record(s)
 }
 
 func (n *PlatformNode) serve(c net.Conn) {
@@ -114,8 +115,8 @@
 	}()
 	b := bufio.NewReader(c)
 	for {
-		if n.Idle > 0 {
-			c.SetReadDeadline(time.Now().Add(n.Idle))
+		if n.IdleTimeout > 0 {
+			c.SetReadDeadline(time.Now().Add(n.IdleTimeout))
 		}
 		if _, err := b.Peek(1); err != nil {
 			return
@@ -126,7 +127,7 @@
 			return
 		}
 		if _, err := io.Copy(io.Discard, q.Body); err != nil {
-			return // not whole: it never began
+			return // the request is truncated, so it does not begin
 		}
 		if !n.answer(c, b, q) {
 			return
@@ -134,33 +135,33 @@
 	}
 }
 
-// answer deals with one request; false ends the connection.
+// answer answers one request; it returns false if the connection ends.
 func (n *PlatformNode) answer(c net.Conn, b *bufio.Reader, q *http.Request) (keep bool) {
 	id := q.Header.Get("X-Trace-Id")
-	told, _ := strconv.ParseFloat(q.Header.Get("X-Expires-In-Ms"), 64)
-	instance, _, _ := strings.Cut(id, "-")
-	from, _ := strconv.ParseInt(instance, 10, 64)
-	see := func(kind, text string) {
-		n.see(&record.Seen{Kind: kind, Inv: id, Instance: from, LimitMs: told, Text: text})
+	limitMs, _ := strconv.ParseFloat(q.Header.Get("X-Expires-In-Ms"), 64)
+	number, _, _ := strings.Cut(id, "-")
+	marshal, _ := strconv.ParseInt(number, 10, 64)
+	recordSeen := func(kind, text string) {
+		n.recordSeen(&record.Seen{Kind: kind, Inv: id, Instance: marshal, LimitMs: limitMs, Text: text})
 	}
-	see("got", "")
+	recordSeen("got", "")
 	reply, after := n.Reply()
 	if reply == Hung {
 		after = time.Hour
 	}
-	if !waits(c, b, after) {
-		see("cut", "given up")
+	if !waitConnected(c, b, after) {
+		recordSeen("cut", "given up")
 		return false
 	}
-	end := func(kind, text string) { see(kind, text); c.Close() }
-	text := "made for " + id
-	whole := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
+	end := func(kind, text string) { recordSeen(kind, text); c.Close() }
+	body := "made for " + id
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
 	switch reply {
-	case TurnedAway:
-		see("away", "")
+	case Rejected:
+		recordSeen("away", "")
 		io.WriteString(c, "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
 	case Error:
-		see("done", "500")
+		recordSeen("done", "500")
 		io.WriteString(c, "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n")
 	case Reset:
 		c.(*net.TCPConn).SetLinger(0)
@@ -169,30 +170,31 @@
 	case Closed:
 		end("cut", "closed")
 		return false
-	case Cut:
-		io.WriteString(c, whole[:len(whole)-3])
+	case Truncated:
+		io.WriteString(c, response[:len(response)-3])
 		end("cut", "in the middle")
 		return false
-	case Spoilt:
-		see("done", "spoilt")
+	case Malformed:
+		recordSeen("done", "spoilt")
 		io.WriteString(c, "HTTP/1.1 2x0 OK\r\nContent-Length: -4\r\n\r\nnoise")
-		waits(c, b, time.Second)
+		waitConnected(c, b, time.Second)
 		return false
-	case Twice:
-		see("done", "200")
-		io.WriteString(c, whole)
-		if waits(c, b, 3*time.Millisecond) {
-			io.WriteString(c, whole)
+	case Duplicated:
+		recordSeen("done", "200")
+		io.WriteString(c, response)
+		if waitConnected(c, b, 3*time.Millisecond) {
+			io.WriteString(c, response)
 		}
 	default:
-		see("done", "200")
-		io.WriteString(c, whole)
+		recordSeen("done", "200")
+		io.WriteString(c, response)
 	}
 	return true
 }
 
-// waits lets time pass, and says whether the other side is still there.
-func waits(c net.Conn, b *bufio.Reader, d time.Duration) bool {
+// waitConnected waits for a time, or until something arrives. It returns false if the other side has closed the
+// connection.
+func waitConnected(c net.Conn, b *bufio.Reader, d time.Duration) bool {
 	c.SetReadDeadline(time.Now().Add(d))
 	defer c.SetReadDeadline(time.Time{})
 	if _, err := b.Peek(1); err != nil {
