--- a/cmd/arrowcleat/soak_test.go
+++ b/cmd/arrowcleat/soak_test.go
@@ -111,7 +111,7 @@
 	term := soak.Process{LoadTime: 1500 * ms, End: soak.EndTerm, ConnectAfterTerm: 300 * ms}
 	for fault, c := range map[string]struct {
 		rule string // broken rule, or part of the text of another finding
-		life soak.Process
+		process soak.Process
 	}{
 		"twice": {audit.RuleAnswered, term}, audit.RuleAnswered: {audit.RuleAnswered, term}, audit.RuleEffects: {audit.RuleEffects, term},
 		audit.RuleOneInFlight: {audit.RuleOneInFlight, term}, audit.RuleDrain: {audit.RuleDrain, term}, audit.RuleExposure: {audit.RuleExposure, term},
@@ -124,14 +124,15 @@
 			p := soak.RandomPlan(7)
 			p.Marshals, p.NodeFaultShare, p.EventInterval, p.Clients, p.NodeIdleTimeout = 1, 0.4, 100*ms, 20, 400*ms
 			p.Classes = soak.AllClasses(900 * ms)
-			p.Processes = [][]soak.Process{{c.life}}
+			p.Processes = [][]soak.Process{{c.process}}
 			p.BurstConns, p.BurstRequests, p.PartialShare, p.LeaveShare = 0, 0, 0, 0.1
 			p.MachineFaults, p.ConnFaultShare = false, 0
 			switch fault {
 			case "strangers":
 				p.BurstConns = 20
-			case audit.RuleClientGone:
-				p.LeaveShare = 0.6
+			case audit.RuleClientGone: // few requests are still retried 0.1 s after their client has disconnected
+				p.LeaveShare, p.Clients = 0.6, 40
+				p.Processes[0][0].LoadTime = 4 * time.Second
 			case "discards": // many connections are idle when the marshal stops
 				p.LongPauseShare, p.Clients = 0.8, 40
 			case audit.RuleDrain: // a node must still exist when its grace period is over
