--- a/cmd/arrowcleat/soak_test.go
+++ b/cmd/arrowcleat/soak_test.go
@@ -110,7 +110,7 @@
 	quiet := soak.Process{LoadTime: 1500 * ms, End: soak.EndIdle, ConnectAfterTerm: 300 * ms}
 	term := soak.Process{LoadTime: 1500 * ms, End: soak.EndTerm, ConnectAfterTerm: 300 * ms}
 	for fault, c := range map[string]struct {
-		rule string // broken rule, or part of the text of another finding
+		rule    string // broken rule, or part of the text of another finding
 		process soak.Process
 	}{
 		"twice": {audit.RuleAnswered, term}, audit.RuleAnswered: {audit.RuleAnswered, term}, audit.RuleEffects: {audit.RuleEffects, term},
