--- a/cmd/arrowcleat/standin.go
+++ b/cmd/arrowcleat/standin.go
@@ -18,20 +18,22 @@
 	"arrowcleat/internal/standin"
 )
 
+// standinCommand returns the command that runs a stand-in process.
 func standinCommand() *cobra.Command {
 	c := &cobra.Command{
 		Use:   "standin",
-		Short: "Run a stand-in node, roster or conveyor",
-		Long: `standin runs, as a process of its own, a small stand-in for what a marshal works among. It prints the address that
-it listens on, and ends when its standard input does or on TERM.`,
+		Short: "Run a stand-in node, service registry or rollout service",
+		Long: `standin runs a small stand-in for a service around a marshal in its own process. It prints the address that it
+listens on, and ends at the end of its standard input or on TERM.`,
 	}
-	c.AddCommand(standinOne("node", "a node: takes invocations, does their work, takes trouble from standard input", runNode),
-		standinOne("roster", "a roster that tells the nodes of its file", runRoster),
-		standinOne("conveyor", "a conveyor that offers the builds of its file", runConveyor))
+	c.AddCommand(standinSubcommand("node", "a node that executes invocations and reads faults to simulate from standard input", runNode),
+		standinSubcommand("roster", "a service registry that lists the nodes of its file", runRegistry),
+		standinSubcommand("conveyor", "a rollout service that offers the builds named on standard input", runRolloutService))
 	return c
 }
 
-func standinOne(name, short string, run func(*settings.Standin, *record.Writer) error) *cobra.Command {
+// standinSubcommand returns the command that runs one kind of stand-in.
+func standinSubcommand(name, short string, run func(*settings.Standin, *record.Writer) error) *cobra.Command {
 	var config string
 	c := &cobra.Command{
 		Use:   name + " --config FILE",
@@ -45,40 +47,41 @@
 			if err != nil {
 				return badInput{err}
 			}
-			set := &settings.Standin{}
-			if err := prototext.Unmarshal(text, set); err != nil {
+			cfg := &settings.Standin{}
+			if err := prototext.Unmarshal(text, cfg); err != nil {
 				return badInput{fmt.Errorf("%s: %w", config, err)}
 			}
-			if set.Address == "" {
-				set.Address = "127.0.0.1:0"
+			if cfg.Address == "" {
+				cfg.Address = "127.0.0.1:0"
 			}
 			var w *record.Writer
-			if set.Record != "" {
-				if w, err = record.Create(set.Record, 0); err != nil {
+			if cfg.Record != "" {
+				if w, err = record.Create(cfg.Record, 0); err != nil {
 					return badInput{err}
 				}
 				defer w.Close()
 			}
-			return run(set, w)
+			return run(cfg, w)
 		},
 	}
-	c.Flags().StringVar(&config, "config", "", "file of the stand-in's settings, protobuf text format")
+	c.Flags().StringVar(&config, "config", "", "settings file of the stand-in, protobuf text format")
 	return c
 }
 
-func seen(w *record.Writer) func(*record.Seen) {
+// recordSeen returns a function that writes observations to w, or nil if w is nil.
+func recordSeen(w *record.Writer) func(*record.Seen) {
 	if w == nil {
 		return nil
 	}
 	return func(s *record.Seen) { w.Write(s) }
 }
 
-// untilTold waits for TERM or the end of standard input, of which each line is heard.
-func untilTold(hear func() error) error {
+// waitForStop runs handleInput and waits until it returns, or for TERM or INT.
+func waitForStop(handleInput func() error) error {
 	stop, ended := make(chan os.Signal, 1), make(chan error, 1)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
 	defer signal.Stop(stop)
-	go func() { ended <- hear() }()
+	go func() { ended <- handleInput() }()
 	select {
 	case <-stop:
 		return nil
@@ -87,32 +90,34 @@
 	}
 }
 
-func runNode(set *settings.Standin, w *record.Writer) error {
-	n := standin.FromSettings(set)
-	n.Seen = seen(w)
-	if err := n.Start(set.Address); err != nil {
+// runNode runs a stand-in node.
+func runNode(cfg *settings.Standin, w *record.Writer) error {
+	n := standin.FromSettings(cfg)
+	n.Seen = recordSeen(w)
+	if err := n.Start(cfg.Address); err != nil {
 		return badInput{err}
 	}
 	fmt.Println(n.Address())
 	defer n.Kill()
-	return untilTold(func() error { return n.Commands(os.Stdin) })
+	return waitForStop(func() error { return n.Commands(os.Stdin) })
 }
 
-func runRoster(set *settings.Standin, w *record.Writer) error {
-	r := &standin.Roster{Seen: seen(w)}
-	if err := r.Start(set.Address); err != nil {
+// runRegistry runs a stand-in service registry. Each line of standard input adds or changes a node.
+func runRegistry(cfg *settings.Standin, w *record.Writer) error {
+	r := &standin.Roster{Seen: recordSeen(w)}
+	if err := r.Start(cfg.Address); err != nil {
 		return badInput{err}
 	}
 	defer r.Close()
-	for i, l := range set.Line {
+	for i, l := range cfg.Line {
 		line, err := control.ParseNode(l)
 		if err != nil {
-			return badInput{fmt.Errorf("line %d of the roster: %w", i+1, err)}
+			return badInput{fmt.Errorf("node list, line %d: %w", i+1, err)}
 		}
 		r.Set(line, time.Duration(line.UptimeMs*float64(time.Millisecond)))
 	}
 	fmt.Println(r.Address())
-	return untilTold(func() error {
+	return waitForStop(func() error {
 		return standin.Lines(os.Stdin, func(text string) error {
 			line, err := control.ParseNode(text)
 			if err == nil {
@@ -123,22 +128,23 @@
 	})
 }
 
-func runConveyor(set *settings.Standin, w *record.Writer) error {
-	c := &standin.Conveyor{Rollout: set.Rollout, Every: 2 * time.Second, Seen: seen(w),
+// runRolloutService runs a stand-in rollout service. Each line of standard input offers a build.
+func runRolloutService(cfg *settings.Standin, w *record.Writer) error {
+	c := &standin.Conveyor{Rollout: cfg.Rollout, Every: 2 * time.Second, Seen: recordSeen(w),
 		Fleet: func(int, float64) func() bool { return func() bool { return true } }, Back: func(int) {}}
-	if set.Rollout == nil || len(set.Rollout.Stage) == 0 {
-		return badInput{errors.New("rollout.stage is missing: which stages?")}
+	if cfg.Rollout == nil || len(cfg.Rollout.Stage) == 0 {
+		return badInput{errors.New("rollout.stage is missing: describe the stages")}
 	}
-	if err := c.Start(set.Address, int(set.Ver)); err != nil {
+	if err := c.Start(cfg.Address, int(cfg.Ver)); err != nil {
 		return badInput{err}
 	}
 	defer c.Close()
 	fmt.Println(c.Address())
-	return untilTold(func() error {
+	return waitForStop(func() error {
 		err := standin.Lines(os.Stdin, func(text string) error {
 			var ver int
 			if _, err := fmt.Sscanf(text, "offer %d", &ver); err != nil {
-				return fmt.Errorf("%.40q is not: offer VER", text)
+				return fmt.Errorf("unknown command %.40q: want offer VER", text)
 			}
 			c.Offer(ver)
 			return nil
