--- a/balance/balance.go
+++ b/balance/balance.go
@@ -133,7 +133,7 @@
 		trial.nodes, baseline.nodes = b.scratch[0][:0], b.scratch[1][:0]
 		minVer, lastVer, isTrial, mayExpose := max(b.minVer, b.minVerByKey[inv.key]), -1, false, false
 		for _, n := range b.nodesByID {
-			if n.Health != Serving || now < n.avoidUntil || !b.mayRepeatOn(inv, n, now) || b.coldBudgetSpent(n, now) {
+			if n.Health != Serving || now < n.avoidUntil || !b.mayRepeatOn(inv, n, now) || b.warmUpBudgetSpent(n, now) {
 				continue
 			}
 			if n.Ver != lastVer { // most nodes run the same build as the node before them
@@ -254,7 +254,7 @@
 	if n.Started <= 0 || now-n.Started > 2*b.cfg.warmUpMs {
 		return 1
 	}
-	initial := b.cfg.coldShare
+	initial := b.cfg.initialCapacityShare
 	return min(1, initial+(1-initial)*max(0, now-n.Started)/b.cfg.warmUpMs)
 }
 
@@ -263,19 +263,19 @@
 	return n.Started > 0 && now-n.Started < readyAgeMs
 }
 
-// coldBudgetSpent protects a node that is warming up from overload. The work this marshal sends it stays below the
+// warmUpBudgetSpent protects a node that is warming up from overload. The work this marshal sends it stays below the
 // rule's multiple of the work a warm node does for this marshal, so that all marshals together stay below it too. A
 // budget of less than one invocation is rounded by a random draw for each node: if hundreds of marshals all rounded
 // up, the node would be overloaded, and if all rounded down it would get nothing.
-func (b *Balancer) coldBudgetSpent(n *node, now float64) bool {
+func (b *Balancer) warmUpBudgetSpent(n *node, now float64) bool {
 	share := b.capacityShare(n, now)
 	if share >= 1 {
 		return false
 	}
-	windowMs := b.cfg.coldWindowMs
-	budget := 0.85 * b.cfg.coldWorkMultiple * share * windowMs * b.warmNodeRate
+	windowMs := b.cfg.warmUpWindowMs
+	budget := 0.85 * b.cfg.warmUpWorkMultiple * share * windowMs * b.warmNodeRate
 	// The mean cost is used because with the invocation's own cost light invocations would fill up the budget.
-	return n.coldWork.sumSince(now-windowMs)+n.coldRounding*b.meanCost > budget
+	return n.warmUpWork.sumSince(now-windowMs)+n.warmUpRounding*b.meanCost > budget
 }
 
 // chooseNode draws two random nodes among the healthy and near candidates and returns the less loaded one.
--- a/balance/example_test.go
+++ b/balance/example_test.go
@@ -446,7 +446,8 @@
 	// failures counted: 0
 }
 
-// A cold node's budget of less than one invocation is kept over a hundred marshals: not none or all of them send one.
+// A hundred marshals keep a budget of less than one invocation for a node that is warming up: not none or all of them
+// send one.
 func Example_coldNodeOfMany() {
 	sent := 0
 	for i := range 100 {
--- a/balance/index.go
+++ b/balance/index.go
@@ -273,7 +273,7 @@
 		inv.key != "" && minVer > x.baseline.minVer || len(x.trial.zones)+len(x.baseline.zones) > 15 {
 		return trial, baseline, false
 	}
-	drop := func(n *node) bool { return now < n.avoidUntil || b.coldBudgetSpent(n, now) }
+	drop := func(n *node) bool { return now < n.avoidUntil || b.warmUpBudgetSpent(n, now) }
 	baseline = b.exclude(1, candidates{class: &x.baseline}, drop)
 	if trial = b.exclude(0, candidates{class: &x.trial}, drop); trial.size() > 0 &&
 		!b.mayExpose(x.trial.minVer, inv.op, now) {
--- a/balance/sibling_test.go
+++ b/balance/sibling_test.go
@@ -8,18 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-// TestColdRoundingAddsUp checks that the instances of one marshal round a cold node's budget together as one does:
-// whatever their draws, together they differ from the whole budget by at most one invocation.
+// TestColdRoundingAddsUp checks that the instances of one marshal together round the budget of a node that is warming
+// up as one does: whatever their draws, together they differ from the whole budget by at most one invocation.
 func TestColdRoundingAddsUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		instances := rapid.IntRange(2, 16).Draw(t, "instances")
 		l := Node{ID: rapid.Uint32().Draw(t, "node"), Started: rapid.Float64Range(1, 1e9).Draw(t, "started")}
-		fraction := rapid.Float64Range(0, 1).Draw(t, "part") // of one invocation that each may send
+		fraction := rapid.Float64Range(0, 1).Draw(t, "fraction") // of one invocation that each may send
 		sending := 0
 		for i := range instances {
 			b := newBalancer(&benchHost{now: 1e6}, Settings{"number": 3.0, "instance": float64(i),
 				"instances": float64(instances)}, uint64(i))
-			if b.drawColdRounding(l) < fraction {
+			if b.drawWarmUpRounding(l) < fraction {
 				sending++
 			}
 		}
--- a/balance/state.go
+++ b/balance/state.go
@@ -37,14 +37,14 @@
 
 // config holds settings that are needed for each invocation, read once.
 type config struct {
-	// coldShare is the share of its capacity that a node has when it starts.
-	coldShare, warmUpMs, coldWindowMs, coldWorkMultiple             float64
-	exposureWindowMs, exposureAllowance, crossZonePrice, connIdleMs float64
-	shieldedStages                                                  float64
-	maxTries, zone                                                  int
-	forwardOnly, worthByWork, capPerOperation                       bool
-	firstStageCap                                                   float64 // cap for a build without a stage update
-	marshalNumber, instance, instances                              float64 // instance is its number within the marshal
+	// initialCapacityShare is the share of its capacity that a node has when it starts.
+	initialCapacityShare, warmUpMs, warmUpWindowMs, warmUpWorkMultiple float64
+	exposureWindowMs, exposureAllowance, crossZonePrice, connIdleMs    float64
+	shieldedStages                                                     float64
+	maxTries, zone                                                     int
+	forwardOnly, worthByWork, capPerOperation                          bool
+	firstStageCap                                                      float64 // cap for a build without a stage update
+	marshalNumber, instance, instances                                 float64 // instance is its number within the marshal
 }
 
 // operation holds the settings of one operation.
@@ -161,8 +161,8 @@
 	successes         float64        // recent outcomes, decaying
 	failures          float64
 	connectedAt       float64    // when its connection last worked
-	coldWork          slidingSum // work sent while it warms up
-	coldRounding      float64    // draw in [0, 1) for this start, rounds its cold budget
+	warmUpWork        slidingSum // work sent while it warms up
+	warmUpRounding    float64    // draw in [0, 1) for this start, rounds its budget while it warms up
 	retryAt           float64    // when an outlier is next tried
 	workPerInvocation float64    // work of one invocation, by its load reports
 	ejectionMs        float64    // length of an ejection, grows with its failures
@@ -270,24 +270,24 @@
 func newBalancer(h Host, settings Settings, seed uint64) *Balancer {
 	b := &Balancer{host: h, settings: settings, rng: rand.New(pcg.New(seed)), startedAt: h.Now()}
 	b.cfg = config{
-		coldShare:         settings.number("rules.cold-from", 0.1),
-		warmUpMs:          settings.number("rules.warm-up-ms", 10000),
-		coldWindowMs:      settings.number("rules.fall-ms", 2000),
-		coldWorkMultiple:  settings.number("rules.fall-multiple", 1),
-		exposureWindowMs:  settings.number("rollout.counted-over-ms", 0),
-		exposureAllowance: settings.number("rollout.allowance", 0),
-		crossZonePrice:    settings.number("prices.cross-zone", 0),
-		connIdleMs:        settings.number("limits.conn-idle-ms", 10000),
-		shieldedStages:    settings.number("rollout.shielded", math.Inf(1)),
-		maxTries:          int(settings.number("limits.most-tries", 1)),
-		zone:              int(settings.number("zone", 0)),
-		forwardOnly:       settings.enabled("rollout.forward-only"),
-		worthByWork:       settings.text("worth-by", "") == "work",
-		capPerOperation:   settings.text("rollout.cap-scope", "each_class") == "each_class",
-		firstStageCap:     append(slices.Clone(settings.numbers("rollout.most-shares")), 0)[0],
-		marshalNumber:     settings.number("number", 0),
-		instance:          settings.number("instance", 0),
-		instances:         settings.number("instances", 1),
+		initialCapacityShare: settings.number("rules.cold-from", 0.1),
+		warmUpMs:             settings.number("rules.warm-up-ms", 10000),
+		warmUpWindowMs:       settings.number("rules.fall-ms", 2000),
+		warmUpWorkMultiple:   settings.number("rules.fall-multiple", 1),
+		exposureWindowMs:     settings.number("rollout.counted-over-ms", 0),
+		exposureAllowance:    settings.number("rollout.allowance", 0),
+		crossZonePrice:       settings.number("prices.cross-zone", 0),
+		connIdleMs:           settings.number("limits.conn-idle-ms", 10000),
+		shieldedStages:       settings.number("rollout.shielded", math.Inf(1)),
+		maxTries:             int(settings.number("limits.most-tries", 1)),
+		zone:                 int(settings.number("zone", 0)),
+		forwardOnly:          settings.enabled("rollout.forward-only"),
+		worthByWork:          settings.text("worth-by", "") == "work",
+		capPerOperation:      settings.text("rollout.cap-scope", "each_class") == "each_class",
+		firstStageCap:        append(slices.Clone(settings.numbers("rollout.most-shares")), 0)[0],
+		marshalNumber:        settings.number("number", 0),
+		instance:             settings.number("instance", 0),
+		instances:            settings.number("instances", 1),
 	}
 	b.leases = map[exposureKey]lease{}
 	for _, o := range settings.children("operations") {
@@ -358,7 +358,7 @@
 	}
 	b.spendLease(n.Ver, b.exposureScope(inv.op))
 	if b.capacityShare(n, d.sentAt) < 1 {
-		n.coldWork.add(d.sentAt, b.costOrOne(inv.cost))
+		n.warmUpWork.add(d.sentAt, b.costOrOne(inv.cost))
 	}
 }
 
@@ -716,7 +716,7 @@
 		listed[l.ID] = true
 		n := b.nodes[l.ID]
 		if n == nil {
-			n = &node{updatedAt: now, coldRounding: b.drawColdRounding(l)}
+			n = &node{updatedAt: now, warmUpRounding: b.drawWarmUpRounding(l)}
 			b.nodes[l.ID] = n
 			i, _ := slices.BinarySearchFunc(b.nodesByID, l.ID, compareID)
 			n.Node = l
@@ -725,7 +725,7 @@
 		}
 		if n.Started != l.Started || n.Ver != l.Ver { // a new process, perhaps on another machine
 			n.successes, n.failures, n.retryAt, n.ejectionMs, n.workPerInvocation, n.lastAnswer = 0, 0, 0, 0, 0, now
-			n.coldRounding = b.drawColdRounding(l)
+			n.warmUpRounding = b.drawWarmUpRounding(l)
 		}
 		n.Node, n.updatedAt = l, now
 	}
