--- a/divide/account.go
+++ b/divide/account.go
@@ -261,7 +261,7 @@
 	return a.lastVoter
 }
 
-// SetWatching notes whether changes to the list of nodes are requested. It reports whether that is a change, so that
+// SetWatching notes whether changes to the node list are requested. It reports whether that is a change, so that
 // one request is made for all instances.
 func (a *Account) SetWatching(on bool) bool {
 	a.mu.Lock()
@@ -271,7 +271,7 @@
 	return changed
 }
 
-// NodeListFailed notes that the list of nodes has to be requested again.
+// NodeListFailed notes that the node list has to be requested again.
 func (a *Account) NodeListFailed() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/divide/example_test.go
+++ b/divide/example_test.go
@@ -61,7 +61,8 @@
 	l := a.Draw(0, a.Join(0), allOperations)
 	fmt.Println(l.Size, "invalid:", a.Invalid(l))
 	a.StageUpdate(2, balance.RollingBack, 0)
-	fmt.Println("invalid:", a.Invalid(l), "new:", a.Draw(1, a.Join(1), allOperations).Size, "counted:", a.Snapshot().Scopes[0].Exposed)
+	fmt.Println("invalid:", a.Invalid(l), "new:",
+		a.Draw(1, a.Join(1), allOperations).Size, "counted:", a.Snapshot().Scopes[0].Exposed)
 	// Output:
 	// 6 invalid: false
 	// invalid: true new: 0 counted: 6
--- a/divide/model_test.go
+++ b/divide/model_test.go
@@ -80,8 +80,9 @@
 	}
 	a := m.account
 	c.account = &Account{windowMs: a.windowMs, allowance: a.allowance, firstCap: a.firstCap, leaseMs: a.leaseMs,
-		windowSteps: a.windowSteps, startMs: a.startMs, heartbeats: a.heartbeats, ver: a.ver, cap: a.cap, phase: a.phase, announced: a.announced,
-		accepted: map[int]*window{}, exposed: map[Scope]*window{}, unsettled: map[Scope][]unsettledLease{}, incarnations: slices.Clone(a.incarnations)}
+		windowSteps: a.windowSteps, startMs: a.startMs, heartbeats: a.heartbeats, ver: a.ver, cap: a.cap, phase: a.phase,
+		announced: a.announced, accepted: map[int]*window{}, exposed: map[Scope]*window{}, unsettled: map[Scope][]unsettledLease{},
+		incarnations: slices.Clone(a.incarnations)}
 	c.account.now = func() float64 { return c.now }
 	c.account.stageChanges.Store(a.stageChanges.Load())
 	for k, w := range a.accepted {
@@ -291,7 +292,8 @@
 	if failure != "" {
 		t.Errorf("after %d states: %s", n, failure)
 	}
-	for _, f := range []fault{countedWhenSettled, returnedTwice, usedAfterExpiry, usedAfterCapFell, forgottenWithRestart, ownShares} {
+	for _, f := range []fault{countedWhenSettled, returnedTwice, usedAfterExpiry, usedAfterCapFell, forgottenWithRestart,
+		ownShares} {
 		n, failure := explore(f, 3_000_000)
 		if failure == "" {
 			t.Errorf("%s: not found in %d states", f, n)
--- a/divide/reassign_model_test.go
+++ b/divide/reassign_model_test.go
@@ -6,10 +6,10 @@
 	"testing"
 )
 
-// reassignment is a state of a model of how package front moves an invocation between cores (exchange.offer, move,
-// overdue): one state word of a round and a phase, and in each queue the offers put there, each with its round. All
-// interleavings of three cores are explored: at most one core accepts the invocation, and none does after it was refused
-// to the client.
+// reassignment is a state of a model of how package front moves an invocation between cores (exchange.offer,
+// offerElsewhere, answerOverdue): one state word of a round and a phase, and in each queue the offers put there, each
+// with its round. All interleavings of three cores are explored: at most one core accepts the invocation, and none does
+// after it was refused to the client.
 type reassignment struct {
 	round, phase int    // phase: 0 offered, 1 accepted, 2 withdrawn
 	queues       [3]int // by core: a bit for the round of each offer that waits
@@ -32,7 +32,8 @@
 			}
 			all = append(all, n)
 		}
-		if m.phase == 0 && m.round < 2 && core != m.current { // moved: withdrawn, then offered to or refused by another core in a new round
+		// It is moved: withdrawn, then offered to or refused by another core in a new round.
+		if m.phase == 0 && m.round < 2 && core != m.current {
 			n := m
 			n.round, n.current = m.round+1, core
 			full := n
--- a/divide/shard.go
+++ b/divide/shard.go
@@ -16,9 +16,10 @@
 type Module interface {
 	balance.Module
 	OnTrial(ver int) bool
-	SetLease(ver, op, left int, untilMs float64)
-	SetCoordinator(votes bool)
-	SiblingDispatchEnded(node uint32, ver, op int, outcome balance.Outcome, tookMs float64, shortLimit bool, report map[string]float64)
+	SetLease(ver, op, remaining int, untilMs float64)
+	SetCoordinator(isCoordinator bool)
+	SiblingDispatchEnded(node uint32, ver, op int, outcome balance.Outcome, tookMs float64, shortLimit bool,
+		report map[string]float64)
 }
 
 // DispatchOutcome is how one dispatch ended, as the instances report it to each other.
@@ -102,7 +103,8 @@
 }
 
 // InvocationArrived counts an invocation as accepted and draws the leases that the module may need for it.
-func (s *Shard) InvocationArrived(id string, op, tenant int, key string, budgetMs, cost float64, retry, write bool) {
+func (s *Shard) InvocationArrived(id string, op, tenant int, key string, budgetMs, cost float64,
+	isRetry, isWrite bool) {
 	if !slices.ContainsFunc(s.accepted, func(n int) bool { return n > 0 }) {
 		s.acceptedSince = s.Host.Now()
 	}
@@ -114,7 +116,7 @@
 	*inv = invocation{op: op}
 	s.invocations[id] = inv
 	s.ensureLeases(op)
-	s.Module.InvocationArrived(id, op, tenant, key, budgetMs, cost, retry, write)
+	s.Module.InvocationArrived(id, op, tenant, key, budgetMs, cost, isRetry, isWrite)
 }
 
 // ensureLeases draws a lease on each trial build for which the module has no usable one.
@@ -146,7 +148,7 @@
 	}
 }
 
-// settle returns a lease to the account and tells the module that it has none.
+// settle returns a lease to the account and notifies the module that it has none.
 func (s *Shard) settle(scope Scope, l *lease) {
 	s.account.Settle(s.instance, s.incarnation, scope, l.exposed)
 	l.outstanding = false
@@ -165,23 +167,23 @@
 
 // Dispatch counts exposures. An exposure without a valid lease, for example because the lease expired while this
 // instance was stalled, is given a time limit of 0, so that it is never sent.
-func (s *Shard) Dispatch(id string, node uint32, limitMs float64) {
+func (s *Shard) Dispatch(id string, node uint32, timeLimitMs float64) {
 	ver := s.nodes[node].Ver
 	inv := s.invocations[id]
 	if inv == nil {
-		s.Host.Dispatch(id, node, limitMs)
+		s.Host.Dispatch(id, node, timeLimitMs)
 		return
 	}
-	inv.node, inv.ver, inv.shortLimit, inv.inFlight = node, ver, limitMs < s.sloMs[inv.op], true
+	inv.node, inv.ver, inv.shortLimit, inv.inFlight = node, ver, timeLimitMs < s.sloMs[inv.op], true
 	if slices.Contains(s.trialBuilds, ver) {
 		l := s.leases[s.account.Scope(ver, inv.op)]
 		if l == nil || !l.outstanding || l.exposed >= l.Size || s.account.Invalid(l.Lease) {
-			limitMs = 0
+			timeLimitMs = 0
 		} else {
 			l.exposed++
 		}
 	}
-	s.Host.Dispatch(id, node, limitMs)
+	s.Host.Dispatch(id, node, timeLimitMs)
 }
 
 // DispatchEnded keeps the outcome for the other instances. Unless the invocation is answered, it draws leases for a repeat.
@@ -260,9 +262,9 @@
 	}
 }
 
-// NodesListed keeps the list of nodes and updates which builds are on trial.
-func (s *Shard) NodesListed(whole bool, list []balance.Node) {
-	if whole {
+// NodesListed keeps the node list and updates which builds are on trial.
+func (s *Shard) NodesListed(complete bool, list []balance.Node) {
+	if complete {
 		clear(s.nodes)
 	}
 	for _, n := range list {
@@ -270,13 +272,13 @@
 			delete(s.nodes, n.ID)
 		}
 	}
-	s.Module.NodesListed(whole, list)
+	s.Module.NodesListed(complete, list)
 	s.updateTrialBuilds()
 }
 
 // StageUpdate updates which builds are on trial.
-func (s *Shard) StageUpdate(ver, stage int, phase balance.Phase, cap, ageMs float64, reply bool) {
-	s.Module.StageUpdate(ver, stage, phase, cap, ageMs, reply)
+func (s *Shard) StageUpdate(ver, stage int, phase balance.Phase, cap, ageMs float64, isVoteReply bool) {
+	s.Module.StageUpdate(ver, stage, phase, cap, ageMs, isVoteReply)
 	s.updateTrialBuilds()
 }
 
@@ -315,7 +317,7 @@
 	}
 }
 
-// heartbeat sends a heartbeat and tells the module when this instance becomes the coordinator or ceases to be it.
+// heartbeat sends a heartbeat and notifies the module when this instance becomes the coordinator or ceases to be it.
 func (s *Shard) heartbeat() {
 	if isCoordinator := s.account.Heartbeat(s.instance); isCoordinator != s.isCoordinator {
 		s.isCoordinator = isCoordinator
@@ -340,7 +342,7 @@
 	}
 }
 
-// WatchNodes requests or cancels notifications of changes to the list of nodes, once for all instances.
+// WatchNodes requests or cancels notifications of changes to the node list, once for all instances.
 func (s *Shard) WatchNodes(on bool) {
 	if s.account.SetWatching(on) {
 		s.Host.WatchNodes(on)
