--- a/internal/marshal/marshal.go
+++ b/internal/marshal/marshal.go
@@ -16,12 +16,12 @@
 
 // Exchange is the client's side of one invocation. Its methods are called on the event loop and must not block.
 type Exchange interface {
-	Dispatch(no int, node uint32, address string, limitMs float64)
-	Cancel(no int)
-	Throttle(retryAfterMs float64)
-	Terminate()
-	Discard() // no answer follows; the module has been notified already
-	Abort()   // the marshal ends: terminate at once, whatever is in flight
+	Dispatch(no int, node uint32, address string, timeLimitMs float64) // no is its number within the invocation
+	Cancel(no int)                                                     // stop waiting for one dispatch
+	Throttle(retryAfterMs float64)                                     // final answer: not done, trying again is harmless
+	Terminate()                                                        // final answer: failed, no promise about effects
+	Discard()                                                          // no answer follows; the module has been notified already
+	Abort()                                                            // the marshal ends: terminate at once, whatever is in flight
 }
 
 // Environment is what an instance needs apart from its invocations: a clock, timers and the other components.
@@ -102,17 +102,19 @@
 func (c *Core) Start(newModule func(balance.Host) Module) { c.module = newModule(c) }
 
 // InvocationArrived accepts an invocation and returns the id given to it.
-func (c *Core) InvocationArrived(x Exchange, op, tenant int, key string, budgetMs, cost float64, retry, write bool) string {
+func (c *Core) InvocationArrived(x Exchange, op, tenant int, key string, budgetMs, cost float64,
+	isRetry, isWrite bool) string {
 	c.lastID++
 	id := c.prefix + strconv.FormatUint(c.lastID, 36)
 	c.invocations[id] = &invocation{exchange: x, op: op}
 	c.stats.Accepted++
-	c.module.InvocationArrived(id, op, tenant, key, budgetMs, cost, retry, write)
+	c.module.InvocationArrived(id, op, tenant, key, budgetMs, cost, isRetry, isWrite)
 	return id
 }
 
 // DispatchEnded reports how a dispatch ended. With answered, its response was the client's answer.
-func (c *Core) DispatchEnded(id string, no int, outcome balance.Outcome, tookMs float64, answered bool, report map[string]float64) {
+func (c *Core) DispatchEnded(id string, no int, outcome balance.Outcome, tookMs float64, answered bool,
+	report map[string]float64) {
 	c.stats.Outcomes[outcome]++
 	inv := c.invocations[id]
 	if inv == nil {
@@ -165,10 +167,10 @@
 	}
 }
 
-// NodesListed delivers the list of nodes or, unless whole, the changed lines. Each node's address has the node's index.
-func (c *Core) NodesListed(whole bool, list []balance.Node, addresses []string) {
+// NodesListed delivers the complete node list or its changes. Each node's address has the node's index.
+func (c *Core) NodesListed(complete bool, list []balance.Node, addresses []string) {
 	now := c.env.Now()
-	if whole {
+	if complete {
 		for _, n := range c.nodes {
 			n.Health = balance.Gone
 		}
@@ -184,14 +186,14 @@
 			delete(c.nodes, id)
 		}
 	}
-	c.module.NodesListed(whole, list)
+	c.module.NodesListed(complete, list)
 }
 
 // StageUpdate reports the stage, phase and cap of the newest build.
-func (c *Core) StageUpdate(ver, stage int, phase balance.Phase, cap, ageMs float64, reply bool) {
+func (c *Core) StageUpdate(ver, stage int, phase balance.Phase, cap, ageMs float64, isVoteReply bool) {
 	s := &c.stats
 	s.Ver, s.Stage, s.Phase, s.Cap = ver, stage, phase, cap
-	c.module.StageUpdate(ver, stage, phase, cap, ageMs, reply)
+	c.module.StageUpdate(ver, stage, phase, cap, ageMs, isVoteReply)
 }
 
 // Module returns the module, for events that need no handling by the Core.
@@ -217,9 +219,9 @@
 // Add adds the counters of another instance of the same marshal. The build's stage and the nodes' health stay as they
 // are in s.
 func (s *Stats) Add(o Stats) {
-	for _, p := range []struct{ to, from *int64 }{{&s.Accepted, &o.Accepted}, {&s.Succeeded, &o.Succeeded}, {&s.Throttled, &o.Throttled},
-		{&s.Terminated, &o.Terminated}, {&s.ClientTimeouts, &o.ClientTimeouts}, {&s.Dispatches, &o.Dispatches}, {&s.Cancels, &o.Cancels},
-		{&s.Votes, &o.Votes}} {
+	for _, p := range []struct{ to, from *int64 }{{&s.Accepted, &o.Accepted}, {&s.Succeeded, &o.Succeeded},
+		{&s.Throttled, &o.Throttled}, {&s.Terminated, &o.Terminated}, {&s.ClientTimeouts, &o.ClientTimeouts},
+		{&s.Dispatches, &o.Dispatches}, {&s.Cancels, &o.Cancels}, {&s.Votes, &o.Votes}} {
 		*p.to += *p.from
 	}
 	for i, n := range o.Outcomes {
@@ -273,7 +275,7 @@
 
 // Dispatch sends an invocation to a node. A dispatch that must not be sent is suppressed, and ends as Ignored in a
 // call of its own.
-func (c *Core) Dispatch(id string, node uint32, limitMs float64) {
+func (c *Core) Dispatch(id string, node uint32, timeLimitMs float64) {
 	inv, to := c.invocations[id], c.nodes[node]
 	if inv == nil {
 		c.log.Error("a dispatch of an invocation that is not open", "inv", id, "node", node)
@@ -282,7 +284,7 @@
 	no := inv.dispatches
 	inv.dispatches++
 	inv.inFlight++
-	if why := c.suppressReason(inv, to, limitMs); why != "" {
+	if why := c.suppressReason(inv, to, timeLimitMs); why != "" {
 		c.log.Debug("dispatch suppressed", "inv", id, "no", no, "node", node, "why", why)
 		c.env.After(0, func() { c.DispatchEnded(id, no, balance.Ignored, 0, false, nil) })
 		return
@@ -294,18 +296,18 @@
 	c.stats.Dispatches++
 	to.Sent++
 	to.LastSentMs = c.env.Now()
-	inv.exchange.Dispatch(no, node, to.Address, limitMs)
+	inv.exchange.Dispatch(no, node, to.Address, timeLimitMs)
 }
 
-// suppressReason says why a dispatch must not be sent; it is empty where the dispatch may be sent. Three reasons are
+// suppressReason returns why a dispatch must not be sent; it is empty where the dispatch may be sent. Three reasons are
 // normal: the invocation is answered, no time is left, or the node has no address. Two are counted as violations:
 // another attempt is in flight, or the repeat may take effect a second time.
-func (c *Core) suppressReason(inv *invocation, to *NodeStats, limitMs float64) (why string) {
+func (c *Core) suppressReason(inv *invocation, to *NodeStats, timeLimitMs float64) (why string) {
 	violations := &c.stats.Violations
 	switch {
 	case inv.answered:
 		return "answered"
-	case limitMs <= 0:
+	case timeLimitMs <= 0:
 		return "no time"
 	case to == nil || to.Address == "":
 		return "no address"
@@ -364,10 +366,10 @@
 	}
 }
 
-// Fetch requests the whole list of nodes once.
+// FetchNodes requests the complete node list once.
 func (c *Core) FetchNodes() { c.env.FetchNodes() }
 
-// WatchNodes turns notifications of changes to the list of nodes on or off.
+// WatchNodes turns notifications of changes to the node list on or off.
 func (c *Core) WatchNodes(on bool) { c.env.WatchNodes(on) }
 
 // Vote sends a vote on the stage of a build.
@@ -381,7 +383,7 @@
 	c.env.After(afterMs, func() { c.module.TimerFired(handle) })
 }
 
-// Tell sends a message to another marshal.
+// SendToPeer sends a message to another marshal, or to all with balance.AllPeers.
 func (c *Core) SendToPeer(peer int, text string) { c.env.SendToPeer(peer, text) }
 
 // Log logs a line of the module and keeps it in the statistics.
--- a/internal/marshal/marshal_test.go
+++ b/internal/marshal/marshal_test.go
@@ -70,7 +70,8 @@
 		m.h.Dispatch(id, 1, 100)
 	}
 }
-func (m forbiddenModule) DispatchEnded(id string, no int, _ uint32, outcome balance.Outcome, _ float64, answered bool, _ map[string]float64) {
+func (m forbiddenModule) DispatchEnded(id string, no int, _ uint32, outcome balance.Outcome, _ float64, answered bool,
+	_ map[string]float64) {
 	fmt.Printf("module: dispatch %d ended with outcome %d, answered %v\n", no, outcome, answered)
 }
 func (m forbiddenModule) ClientTimedOut(string)            { fmt.Println("module: client timed out") }
@@ -96,7 +97,8 @@
 	s.runUntil(s.now + 1)
 	s.core.InvocationArrived(printingExchange("third"), 2, 0, "", 500, 0, false, false)
 	r := s.core.Snapshot()
-	fmt.Println("accepted", r.Accepted, "succeeded", r.Succeeded, "throttled", r.Throttled, "terminated", r.Terminated, "open", r.Open)
+	fmt.Println("accepted", r.Accepted, "succeeded", r.Succeeded, "throttled", r.Throttled,
+		"terminated", r.Terminated, "open", r.Open)
 	// Output:
 	// first: dispatch 0 to node 1 at a:1
 	// module: dispatch 1 ended with outcome 7, answered false
--- a/internal/marshal/repeat_test.go
+++ b/internal/marshal/repeat_test.go
@@ -18,7 +18,8 @@
 	r.h.Dispatch(id, r.nodes[0], 100)
 }
 
-func (r *repeatingModule) DispatchEnded(id string, no int, _ uint32, outcome balance.Outcome, _ float64, answered bool, _ map[string]float64) {
+func (r *repeatingModule) DispatchEnded(id string, no int, _ uint32, outcome balance.Outcome, _ float64, answered bool,
+	_ map[string]float64) {
 	switch {
 	case answered:
 	case no+1 < len(r.nodes) && outcome != balance.Ignored:
