--- a/internal/loop/loop.go
+++ b/internal/loop/loop.go
@@ -30,10 +30,12 @@
 // Monotonic returns the machine's monotonic clock.
 func Monotonic() Clock { return monotonic{time.Now()} }
 
+// Now implements Clock.
 func (m monotonic) Now() float64 {
 	return monotonicOffsetMs + float64(time.Since(m.start))/float64(time.Millisecond)
 }
 
+// Timer implements Clock.
 func (m monotonic) Timer(ms float64, wake func()) func() {
 	t := time.AfterFunc(time.Duration(ms*float64(time.Millisecond)), wake)
 	return func() { t.Stop() }
@@ -407,12 +409,21 @@
 // timers is a heap of timers, the next one first.
 type timers []timer
 
+// Len implements heap.Interface.
 func (t timers) Len() int { return len(t) }
+
+// Less implements heap.Interface.
 func (t timers) Less(i, j int) bool {
 	return t[i].atMs < t[j].atMs || t[i].atMs == t[j].atMs && t[i].seq < t[j].seq
 }
+
+// Swap implements heap.Interface.
 func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)   { *t = append(*t, x.(timer)) }
+
+// Push implements heap.Interface.
+func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
+
+// Pop implements heap.Interface.
 func (t *timers) Pop() any {
 	old := *t
 	last := old[len(old)-1]
