--- a/internal/serve/close_test.go
+++ b/internal/serve/close_test.go
@@ -70,9 +70,11 @@
 		spread time.Duration // over which clients send requests once the close has begun
 	}{
 		"stop": {end: func(t *testing.T, r *testRig) { go r.m.Stop() }, spread: 60 * time.Millisecond},
-		"idle": {change: func(s *settings.Settings) { s.Times.IdleMs = 100 }, end: func(*testing.T, *testRig) { time.Sleep(70 * time.Millisecond) },
+		"idle": {change: func(s *settings.Settings) { s.Times.IdleMs = 100 },
+			end:    func(*testing.T, *testRig) { time.Sleep(70 * time.Millisecond) },
 			spread: 60 * time.Millisecond},
-		"eviction": {change: func(s *settings.Settings) { s.Limits.Connections = connections }, front: func(s *front.Server) { s.Protocol.FirstRequestTimeoutMs = 2500 },
+		"eviction": {change: func(s *settings.Settings) { s.Limits.Connections = connections },
+			front: func(s *front.Server) { s.Protocol.FirstRequestTimeoutMs = 2500 },
 			end: func(t *testing.T, r *testRig) {
 				time.Sleep(2050 * time.Millisecond) // connections that have served a request are not evicted for 2 s
 				go func() {
--- a/internal/serve/cores_test.go
+++ b/internal/serve/cores_test.go
@@ -204,7 +204,8 @@
 		}}
 	}}})
 	for id := range uint32(4) {
-		r.registry.Set(control.NodeEntry{Node: balance.Node{ID: id + 1, Ver: 1 + int(id)/2, Size: 1}, Address: r.nodeListeners[id].Addr().String()}, 0)
+		r.registry.Set(control.NodeEntry{Node: balance.Node{ID: id + 1, Ver: 1 + int(id)/2, Size: 1},
+			Address: r.nodeListeners[id].Addr().String()}, 0)
 	}
 	for _, p := range r.m.pools {
 		p.stageUpdate(2, 0, balance.OnTrial, 0.5, 0, false)
@@ -241,9 +242,10 @@
 	onArrival func(key string)
 }
 
-func (o observedModule) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+func (o observedModule) InvocationArrived(id string, op, tenant int, key string, budgetMs, cost float64,
+	isRetry, isWrite bool) {
 	o.onArrival(key)
-	o.Balancer.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
+	o.Balancer.InvocationArrived(id, op, tenant, key, budgetMs, cost, isRetry, isWrite)
 }
 
 // Eight cores with a small cap together stay within the exposure limit of the marshal. When the cap falls to 0, nothing
@@ -312,9 +314,10 @@
 			}
 			return n
 		}
-		if used, limit := countBefore(exposedAt, window-transit-delay), 2+0.1*countBefore(sentAt, window-transit+delay)+1; used > limit {
-			t.Fatalf("%v exposed, limit %v; with the scheduling delay of %v left out: %v, limit %v", used, limit, delay, countBefore(exposedAt, window-transit),
-				2+0.1*countBefore(sentAt, window-transit)+1)
+		if used, limit := countBefore(exposedAt, window-transit-delay),
+			2+0.1*countBefore(sentAt, window-transit+delay)+1; used > limit {
+			t.Fatalf("%v exposed, limit %v; with the scheduling delay of %v left out: %v, limit %v", used, limit, delay,
+				countBefore(exposedAt, window-transit), 2+0.1*countBefore(sentAt, window-transit)+1)
 		}
 	}
 	p.stageUpdate(2, 0, balance.RollingBack, 0, 0, false)
@@ -343,7 +346,10 @@
 	r := startRig(t, 1, echoPath, onCores(2), testHooks{})
 	addr := r.nodeListeners[0].Addr().String()
 	r.setNode(1, addr, balance.Draining)
-	r.waitFor("the node is known to be draining", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[1].Health == balance.Draining })
+	r.waitFor("the node is known to be draining", func() bool {
+		s, _ := r.m.Snapshot()
+		return s.Nodes[1].Health == balance.Draining
+	})
 	if r.m.upstream.Draining(addr) {
 		t.Error("the grace period ended at once")
 	}
@@ -395,7 +401,8 @@
 	r := startRig(t, 1, echoPath, onCores(2), testHooks{})
 	set := r.m.Settings.Copy()
 	set.Instance.Cores = 4
-	if _, err := r.m.Reload(set, nil); err == nil || !strings.Contains(err.Error(), "restart") || !strings.Contains(err.Error(), "cores") {
+	if _, err := r.m.Reload(set, nil); err == nil || !strings.Contains(err.Error(), "restart") ||
+		!strings.Contains(err.Error(), "cores") {
 		t.Errorf("reload: %v", err)
 	}
 }
@@ -483,7 +490,10 @@
 		for ok := false; !ok; { // a request with a limit of 0.6 s is rejected if the process is not scheduled for as long
 			c := r.client()
 			c.send(get, "look/large")
-			r.waitFor("the request is being answered or was rejected", func() bool { ok = r.received() == n; return ok || back.HasUnread(c.Conn) })
+			r.waitFor("the request is being answered or was rejected", func() bool {
+				ok = r.received() == n
+				return ok || back.HasUnread(c.Conn)
+			})
 			if ok = ok || r.received() == n; !ok {
 				c.Close()
 			}
--- a/internal/serve/disconnect_test.go
+++ b/internal/serve/disconnect_test.go
@@ -105,7 +105,10 @@
 	case <-time.After(2 * time.Second):
 		t.Error("the connection to the node stays open")
 	}
-	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Outcomes[balance.Canceled] == 1 })
+	r.waitFor("no invocation is open", func() bool {
+		s, _ := r.m.Snapshot()
+		return s.Open == 0 && s.Outcomes[balance.Canceled] == 1
+	})
 }
 
 // finalResponse reads the last response of a connection. It returns "200", "200 kept" if the connection stays open,
@@ -333,6 +336,6 @@
 	c.expect("502 terminated")
 	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.ClientTimeouts == 1 })
 	if n := r.m.Front.Counters.ClientsGone.Load(); n != 1 {
-		t.Errorf("%d requests counted as left, want 1", n)
+		t.Errorf("%d requests counted as abandoned by their clients, want 1", n)
 	}
 }
--- a/internal/serve/hooks.go
+++ b/internal/serve/hooks.go
@@ -45,28 +45,28 @@
 	KnownNodes         []control.NodeEntry // the node list that the marshal held last
 	FirstListTimeout   time.Duration       // how long the marshal waits for the first node list before it accepts invocations
 	NewRegistry        func(onNodes func(complete bool, lines []control.NodeEntry), onFailure func()) Registry
-	NewRolloutService  func(onStageUpdate func(ver, stage int, phase balance.Phase, cap, age float64, reply bool),
+	NewRolloutService  func(onStageUpdate func(ver, stage int, phase balance.Phase, cap, ageMs float64, isVoteReply bool),
 		onVoteFailure func(balance.Outcome)) RolloutService
 	// NewPeers may be nil: the marshal then has no peers.
 	NewPeers func(receive func(from int, text string)) (Peers, error)
 }
 
-// Registry is the client of the service registry, which supplies the list of nodes.
+// Registry is the client of the service registry, which supplies the node list.
 type Registry interface {
-	Run(context.Context)
-	Fetch()
-	Watch(on bool)
+	Run(context.Context) // until the context ends
+	Fetch()              // request the complete node list once
+	Watch(on bool)       // start or stop updates of the node list
 }
 
 // RolloutService is the client of the rollout service, which publishes stage updates and accepts votes.
 type RolloutService interface {
-	Run(context.Context)
+	Run(context.Context) // until the context ends
 	Vote(ver, stage int, verdict balance.Verdict)
 }
 
 // Peers exchanges messages with the other marshals.
 type Peers interface {
-	Run()
-	SendToPeer(to int, text string)
+	Run()                           // receives messages until Close
+	SendToPeer(to int, text string) // to one marshal, or to all with balance.AllPeers
 	Close() error
 }
--- a/internal/serve/metrics.go
+++ b/internal/serve/metrics.go
@@ -61,7 +61,8 @@
 	emit(descOpen, gauge, float64(c.m.Front.OpenInvocations()))
 	counts := &c.m.Front.Counters
 	emit(descRead, counter, float64(counts.RequestsRead.Load()))
-	for outcome, n := range map[string]int64{"answered": counts.Answered.Load(), "left": counts.ClientsGone.Load(), "unanswered": counts.Unanswered.Load()} {
+	for outcome, n := range map[string]int64{"answered": counts.Answered.Load(), "left": counts.ClientsGone.Load(),
+		"unanswered": counts.Unanswered.Load()} {
 		emit(descDone, counter, float64(n), outcome)
 	}
 	emit(descSuppressed, counter, float64(counts.SuppressedDispatches.Load()))
@@ -96,7 +97,8 @@
 // serveMetrics serves the metrics until the context ends.
 func (m *Marshal) serveMetrics(ctx context.Context) {
 	registry := prometheus.NewRegistry()
-	registry.MustRegister(metricsCollector{m}, collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
+	registry.MustRegister(metricsCollector{m}, collectors.NewGoCollector(),
+		collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
 	mux := http.NewServeMux()
 	mux.Handle("/metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: 4, Timeout: 5 * time.Second}))
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second, IdleTimeout: 30 * time.Second}
--- a/internal/serve/open.go
+++ b/internal/serve/open.go
@@ -45,7 +45,8 @@
 			m.closeSockets()
 		}
 	}()
-	for _, l := range append([]*settings.Listener{{Name: settings.MainListener, Address: m.Settings.Listen.Invocations}}, m.Settings.Listener...) {
+	for _, l := range append([]*settings.Listener{{Name: settings.MainListener,
+		Address: m.Settings.Listen.Invocations}}, m.Settings.Listener...) {
 		ln, err := listen(l.Address)
 		if err != nil {
 			return fmt.Errorf("listener %s: %w", l.Name, err)
@@ -61,7 +62,8 @@
 		if err := retryOnShortage(func() error { conn, err = net.ListenUDP("udp", address); return err }); err != nil {
 			return fmt.Errorf("listen.peers: %w", err)
 		}
-		peers := &control.PeerTransport{Number: int(m.Settings.Instance.Number), Conn: conn, Addresses: map[int]*net.UDPAddr{}, OnPeerMessage: m.peerMessage,
+		peers := &control.PeerTransport{Number: int(m.Settings.Instance.Number), Conn: conn,
+			Addresses: map[int]*net.UDPAddr{}, OnPeerMessage: m.peerMessage,
 			OnError: func(err error) { m.Log.Warn("message from peer rejected", "err", err) }}
 		m.peers = peers
 		for _, p := range m.Settings.Peer {
--- a/internal/serve/pool.go
+++ b/internal/serve/pool.go
@@ -81,23 +81,26 @@
 		w.loop.Post(func() { w.module().VoteFailed(outcome) })
 	}
 	if transport != nil {
-		p.registry, p.rollout = transport.NewRegistry(p.nodesListed, listFailed), transport.NewRolloutService(p.stageUpdate, voteFailed)
+		p.registry, p.rollout = transport.NewRegistry(p.nodesListed, listFailed),
+			transport.NewRolloutService(p.stageUpdate, voteFailed)
 		return
 	}
 	if r := p.settings.Roster; r.Address != "" {
 		p.registry = &control.RegistryClient{Address: r.Address, WatchOnDemand: r.Ask, Number: int(p.settings.Instance.Number),
-			InitialBackoff: milliseconds(r.ReconnectMs), MaxBackoff: milliseconds(r.ReconnectMostMs), Log: p.m.Log, OnNodesListed: p.nodesListed, OnNodeListFailed: listFailed}
+			InitialBackoff: milliseconds(r.ReconnectMs), MaxBackoff: milliseconds(r.ReconnectMostMs), Log: p.m.Log,
+			OnNodesListed: p.nodesListed, OnNodeListFailed: listFailed}
 	}
 	if c := p.settings.Conveyor; c.Address != "" {
-		p.rollout = &control.RolloutClient{Address: c.Address, Number: int(p.settings.Instance.Number), InitialBackoff: milliseconds(c.ReconnectMs),
-			MaxBackoff: milliseconds(c.ReconnectMostMs), VoteTimeout: milliseconds(p.settings.Rollout.VoteTimeoutMs), Log: p.m.Log,
+		p.rollout = &control.RolloutClient{Address: c.Address, Number: int(p.settings.Instance.Number),
+			InitialBackoff: milliseconds(c.ReconnectMs), MaxBackoff: milliseconds(c.ReconnectMostMs),
+			VoteTimeout: milliseconds(p.settings.Rollout.VoteTimeoutMs), Log: p.m.Log,
 			OnStageUpdate: p.stageUpdate,
 			OnVoteFailed:  voteFailed,
-			OnBuildStats: func(ver, op, samples, errors int, mean, age float64) {
-				p.postAll(func(w *worker) { w.module().BuildStats(ver, op, samples, errors, mean, age) })
+			OnBuildStats: func(ver, op, samples, errors int, meanMs, ageMs float64) {
+				p.postAll(func(w *worker) { w.module().BuildStats(ver, op, samples, errors, meanMs, ageMs) })
 			},
-			OnWrongAnswer: func(node uint32, op int, age float64) {
-				p.postAll(func(w *worker) { w.module().WrongAnswer(node, op, age) })
+			OnWrongAnswer: func(node uint32, op int, ageMs float64) {
+				p.postAll(func(w *worker) { w.module().WrongAnswer(node, op, ageMs) })
 			}}
 	}
 }
@@ -117,9 +120,9 @@
 	return p.workers[p.account.FinishVote()]
 }
 
-// stageUpdate passes a stage update to all workers and suppresses dispatches that it forbids. If reply is set, the
-// update answers a vote.
-func (p *nodePool) stageUpdate(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+// stageUpdate passes a stage update to all workers and suppresses dispatches that it forbids. If isVoteReply is
+// set, the update answers a vote.
+func (p *nodePool) stageUpdate(ver, stage int, phase balance.Phase, cap, ageMs float64, isVoteReply bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	var voting *worker
@@ -127,15 +130,15 @@
 		p.account.StageUpdate(ver, phase, cap)
 	}
 	p.blockBuild(ver, cap <= 0 && phase != balance.Released)
-	if reply {
+	if isVoteReply {
 		voting = p.finishVote()
 	}
 	receivedAt := p.m.Loop.Clock().Now()
 	p.replayStage = func(w *worker) { // also for workers that restart later
-		w.core.StageUpdate(ver, stage, phase, cap, age+max(0, w.loop.Now()-receivedAt), false)
+		w.core.StageUpdate(ver, stage, phase, cap, ageMs+max(0, w.loop.Now()-receivedAt), false)
 	}
 	for _, w := range p.workers {
-		w.loop.PostUrgent(func() { w.core.StageUpdate(ver, stage, phase, cap, age, w == voting) })
+		w.loop.PostUrgent(func() { w.core.StageUpdate(ver, stage, phase, cap, ageMs, w == voting) })
 	}
 	p.lowerCap(ver, phase, cap)
 }
@@ -200,7 +203,9 @@
 		if w.recorder == nil {
 			module = hooks.NewModule(h, moduleSettings, seed)
 		} else {
-			recording := record.NewRecorder(w.recorder, h, w.settings, w.instance, seed, func(err error) { w.m.Log.Warn("recording stopped", "err", err) })
+			recording := record.NewRecorder(w.recorder, h, w.settings, w.instance, seed, func(err error) {
+				w.m.Log.Warn("recording stopped", "err", err)
+			})
 			module = recording.SetModule(hooks.NewModule(recording, moduleSettings, seed))
 		}
 		if w.account != nil {
@@ -225,7 +230,7 @@
 	}
 }
 
-// Share passes outcomes of dispatches to another worker, on its loop.
+// ShareOutcomes passes outcomes of dispatches to another worker, on its loop.
 func (w *worker) ShareOutcomes(to int, outcomes []divide.DispatchOutcome) {
 	other := w.workers[to]
 	other.loop.Post(func() { other.shard.ReceiveOutcomes(outcomes) })
--- a/internal/serve/serve.go
+++ b/internal/serve/serve.go
@@ -72,8 +72,10 @@
 	}
 	m.Loop = m.Loops[0]
 	m.now = loop.WallClock(hooks.Clock)
-	m.upstream = &back.Pool{Now: m.now, Limits: h1.Limits{LineBytes: int(set.Limits.LineBytes), HeaderBytes: int(set.Limits.HeaderBytes)},
-		DialTimeout: milliseconds(set.Times.DialMs), IdleTimeout: milliseconds(set.Times.NodeIdleMs), MaxIdlePerNode: int(set.Limits.IdlePerNode)}
+	m.upstream = &back.Pool{Now: m.now,
+		Limits:      h1.Limits{LineBytes: int(set.Limits.LineBytes), HeaderBytes: int(set.Limits.HeaderBytes)},
+		DialTimeout: milliseconds(set.Times.DialMs), IdleTimeout: milliseconds(set.Times.NodeIdleMs),
+		MaxIdlePerNode: int(set.Limits.IdlePerNode)}
 	seed := set.Seed
 	if seed == 0 {
 		seed = rand.Uint64()
@@ -113,7 +115,8 @@
 	}
 	m.upstream.Connect = hooks.Connect
 	if t := hooks.Transport; t != nil {
-		m.upstream.Strict, m.upstream.ReportNames, m.upstream.MaxConns, m.upstream.ReuseDelay = t.Strict, t.ReportNames, t.MaxNodeConnections, t.ReuseDelay
+		m.upstream.Strict, m.upstream.ReportNames, m.upstream.MaxConns, m.upstream.ReuseDelay =
+			t.Strict, t.ReportNames, t.MaxNodeConnections, t.ReuseDelay
 		if t.NewPeers != nil {
 			err := retryOnShortage(func() (err error) {
 				m.peers, err = t.NewPeers(m.peerMessage)
@@ -226,9 +229,9 @@
 		err := l.Run()
 		var p *loop.Panic
 		if errors.As(err, &p) {
-			var records []marshal.Stats
-			m.forEachWorker(core, func(w *worker) { records = append(records, w.core.Snapshot()) })
-			state, stateErr := json.Marshal(records)
+			var stats []marshal.Stats
+			m.forEachWorker(core, func(w *worker) { stats = append(stats, w.core.Snapshot()) })
+			state, stateErr := json.Marshal(stats)
 			m.Log.Error("the decision module panicked: open invocations are terminated", "core", core, "err", err, "open", m.openOn(core),
 				"stack", string(p.Stack), "state", string(state), "state_err", stateErr)
 		}
@@ -275,14 +278,14 @@
 // PoolSnapshot returns the counters of one pool, summed over all cores. It waits for each core until the context ends.
 func (m *Marshal) PoolSnapshot(ctx context.Context, pool int) (total marshal.Stats, err error) {
 	for i, w := range m.pools[pool].workers {
-		record, err := loop.Query(ctx, w.loop, w.core.Snapshot)
+		stats, err := loop.Query(ctx, w.loop, w.core.Snapshot)
 		if err != nil {
-			return total, fmt.Errorf("reading the record of core %d: %w", i, err)
+			return total, fmt.Errorf("reading the statistics of core %d: %w", i, err)
 		}
 		if i == 0 {
-			total = record
+			total = stats
 		} else {
-			total.Add(record)
+			total.Add(stats)
 		}
 	}
 	return total, nil
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -177,7 +177,8 @@
 	r.waitFor("no invocation is open", func() bool { s, _ := r.m.Snapshot(); return s.Open == 0 && s.Accepted >= 30 })
 	s, _ := r.m.Snapshot()
 	if s.Accepted != s.Succeeded+s.Throttled+s.Terminated+s.ClientTimeouts {
-		t.Errorf("%d accepted, but %d+%d+%d answered and %d lapsed", s.Accepted, s.Succeeded, s.Throttled, s.Terminated, s.ClientTimeouts)
+		t.Errorf("%d accepted, but %d+%d+%d answered and %d timed out at the client",
+			s.Accepted, s.Succeeded, s.Throttled, s.Terminated, s.ClientTimeouts)
 	}
 	final := r.client() // after so many disconnects it may be throttled at first
 	r.waitFor("the marshal serves requests", func() bool {
@@ -208,7 +209,8 @@
 				io.WriteString(c, "HTTP/1.1 200 OK\r\n\r\nuntil the end")
 				return
 			case strings.HasSuffix(req.URL.Path, "long"):
-				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", 70000, strings.Repeat("l", 70000))
+				fmt.Fprintf(c, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", 70000,
+					strings.Repeat("l", 70000))
 			default:
 				via, hop := req.Header.Get("Via"), req.Header.Get("X-Hop")+req.Header.Get("Keep-Alive")+req.Header.Get("Expect")
 				respond(c, fmt.Sprintf("%s %d %s%s", req.Method, len(body), via, hop))
@@ -404,11 +406,12 @@
 // panickingModule panics on an invocation of operation 1, and otherwise behaves as its module.
 type panickingModule struct{ divide.Module }
 
-func (p panickingModule) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
+func (p panickingModule) InvocationArrived(id string, op, tenant int, key string, budgetMs, cost float64,
+	isRetry, isWrite bool) {
 	if op == 1 {
 		panic("injected panic")
 	}
-	p.Module.InvocationArrived(id, op, tenant, key, budget, cost, retry, write)
+	p.Module.InvocationArrived(id, op, tenant, key, budgetMs, cost, isRetry, isWrite)
 }
 
 // A module that panics ends its marshal. All accepted invocations are answered.
@@ -561,9 +564,9 @@
 }
 
 // The loop is blocked inside the call that decides on a dispatch, past the client's time limit, and the connection
-// answers by itself. The dispatch command came after that and was neither executed nor reported: the record stayed at
-// one open invocation, the module at one dispatch in flight, and a stop waited its whole time. A dispatch decided on
-// after the answer must end as never sent.
+// answers by itself. The dispatch command came after that and was neither executed nor reported: the counters stayed at
+// one open invocation, the module at one dispatch in flight, and a stop waited for its full stop time. A dispatch
+// decided on after the answer must end as never sent.
 func TestDispatchAfterClientWasAnswered(t *testing.T) {
 	var blockNext atomic.Bool
 	release := make(chan struct{})
@@ -616,9 +619,9 @@
 	before func()
 }
 
-func (s *delayingHost) Dispatch(inv string, node uint32, within float64) {
+func (s *delayingHost) Dispatch(inv string, node uint32, timeLimitMs float64) {
 	s.before()
-	s.Host.Dispatch(inv, node, within)
+	s.Host.Dispatch(inv, node, timeLimitMs)
 }
 
 // A client that does not read its long response is disconnected after the write timeout. The marshal goes on serving.
@@ -660,7 +663,10 @@
 	for i := range 300 {
 		if i == 100 {
 			r.setNode(1, r.nodeListeners[0].Addr().String(), balance.Draining)
-			r.waitFor("the node is known to be draining", func() bool { s, _ := r.m.Snapshot(); return s.Nodes[1].Health == balance.Draining })
+			r.waitFor("the node is known to be draining", func() bool {
+				s, _ := r.m.Snapshot()
+				return s.Nodes[1].Health == balance.Draining
+			})
 			s, _ := r.m.Snapshot()
 			before = int(s.Nodes[1].Sent)
 		}
@@ -839,7 +845,8 @@
 	a, _ := r.m.PoolSnapshot(t.Context(), 0)
 	b, _ := r.m.PoolSnapshot(t.Context(), 1)
 	if a.Accepted != 21 || a.Succeeded != 21 || b.Accepted != 11 || b.Succeeded != 10 || a.Ver == 7 || b.Ver != 7 {
-		t.Errorf("the first pool accepted %d, succeeded %d, ver %d; the second %d, %d, %d", a.Accepted, a.Succeeded, a.Ver, b.Accepted, b.Succeeded, b.Ver)
+		t.Errorf("the first pool accepted %d, succeeded %d, ver %d; the second %d, %d, %d",
+			a.Accepted, a.Succeeded, a.Ver, b.Accepted, b.Succeeded, b.Ver)
 	}
 	// A reload that removes a pool needs a restart and changes nothing.
 	set := r.settings.Copy()
