--- a/internal/record/replay.go
+++ b/internal/record/replay.go
@@ -159,7 +159,11 @@
 // replayHost is the Host of a replayed module. It ignores all calls: the Recorder in front of it has compared them.
 type replayHost struct{ p *player }
 
-func (h replayHost) Now() float64                     { return h.p.now }
+// Now returns the clock time of the event that is replayed.
+func (h replayHost) Now() float64 { return h.p.now }
+
+// The remaining methods of replayHost ignore the calls of the module.
+
 func (h replayHost) Dispatch(string, uint32, float64) {}
 func (h replayHost) Cancel(string, int)               {}
 func (h replayHost) Throttle(string, float64)         {}
