--- a/balance/sibling.go
+++ b/balance/sibling.go
@@ -65,7 +65,8 @@
 }
 
 // drawWarmUpRounding draws the number in [0, 1) that decides how the fraction of an invocation left in the budget of a
-// node that is warming up is rounded. The draws of a marshal's instances are evenly spaced, so that together they round as one instance does.
+// node that is warming up is rounded. The draws of a marshal's instances are evenly spaced, so that together they round
+// as one instance does.
 func (b *Balancer) drawWarmUpRounding(l Node) float64 {
 	draw := b.rng.Float64()
 	if b.cfg.instances > 1 {
