--- a/internal/serve/hooks.go
+++ b/internal/serve/hooks.go
@@ -51,7 +51,8 @@
 	NewPeers func(receive func(from int, text string)) (Peers, error)
 }
 
-// Registry is the client of the service registry, which supplies the node list.
+// Registry is the client of the service registry, which supplies the node list. A client that always follows the list
+// may ignore Fetch and Watch.
 type Registry interface {
 	Run(context.Context) // until the context ends
 	Fetch()              // request the complete node list once
--- a/internal/serve/serve_test.go
+++ b/internal/serve/serve_test.go
@@ -570,7 +570,8 @@
 func TestDispatchAfterClientWasAnswered(t *testing.T) {
 	var blockNext atomic.Bool
 	release := make(chan struct{})
-	r := startRig(t, 1, echoPath, nil, testHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings, seed uint64) divide.Module {
+	r := startRig(t, 1, echoPath, nil, testHooks{Hooks: Hooks{NewModule: func(h balance.Host, s balance.Settings,
+		seed uint64) divide.Module {
 		return balance.New(&delayingHost{h, func() {
 			if blockNext.Swap(false) {
 				<-release
@@ -870,7 +871,8 @@
 	}
 	defer nc.Close()
 	outside, inside := r.client(), &client{nc, bufio.NewReader(nc), t}
-	for path, want := range map[string][2]string{"look": {"404 not-taken", "200 succeeded"}, "once": {"200 succeeded", "200 succeeded"}} {
+	for path, want := range map[string][2]string{"look": {"404 not-taken", "200 succeeded"},
+		"once": {"200 succeeded", "200 succeeded"}} {
 		outside.send(get, path)
 		outside.expect(want[0])
 		inside.send(get, path)
