--- a/internal/front/accept.go
+++ b/internal/front/accept.go
@@ -52,7 +52,7 @@
 // deadlineListener is a listener that can be woken without being closed.
 type deadlineListener interface{ SetDeadline(time.Time) error }
 
-// maxFinalAccepts bounds how long a stopping server accepts connections that keep arriving.
+// maxFinalAcceptTime bounds how long a stopping server accepts connections that keep arriving.
 const maxFinalAcceptTime = 10 * finalReadTimeout
 
 // acceptPending accepts the connections in the kernel's accept queue, and closes the listener once none has arrived for a
--- a/internal/front/dispatch.go
+++ b/internal/front/dispatch.go
@@ -82,7 +82,8 @@
 
 // sendRequest connects to a node and writes the request. A reused connection on which no byte could be written is replaced by
 // a new one, since nothing was executed. It returns nil if the dispatch has ended, with its outcome.
-func (x *exchange) sendRequest(address string, deadline, writeDeadline, decidedAt time.Time, outcome *back.DispatchOutcome) *back.Conn {
+func (x *exchange) sendRequest(address string, deadline, writeDeadline, decidedAt time.Time,
+	outcome *back.DispatchOutcome) *back.Conn {
 	for fresh := false; ; fresh = true {
 		var nodeConn *back.Conn
 		if !fresh {
--- a/internal/front/exchange.go
+++ b/internal/front/exchange.go
@@ -43,7 +43,7 @@
 	retained      []byte          // the part of the body that can be sent again
 	bodyRetained  bool            // the whole body is in retained
 	streamed      bool            // part of the rest has been sent: the request can't be sent again
-	readerResumed bool            // the reader was told that the body has been read
+	readerResumed bool            // the reader was notified that the body has been read
 	lastOutcome   balance.Outcome // how the last dispatch ended
 
 	// A dispatch that may have been executed is repeated only while nodes remember the idempotency key: keyMemoryMs from the
@@ -116,7 +116,7 @@
 // reofferAfterMs is how long an invocation waits at a core before it may be offered to another one.
 const reofferAfterMs = 50.0
 
-// core and loop return the core that the exchange was last offered to, and its loop.
+// core returns the core that the exchange was last offered to, and loop that core's event loop.
 func (x *exchange) core() *marshal.Core { return x.conn.server.Cores[x.offeredCore.Load()][x.pool] }
 func (x *exchange) loop() *loop.Loop    { return x.conn.server.Loops[x.offeredCore.Load()] }
 
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -157,7 +157,8 @@
 	s.openListeners = len(listeners)
 	s.wg.Add(len(listeners)) // waiting for the connections includes those that listeners may still accept
 	s.viaField = "1.1 marshal-" + strconv.Itoa(int(s.CurrentSettings().Instance.Number))
-	s.limits = h1.Limits{LineBytes: int(s.CurrentSettings().Limits.LineBytes), HeaderBytes: int(s.CurrentSettings().Limits.HeaderBytes)}
+	s.limits = h1.Limits{LineBytes: int(s.CurrentSettings().Limits.LineBytes),
+		HeaderBytes: int(s.CurrentSettings().Limits.HeaderBytes)}
 	headers, canonical := s.CurrentSettings().Headers, textproto.CanonicalMIMEHeaderKey
 	s.headerNames = headerNames{canonical(headers.Tenant), canonical(headers.Key), canonical(headers.Mark),
 		canonical(headers.TimeMs), canonical(headers.CostMs), canonical(headers.Retry), canonical(headers.TurnedAway)}
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -60,8 +60,9 @@
 	clock := loop.Monotonic()
 	s := &Server{Settings: &settings.Settings{Instance: &settings.Instance{}, Headers: &settings.Headers{},
 		Operation: []*settings.Operation{{Name: "x"}},
-		Limits:    &settings.Limits{Connections: maxConnections, Open: maxConnections, LineBytes: 1000, HeaderBytes: 1000, RepeatBodyBytes: 100},
-		Times:     &settings.Times{HeaderMs: 1000, BodyMs: 1000, WriteMs: 1000, IdleMs: 1000}},
+		Limits: &settings.Limits{Connections: maxConnections, Open: maxConnections, LineBytes: 1000, HeaderBytes: 1000,
+			RepeatBodyBytes: 100},
+		Times: &settings.Times{HeaderMs: 1000, BodyMs: 1000, WriteMs: 1000, IdleMs: 1000}},
 		Clock: clock, Loops: []*loop.Loop{loop.New(clock, 1)}, Cores: [][]*marshal.Core{{nil}}, Pool: &back.Pool{},
 		Log: slog.New(slog.DiscardHandler), Protocol: protocol}
 	go s.Serve([]Listener{{Listener: countingListener{ln, reads}}})
@@ -113,14 +114,14 @@
 // Clients that send nothing are evicted for one that sends a request, and time out in any case.
 func TestSilentClients(t *testing.T) {
 	_, address := startServer(t, 20, ProtocolOptions{HealthPath: "/healthz", FirstRequestTimeoutMs: 600})
-	var silent []net.Conn
+	var idle []net.Conn
 	for range 60 {
 		nc, err := net.Dial("tcp", address)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer nc.Close()
-		silent = append(silent, nc)
+		idle = append(idle, nc)
 	}
 	time.Sleep(400 * time.Millisecond)
 	nc, err := net.Dial("tcp", address)
@@ -129,12 +130,12 @@
 	}
 	defer nc.Close()
 	if status, err := roundTrip(nc, healthRequest); status != 200 || err != nil {
-		t.Errorf("a request among silent clients: status %d, error %v; want 200", status, err)
+		t.Errorf("a request among idle clients: status %d, error %v; want 200", status, err)
 	}
-	for i, c := range silent {
+	for i, c := range idle {
 		c.SetReadDeadline(time.Now().Add(2 * time.Second))
 		if _, err := io.ReadAll(c); err != nil && strings.Contains(err.Error(), "timeout") {
-			t.Fatalf("silent client %d was neither answered nor closed", i)
+			t.Fatalf("idle client %d was neither answered nor closed", i)
 		}
 	}
 }
