--- a/internal/h1/h1.go
+++ b/internal/h1/h1.go
@@ -277,7 +277,8 @@
 	return h.MinorVersion > 0 && h.BodyLength != 0 && ListsToken(h.Header["Expect"], "100-continue")
 }
 
-// hopByHop are the names of hop-by-hop header fields (RFC 9110, 7.6.1), including obsolete ones.
+// hopByHop are the names of hop-by-hop header fields (RFC 9110, 7.6.1), including obsolete ones, and Expect, which the
+// marshal answers itself.
 var hopByHop = []string{"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Transfer-Encoding", "Upgrade", "Expect"}
 
