--- a/internal/back/socket.go
+++ b/internal/back/socket.go
@@ -63,25 +63,27 @@
 		return false
 	}
 	var netErr net.Error
-	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) || errors.As(err, &netErr) && netErr.Timeout()
+	return errors.Is(err, os.ErrDeadlineExceeded) || errors.Is(err, context.DeadlineExceeded) ||
+		errors.As(err, &netErr) && netErr.Timeout()
 }
 
 // disconnectErrors are the errors that mean that a connection can't be used any more (tcp(7), ip(7)).
-var disconnectErrors = []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH,
-	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED, syscall.ENOTCONN}
+var disconnectErrors = []error{io.EOF, io.ErrUnexpectedEOF, net.ErrClosed, syscall.ECONNRESET, syscall.EPIPE,
+	syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH, syscall.ENETDOWN, syscall.ECONNABORTED, syscall.ENOTCONN}
 
 // IsDisconnect reports whether an error means that the connection is closed or broken.
 func IsDisconnect(err error) bool { return isAny(err, disconnectErrors) }
 
 // shortageErrors are the errors of the kernel for a temporary shortage on this machine (socket(2), connect(2),
 // accept(2)).
-var shortageErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL, syscall.EAGAIN, syscall.EINTR,
-	syscall.ENETUNREACH, syscall.ENETDOWN}
+var shortageErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL,
+	syscall.EAGAIN, syscall.EINTR, syscall.ENETUNREACH, syscall.ENETDOWN}
 
 // IsResourceShortage reports whether a socket could not be opened for a reason on this machine that may pass soon, such
 // as a shortage of descriptors or ports. It says nothing about the other side.
 func IsResourceShortage(err error) bool { return isAny(err, shortageErrors) }
 
+// isAny reports whether err is or wraps one of the targets.
 func isAny(err error, targets []error) bool {
 	for _, e := range targets {
 		if errors.Is(err, e) {
