--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -22,7 +22,7 @@
 	return NodeEntry{Node: balance.Node{ID: id, Ver: 1, Size: 1.5}, Address: "127.0.0.1:7", Incarnation: 9, UptimeMs: 12}
 }
 
-// Checks that a NODE line decodes to what was encoded, and that decoding never panics.
+// FuzzParseNode checks that a NODE line decodes to what was encoded, and that decoding never panics.
 func FuzzParseNode(f *testing.F) {
 	f.Add(string(AppendNode(nil, node(3))))
 	f.Add("NODE 1 x 1 0 0 0 serving 1 0 0")
@@ -39,9 +39,10 @@
 	})
 }
 
-// Checks that a line from the rollout service calls a callback with values in range, or is an error and calls none.
+// FuzzHandleLine checks that a line from the rollout service calls a callback with values in range, or is an error and calls none.
 func FuzzHandleLine(f *testing.F) {
-	for _, s := range []string{"STAGE 2 0 trial 0.1 5", "VOTED 1 ok 2 0 trial 0.1 5", "VOTED 1 busy", "TALLY 2 0 10 1 5 5", "FLAG 1 0 5"} {
+	for _, s := range []string{"STAGE 2 0 trial 0.1 5", "VOTED 1 ok 2 0 trial 0.1 5", "VOTED 1 busy",
+		"TALLY 2 0 10 1 5 5", "FLAG 1 0 5"} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
@@ -64,7 +65,7 @@
 	})
 }
 
-// Checks that only messages with a valid sender and length are decoded.
+// FuzzParsePeerMessage checks that only messages with a valid sender and length are decoded.
 func FuzzParsePeerMessage(f *testing.F) {
 	f.Add(AppendPeerMessage(nil, 3, "2 1 0"))
 	f.Fuzz(func(t *testing.T, b []byte) {
@@ -171,8 +172,9 @@
 		}
 	})
 	counts := make(chan int, 10)
-	r := &RegistryClient{Address: s.ln.Addr().String(), Number: 4, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond,
-		Log: slog.New(slog.DiscardHandler), OnNodesListed: func(_ bool, entries []NodeEntry) { counts <- len(entries) }, OnNodeListFailed: func() {}}
+	r := &RegistryClient{Address: s.ln.Addr().String(), Number: 4, InitialBackoff: time.Millisecond,
+		MaxBackoff: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+		OnNodesListed: func(_ bool, entries []NodeEntry) { counts <- len(entries) }, OnNodeListFailed: func() {}}
 	run(t, r.Run)
 	s.expect(t, "HELLO 4")
 	s.expect(t, "WATCH 0 0")
@@ -202,8 +204,9 @@
 		}
 	})
 	failed := make(chan bool, 10)
-	r := &RegistryClient{Address: s.ln.Addr().String(), WatchOnDemand: true, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond,
-		Log: slog.New(slog.DiscardHandler), OnNodesListed: func(bool, []NodeEntry) {}, OnNodeListFailed: func() { failed <- true }}
+	r := &RegistryClient{Address: s.ln.Addr().String(), WatchOnDemand: true, InitialBackoff: time.Millisecond,
+		MaxBackoff: 10 * time.Millisecond,
+		Log:        slog.New(slog.DiscardHandler), OnNodesListed: func(bool, []NodeEntry) {}, OnNodeListFailed: func() { failed <- true }}
 	r.Fetch() // not connected yet
 	<-failed
 	run(t, r.Run)
@@ -224,7 +227,7 @@
 	}
 }
 
-// A vote has exactly one result: its answer, an error or a time-out. Later answers are ignored.
+// A vote has exactly one result: its answer, an error or a timeout. Later answers are ignored.
 func TestVotes(t *testing.T) {
 	s := listen(t, func(_ int, conn *LineConn, lines chan string) {
 		for {
@@ -246,7 +249,8 @@
 		}
 	})
 	got := make(chan string, 10)
-	c := &RolloutClient{Address: s.ln.Addr().String(), Number: 1, InitialBackoff: time.Millisecond, MaxBackoff: 10 * time.Millisecond,
+	c := &RolloutClient{Address: s.ln.Addr().String(), Number: 1, InitialBackoff: time.Millisecond,
+		MaxBackoff:  10 * time.Millisecond,
 		VoteTimeout: 40 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
 		OnStageUpdate: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 			got <- fmt.Sprint("stage update ", ver, stage, phase, cap, age, reply)
@@ -294,7 +298,8 @@
 			t.Fatal(err)
 		}
 		addresses[i] = conn.LocalAddr().(*net.UDPAddr)
-		transports = append(transports, &PeerTransport{Number: i, Conn: conn, Addresses: map[int]*net.UDPAddr{}, OnError: func(err error) { failures <- err },
+		transports = append(transports, &PeerTransport{Number: i, Conn: conn, Addresses: map[int]*net.UDPAddr{},
+			OnError:       func(err error) { failures <- err },
 			OnPeerMessage: func(from int, text string) { got <- fmt.Sprint(from, ">", i, " ", text) }})
 	}
 	for i, p := range transports {
--- a/internal/control/lines.go
+++ b/internal/control/lines.go
@@ -22,6 +22,7 @@
 	err       error
 }
 
+// newLineParser returns a parser of a line.
 func newLineParser(line string) *lineParser { return &lineParser{remaining: strings.Fields(line)} }
 
 // word reads the next word. In this and the other methods, what names the field in error messages.
@@ -92,7 +93,7 @@
 	maxVersion = math.MaxInt64 // upper bound of epochs and versions of the node list
 )
 
-// Words of the protocol, indexed by the values of balance.Health, balance.Phase and balance.Verdict.
+// healthNames, phaseNames and verdictNames are words of the protocol, indexed by the values of balance.Health, balance.Phase and balance.Verdict.
 var healthNames = []string{"serving", "draining", "gone"}
 var phaseNames = []string{"trial", "back", "released", "withdrawn"}
 var verdictNames = []string{"none", "on", "hold", "back"}
@@ -116,6 +117,7 @@
 	remaining int // bytes that may still be read
 }
 
+// Read reads from the connection, at most as many bytes as remain.
 func (b *boundedConn) Read(p []byte) (int, error) {
 	if b.remaining <= 0 {
 		return 0, fmt.Errorf("line longer than %d bytes", MaxLineBytes)
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -129,6 +129,7 @@
 	}
 }
 
+// session handles one connection: it sends what was requested and delivers the lists that arrive, until an error.
 func (r *RegistryClient) session(_ context.Context, nc net.Conn) error {
 	conn := NewLineConn(nc)
 	if err := conn.PrintfLine("HELLO %d", r.Number); err != nil {
@@ -246,8 +247,7 @@
 }
 
 // failLater reports a request that could not be sent as failed, after a random delay of 10 to 50 ms, as if the registry
-// had answered. A request that a new connection has taken up meanwhile has not failed.
-
+// had answered. A request that a new connection has sent in the meantime has not failed.
 func (r *RegistryClient) failLater() {
 	time.AfterFunc(time.Duration(10+rand.IntN(40))*time.Millisecond, func() {
 		r.mu.Lock()
--- a/internal/control/rollout.go
+++ b/internal/control/rollout.go
@@ -64,6 +64,7 @@
 	KeepConnected(ctx, "conveyor", c.Address, c.InitialBackoff, c.MaxBackoff, c.Log, c.session)
 }
 
+// session handles one connection and the lines that arrive on it, until an error.
 func (c *RolloutClient) session(_ context.Context, nc net.Conn) error {
 	conn := NewLineConn(nc)
 	if err := conn.PrintfLine("HELLO %d", c.Number); err != nil {
