--- a/internal/rest/rest.go
+++ b/internal/rest/rest.go
@@ -126,10 +126,11 @@
 	timeout time.Duration
 }
 
-// finalReadTimeout is the time for one more read after a time-out. If this process was stalled, the deadline has passed
+// finalReadTimeout is the time for one more read after a timeout. If this process was stalled, the deadline has passed
 // although data arrived in time.
 const finalReadTimeout = 20 * time.Millisecond
 
+// Read reads from the connection, a second time if the deadline passed without data.
 func (r *idleTimeoutReader) Read(b []byte) (int, error) {
 	r.nc.SetReadDeadline(time.Now().Add(r.timeout))
 	n, err := r.nc.Read(b)
--- a/internal/rest/rest_test.go
+++ b/internal/rest/rest_test.go
@@ -93,11 +93,12 @@
 
 // A stream that stops sending times out, at whatever point it stops.
 func TestSilentStream(t *testing.T) {
-	for name, pieces := range map[string][]string{"after its head": nil, "after an object": {"{}\n"}, "within an object": {"{\"a\":"}} {
+	for name, pieces := range map[string][]string{"after its head": nil, "after an object": {"{}\n"},
+		"within an object": {"{\"a\":"}} {
 		start := time.Now()
 		_, err := follow(t, 100*time.Millisecond, true, pieces...)
 		if took := time.Since(start); !errors.Is(err, os.ErrDeadlineExceeded) || took < 100*time.Millisecond || took > time.Second {
-			t.Errorf("%s: error %v after %v; want a time-out after 100 ms to 1 s", name, err, took)
+			t.Errorf("%s: error %v after %v; want a timeout after 100 ms to 1 s", name, err, took)
 		}
 	}
 }
