--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -109,21 +109,25 @@
 		}
 		return getenv(environmentVariables[name])
 	}
-	c := &Config{now: time.Now, wallClock: time.Now, ModuleSettings: brief.Decode(j.Get("settings")), DiscoveryAddress: value("discovery"),
-		ReleaseAPIAddress: j.Get("release_api.address").Str, Cores: j.Get("limits.cores").Num, MemoryMB: j.Get("limits.memory_mb").Num,
+	c := &Config{now: time.Now, wallClock: time.Now, ModuleSettings: brief.Decode(j.Get("settings")),
+		DiscoveryAddress: value("discovery"), ReleaseAPIAddress: j.Get("release_api.address").Str,
+		Cores: j.Get("limits.cores").Num, MemoryMB: j.Get("limits.memory_mb").Num,
 		initialRelease: j.Get("release_api.news"), knownList: j.Get("known"), peerListen: j.Get("peer_listen").Str,
 		allPeersAddress: j.Get("peers_all").Str}
-	for name, least := range map[string]float64{"limits.sockets": connlimit.MinDescriptors, "limits.memory_mb": 8, "limits.cores": 0.001} {
+	for name, least := range map[string]float64{"limits.sockets": connlimit.MinDescriptors, "limits.memory_mb": 8,
+		"limits.cores": 0.001} {
 		if v := j.Get(name).Num; v < least {
 			return nil, fmt.Errorf("%s: %v is too little: at least %v", name, v, least)
 		}
 	}
 	for name, variable := range environmentVariables {
 		if other := getenv(variable); other != "" && j.Get(name).Exists() && other != j.Get(name).Str {
-			c.EnvironmentConflicts = append(c.EnvironmentConflicts, fmt.Sprintf("%s is %q, but the configuration has %q", variable, other, j.Get(name).Str))
+			c.EnvironmentConflicts = append(c.EnvironmentConflicts,
+				fmt.Sprintf("%s is %q, but the configuration has %q", variable, other, j.Get(name).Str))
 		}
 	}
-	for _, address := range map[string]string{"listen": value("listen"), "discovery": c.DiscoveryAddress, "release_api.address": c.ReleaseAPIAddress} {
+	for _, address := range map[string]string{"listen": value("listen"), "discovery": c.DiscoveryAddress,
+		"release_api.address": c.ReleaseAPIAddress} {
 		if _, _, err := net.SplitHostPort(address); err != nil {
 			return nil, fmt.Errorf("%.60q is not host:port", address)
 		}
@@ -176,7 +180,8 @@
 		Limits: &settings.Limits{Connections: uint32(clients), Open: uint32(clients), Queue: uint32(clients), LineBytes: 4096,
 			HeaderBytes: 16 << 10, RepeatBodyBytes: maxBodyBytes + 1, HeldAnswerBytes: maxBodyBytes + 1, IdlePerNode: uint32(nodes),
 			Probes: true, ProbePath: "/load"},
-		Times: &settings.Times{HeaderMs: firstRequestMs, BodyMs: firstRequestMs, WriteMs: 1000, IdleMs: clientIdleMs, DialMs: orDefault(number("limits.dial-timeout-ms"), defaultCallTimeoutMs),
+		Times: &settings.Times{HeaderMs: firstRequestMs, BodyMs: firstRequestMs, WriteMs: 1000, IdleMs: clientIdleMs,
+			DialMs:     orDefault(number("limits.dial-timeout-ms"), defaultCallTimeoutMs),
 			NodeIdleMs: number("limits.conn-idle-ms") * 0.9, AnswerMs: 5},
 		Roster: &settings.Roster{}, Conveyor: &settings.Conveyor{}, Record: &settings.Record{},
 		Rules:   &settings.Rules{GraceMs: number("rules.stop-sending-within-ms")},
--- a/internal/platform/discovery.go
+++ b/internal/platform/discovery.go
@@ -18,7 +18,7 @@
 	"arrowcleat/internal/rest"
 )
 
-// Time-outs of streams that bring no data. An update that an unresponsive stream misses counts as delivered 6 s after
+// Timeouts of streams that bring no data. An update that an unresponsive stream misses counts as delivered 6 s after
 // the stream stopped; within that time the marshal must detect it, reconnect and read the whole list. A keep-alive that
 // is late by more than half of its period may be taken for missing.
 const (
@@ -115,7 +115,8 @@
 }
 
 // healthByName maps discovery's health values.
-var healthByName = map[string]balance.Health{"in_service": balance.Serving, "terminating": balance.Draining, "terminated": balance.Gone}
+var healthByName = map[string]balance.Health{"in_service": balance.Serving,
+	"terminating": balance.Draining, "terminated": balance.Gone}
 
 // entries converts a list. An invalid entry is skipped.
 func (r *listReader) entries(list gjson.Result) (entries []control.NodeEntry, err error) {
@@ -169,12 +170,12 @@
 const minAgeMs = 1
 
 // ageMs returns a lower bound of the age of a node, from the wall-clock time of its start. The wall clock may be
-// stepped while the marshal runs, before or after the node started. The lesser age by the wall clock and by the steady
-// clock counts, and a start in the future counts as now. A node whose age is overestimated would get too much load
+// stepped while the marshal runs, before or after the node started. The lesser age by the wall clock and by the
+// monotonic clock counts, and a start in the future counts as now. A node whose age is overestimated would get too much load
 // while it is warming up.
 func (r *listReader) ageMs(bornMs int64) float64 {
-	byWallClock, bySteadyClock := r.wallClock().UnixMilli()-bornMs, r.now().UnixMilli()-bornMs
-	return max(minAgeMs, float64(min(byWallClock, bySteadyClock)))
+	byWallClock, byMonotonicClock := r.wallClock().UnixMilli()-bornMs, r.now().UnixMilli()-bornMs
+	return max(minAgeMs, float64(min(byWallClock, byMonotonicClock)))
 }
 
 // DiscoveryClient follows discovery's list of nodes.
--- a/internal/platform/discovery_test.go
+++ b/internal/platform/discovery_test.go
@@ -76,7 +76,8 @@
 func startClient(t *testing.T, address string) (*DiscoveryClient, chan string) {
 	lists := make(chan string, 20)
 	log := slog.New(slog.DiscardHandler)
-	client := &DiscoveryClient{endpoint: endpoint{address: address}, Log: log, reader: &listReader{&nameTable{zones: []string{"a", "b"}}, time.Now, time.Now, log},
+	client := &DiscoveryClient{endpoint: endpoint{address: address}, Log: log,
+		reader: &listReader{&nameTable{zones: []string{"a", "b"}}, time.Now, time.Now, log},
 		OnNodesListed: func(whole bool, entries []control.NodeEntry) {
 			text := fmt.Sprint(whole)
 			for _, e := range entries {
@@ -124,7 +125,8 @@
 		t.Error(c.target)
 	}
 	c.send("\n")
-	c.send(listText(41, true, host("x", "a", "in_service", 3), host("y", "b", "odd", 3), `{"host":"z","dial":"nowhere","health":"in_service","build":1}`,
+	c.send(listText(41, true, host("x", "a", "in_service", 3), host("y", "b", "odd", 3),
+		`{"host":"z","dial":"nowhere","health":"in_service","build":1}`,
 		`{"host":"w","dial":"10.0.0.1:70","health":"in_service"}`, host("v", "c", "terminating", 3)))
 	expect(t, lists, "true 1:10.0.0.1:70/3/0/0 2:10.0.0.1:70/3/1/2")
 	c.send(listText(43, false, host("x", "a", "terminated", 3)))
@@ -224,8 +226,10 @@
 // Nodes with an unknown zone or cell share it with no other node.
 func TestUnknownZonesAndCells(t *testing.T) {
 	r := &listReader{&nameTable{zones: []string{"a"}}, time.Now, time.Now, slog.New(slog.DiscardHandler)}
-	entries, err := r.entries(gjson.Parse(listText(1, true, host("x", "p", "in_service", 1), host("y", "q", "in_service", 1), host("z", "a", "in_service", 1))))
-	if err != nil || entries[0].Zone == entries[1].Zone || entries[0].Zone == 0 || entries[2].Zone != 0 || entries[0].Cell == entries[1].Cell || entries[0].Size != 1 {
+	entries, err := r.entries(gjson.Parse(listText(1, true, host("x", "p", "in_service", 1),
+		host("y", "q", "in_service", 1), host("z", "a", "in_service", 1))))
+	if err != nil || entries[0].Zone == entries[1].Zone || entries[0].Zone == 0 || entries[2].Zone != 0 ||
+		entries[0].Cell == entries[1].Cell || entries[0].Size != 1 {
 		t.Errorf("entries %+v, error %v", entries, err)
 	}
 	r.names.zones = nil
@@ -271,15 +275,17 @@
 	for name, c := range map[string]struct {
 		step   time.Duration
 		before bool // the node started before the step
-	}{"forward after": {hour, true}, "forward before": {hour, false}, "back after": {-hour, true}, "back before": {-hour, false}, "none": {0, true}} {
-		now := start.Add(time.Minute) // by the steady clock
+	}{"forward after": {hour, true}, "forward before": {hour, false},
+		"back after": {-hour, true}, "back before": {-hour, false}, "none": {0, true}} {
+		now := start.Add(time.Minute) // by the monotonic clock
 		wall := now.Add(c.step)
 		born := now.Add(-age)
 		if !c.before {
 			born = wall.Add(-age)
 		}
 		r := &listReader{&nameTable{}, func() time.Time { return now }, func() time.Time { return wall }, slog.New(slog.DiscardHandler)}
-		e, err := r.entry(gjson.Parse(fmt.Sprintf(`{"host":"a","dial":"127.0.0.1:1","health":"in_service","build":7,"born_ms":%d}`, born.UnixMilli())))
+		e, err := r.entry(gjson.Parse(fmt.Sprintf(
+			`{"host":"a","dial":"127.0.0.1:1","health":"in_service","build":7,"born_ms":%d}`, born.UnixMilli())))
 		if err != nil || e.UptimeMs < minAgeMs || e.UptimeMs > float64(age.Milliseconds()) {
 			t.Errorf("%s: uptime %v ms, error %v; want %v ms at most", name, e.UptimeMs, err, age.Milliseconds())
 		}
--- a/internal/platform/endpoint.go
+++ b/internal/platform/endpoint.go
@@ -11,12 +11,13 @@
 	"arrowcleat/internal/control"
 )
 
-// Bounds of the jittered backoff between connections. maxBackoff is also the time-out for connecting.
+// Bounds of the jittered backoff between connections. maxBackoff is also the timeout for connecting.
 const (
 	initialBackoff = 20 * time.Millisecond
 	maxBackoff     = 500 * time.Millisecond
 )
 
+// errSuperseded ends a session that may not deliver any more.
 var errSuperseded = errors.New("superseded by a session with a newer address")
 
 // endpoint is a server whose address can change. A session with the previous address continues until the first message
@@ -34,7 +35,7 @@
 	number   int // counted from 1; a session with a newer address has a higher number
 	address  string
 	cancel   context.CancelFunc
-	previous *session // with the address before, until it is cancelled
+	previous *session // with the address before, until it is canceled
 }
 
 // SetAddress changes the address.
@@ -50,6 +51,7 @@
 	}
 }
 
+// currentAddress returns the address that applies now.
 func (e *endpoint) currentAddress() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/platform/peers.go
+++ b/internal/platform/peers.go
@@ -75,7 +75,7 @@
 	}
 }
 
-// SendToPeer sends a message to one marshal, or to all with balance.Everyone. A message that is too long is not sent.
+// SendToPeer sends a message to one marshal, or to all with balance.AllPeers. A message that is too long is not sent.
 func (p *PeerTransport) SendToPeer(to int, text string) {
 	address := p.allPeers
 	if to != balance.AllPeers {
--- a/internal/platform/platform.go
+++ b/internal/platform/platform.go
@@ -44,7 +44,8 @@
 	}
 	m := &Marshal{terminateAfterMs: c.killDelayMs() - terminateBeforeKillMs}
 	hooks.Transport = &serve.Transport{
-		ProtocolOptions:  front.ProtocolOptions{ParseRequest: c.readRequest, HealthPath: "/healthz", MaxBodyBytes: maxBodyBytes, FirstRequestTimeoutMs: firstRequestMs, RetryAfter: c.retryAfter, DropInterimResponses: true},
+		ProtocolOptions: front.ProtocolOptions{ParseRequest: c.readRequest, HealthPath: "/healthz", MaxBodyBytes: maxBodyBytes,
+			FirstRequestTimeoutMs: firstRequestMs, RetryAfter: c.retryAfter, DropInterimResponses: true},
 		ModuleSettings:   c.ModuleSettings,
 		KnownNodes:       known,
 		FirstListTimeout: firstListMs * time.Millisecond,
@@ -52,11 +53,13 @@
 		ReuseDelay:       reuseDelayMs * time.Millisecond,
 		ReportNames:      reportNames,
 		NewRegistry: func(onNodesListed func(bool, []control.NodeEntry), _ func()) serve.Registry {
-			m.discovery = &DiscoveryClient{endpoint: endpoint{address: c.DiscoveryAddress}, Log: log, OnNodesListed: onNodesListed, reader: c.newListReader(log)}
+			m.discovery = &DiscoveryClient{endpoint: endpoint{address: c.DiscoveryAddress}, Log: log,
+				OnNodesListed: onNodesListed, reader: c.newListReader(log)}
 			return m.discovery
 		},
 		NewRolloutService: func(onStageUpdate StageUpdateFunc, onVoteFailed func(balance.Outcome)) serve.RolloutService {
-			m.rollout = &RolloutClient{endpoint: endpoint{address: c.ReleaseAPIAddress}, Log: log, OnStageUpdate: onStageUpdate, OnVoteFailed: onVoteFailed,
+			m.rollout = &RolloutClient{endpoint: endpoint{address: c.ReleaseAPIAddress}, Log: log,
+				OnStageUpdate: onStageUpdate, OnVoteFailed: onVoteFailed,
 				VoteTimeout: time.Duration(c.Settings.Rollout.VoteTimeoutMs * float64(time.Millisecond))}
 			if c.initialRelease.IsObject() {
 				if err := parseState(c.initialRelease, false, m.rollout.publish); err != nil {
@@ -111,7 +114,7 @@
 	return m.Stop()
 }
 
-// stateTimeout is the time-out of LogState for a worker's loop, short because its caller also handles signals.
+// stateTimeout is the timeout of LogState for a worker's loop, short because its caller also handles signals.
 const stateTimeout = 100 * time.Millisecond
 
 // LogState logs the state of the marshal at debug level: the counts of invocations and their results, and for each node
@@ -132,7 +135,9 @@
 		}
 	}
 	slices.Sort(nodes)
-	m.Log.Debug("view", "taken", state.Accepted, "succeeded", state.Succeeded, "throttled", state.Throttled, "terminated", state.Terminated,
-		"lapsed", state.ClientTimeouts, "open", state.Open, "dispatches", state.Dispatches, "endings", fmt.Sprint(state.Outcomes), "ver", state.Ver, "stage", state.Stage,
-		"cap", state.Cap, "requests", &m.Front.Counters, "violations", fmt.Sprintf("%+v", state.Violations), "refused_behind", m.RejectedArrivals(), "goroutines", runtime.NumGoroutine(), "nodes", strings.Join(nodes, " "))
+	m.Log.Debug("view", "taken", state.Accepted, "succeeded", state.Succeeded, "throttled", state.Throttled,
+		"terminated", state.Terminated, "lapsed", state.ClientTimeouts, "open", state.Open, "dispatches", state.Dispatches,
+		"endings", fmt.Sprint(state.Outcomes), "ver", state.Ver, "stage", state.Stage, "cap", state.Cap,
+		"requests", &m.Front.Counters, "violations", fmt.Sprintf("%+v", state.Violations),
+		"refused_behind", m.RejectedArrivals(), "goroutines", runtime.NumGoroutine(), "nodes", strings.Join(nodes, " "))
 }
--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -81,8 +81,8 @@
 		{`"memory_mb":64`, `"memory_mb":0`}:         "limits.memory_mb: 0 is too little: at least 8",
 		{`{"name":"n0"`, `"name":"n0"`}:             "not valid JSON",
 	} {
-		if _, err := parse(strings.Replace(good, change[0], change[1], 1), emptyEnv); err == nil || !strings.Contains(err.Error(), want) ||
-			strings.Contains(err.Error(), "\n") {
+		if _, err := parse(strings.Replace(good, change[0], change[1], 1), emptyEnv); err == nil ||
+			!strings.Contains(err.Error(), want) || strings.Contains(err.Error(), "\n") {
 			t.Errorf("%q replaced by %q: error %v; want one line with %q", change[0], change[1], err, want)
 		}
 	}
@@ -132,7 +132,8 @@
 	}
 	partial := strings.NewReplacer(`"listen":"127.0.0.1:1",`, "", `"discovery":"127.0.0.1:2",`, "").Replace(good)
 	c, err = parse(partial, getenv)
-	if err != nil || c.DiscoveryAddress != "127.0.0.1:9" || c.Settings.Listen.Invocations != "127.0.0.1:1" || len(c.EnvironmentConflicts) != 1 {
+	if err != nil || c.DiscoveryAddress != "127.0.0.1:9" || c.Settings.Listen.Invocations != "127.0.0.1:1" ||
+		len(c.EnvironmentConflicts) != 1 {
 		t.Errorf("%v, %v", err, c)
 	}
 	variables["GW_LISTEN"] = "nowhere"
@@ -159,7 +160,7 @@
 		"no models":        change(`"models":["m1","m2"],`, ``),
 		"no limits":        change(`"limits":{"most-tries":3,"may-tell":true,"conn-idle-s":30.0,"dial-timeout-s":0.25},`, ``),
 		"no rules":         change(`"rules":{"stop-sending-within-s":0.5,"warm-up-s":3.0},`, ``),
-		"no call time-out": change(`"api-timeout-s":0.3,`, ``),
+		"no call timeout":  change(`"api-timeout-s":0.3,`, ``),
 		"no release":       change(`"news":{`, `"other":{`),
 		"largest seed":     change(`8c1f30d27a5be964`, `ffffffffffffffff`),
 		"short deadline":   change(`"deadline-s":1.0`, `"deadline-s":0.03`),
@@ -172,10 +173,11 @@
 			continue
 		}
 		times := c.Settings.Times
-		if times.DialMs <= 0 || c.Settings.Rollout.VoteTimeoutMs <= 0 || len(c.Settings.Zone) == 0 || c.Settings.Limits.Connections == 0 {
+		if times.DialMs <= 0 || c.Settings.Rollout.VoteTimeoutMs <= 0 || len(c.Settings.Zone) == 0 ||
+			c.Settings.Limits.Connections == 0 {
 			t.Errorf("%s: %v", name, c.Settings)
 		}
-		balance.New(&silentHost{}, c.ModuleSettings, c.Settings.Seed).NodesListed(true, []balance.Node{{ID: 1, Ver: 1}})
+		balance.New(&noopHost{}, c.ModuleSettings, c.Settings.Seed).NodesListed(true, []balance.Node{{ID: 1, Ver: 1}})
 	}
 	c := config(t, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3", "127.0.0.1:4")
 	for _, class := range []string{"look", "look-up", "a/b", "50%", "ü b", "%2f"} {
@@ -190,27 +192,28 @@
 	}
 }
 
-// silentHost is a balance.Host that does nothing.
-type silentHost struct{}
+// noopHost is a balance.Host that does nothing. Its clock stands at 1e6 ms.
+type noopHost struct{}
 
-func (silentHost) Now() float64                     { return 1e6 }
-func (silentHost) Dispatch(string, uint32, float64) {}
-func (silentHost) Cancel(string, int)               {}
-func (silentHost) Throttle(string, float64)         {}
-func (silentHost) Terminate(string)                 {}
-func (silentHost) Probe(uint32)                     {}
-func (silentHost) FetchNodes()                      {}
-func (silentHost) WatchNodes(bool)                  {}
-func (silentHost) Vote(int, int, balance.Verdict)   {}
-func (silentHost) SetTimer(float64, int64)          {}
-func (silentHost) SendToPeer(int, string)           {}
-func (silentHost) Log(string)                       {}
+func (noopHost) Now() float64                     { return 1e6 }
+func (noopHost) Dispatch(string, uint32, float64) {}
+func (noopHost) Cancel(string, int)               {}
+func (noopHost) Throttle(string, float64)         {}
+func (noopHost) Terminate(string)                 {}
+func (noopHost) Probe(uint32)                     {}
+func (noopHost) FetchNodes()                      {}
+func (noopHost) WatchNodes(bool)                  {}
+func (noopHost) Vote(int, int, balance.Verdict)   {}
+func (noopHost) SetTimer(float64, int64)          {}
+func (noopHost) SendToPeer(int, string)           {}
+func (noopHost) Log(string)                       {}
 
 // A state that is older than the latest one is dropped; if it is the answer to a vote, the latest state is reported in
 // its place.
 func TestOutdatedState(t *testing.T) {
 	var got string
-	c := &RolloutClient{VoteTimeout: time.Second, OnStageUpdate: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
+	c := &RolloutClient{VoteTimeout: time.Second, OnStageUpdate: func(ver, stage int, phase balance.Phase, cap, age float64,
+		reply bool) {
 		got = fmt.Sprintf("%d/%d/%d/%v/%v", ver, stage, phase, cap, reply)
 	}}
 	for i, x := range []struct {
@@ -255,7 +258,8 @@
 func (s *testbed) list(seq int) string {
 	var hosts []string
 	for i, n := range s.nodes {
-		hosts = append(hosts, fmt.Sprintf(`{"host":"s-%d","dial":%q,"site":"there","class":"m2","block":0,"health":"in_service","share":1,"born_ms":0,"build":7}`, i, n.Addr()))
+		hosts = append(hosts, fmt.Sprintf(
+			`{"host":"s-%d","dial":%q,"site":"there","class":"m2","block":0,"health":"in_service","share":1,"born_ms":0,"build":7}`, i, n.Addr()))
 	}
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`+"\n", seq, strings.Join(hosts, ","))
 }
@@ -305,7 +309,8 @@
 	}
 	s.discovery, s.newDiscovery = httptest.NewServer(follow(s.list(4))), httptest.NewServer(follow(s.list(5)))
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET "+apiBase+"/events", follow(`{"type":"ROLLOUT","object":{"Revision":7,"Wave":1,"State":"live","MaxShare":1,"AgeMs":5}}`+"\n{}\n"))
+	mux.HandleFunc("GET "+apiBase+"/events", follow(
+		`{"type":"ROLLOUT","object":{"Revision":7,"Wave":1,"State":"live","MaxShare":1,"AgeMs":5}}`+"\n{}\n"))
 	mux.HandleFunc("POST "+apiBase+"/votes", func(w http.ResponseWriter, q *http.Request) {
 		s.mu.Lock()
 		s.votes++
@@ -396,7 +401,7 @@
 	}
 }
 
-// A valid answer to a vote gives its outcome; an invalid one counts as a time-out.
+// A valid answer to a vote gives its outcome; an invalid one counts as a timeout.
 func TestVotes(t *testing.T) {
 	s := startTestbed(t)
 	answer := func(status int, body string) func(http.ResponseWriter) {
@@ -419,7 +424,8 @@
 	}
 	s.vote = func(number int, w http.ResponseWriter) { cases[number-1].answer(w) }
 	updates := 0
-	c := &RolloutClient{endpoint: endpoint{address: hostPort(s.api)}, VoteTimeout: 300 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+	c := &RolloutClient{endpoint: endpoint{address: hostPort(s.api)}, VoteTimeout: 300 * time.Millisecond,
+		Log: slog.New(slog.DiscardHandler),
 		OnStageUpdate: func(ver, stage int, phase balance.Phase, cap, age float64, reply bool) {
 			if updates++; ver != 7 || stage != 1 || phase != balance.OnTrial || cap != 0.28 || age != 310 || !reply {
 				t.Error("reported", ver, stage, phase, cap, age, reply)
--- a/internal/platform/rollout.go
+++ b/internal/platform/rollout.go
@@ -26,7 +26,8 @@
 	voteErrors = map[int]struct {
 		code    string
 		outcome balance.Outcome
-	}{429: {"BUSY", balance.Rejected}, 409: {"STALE", balance.Ignored}, 500: {"FAILED", balance.Failed}, 400: {"SYNTAX", balance.Failed}}
+	}{429: {"BUSY", balance.Rejected}, 409: {"STALE", balance.Ignored}, 500: {"FAILED", balance.Failed},
+		400: {"SYNTAX", balance.Failed}}
 )
 
 // StageUpdateFunc receives the rollout state of the newest build. reply is true for the answer to a vote.
@@ -63,7 +64,8 @@
 	if s.ver != other.ver {
 		return s.ver < other.ver
 	}
-	earlier := phaseOrder[s.phase] < phaseOrder[other.phase] || s.phase == balance.OnTrial && other.phase == balance.OnTrial && s.stage < other.stage
+	earlier := phaseOrder[s.phase] < phaseOrder[other.phase] ||
+		s.phase == balance.OnTrial && other.phase == balance.OnTrial && s.stage < other.stage
 	return earlier && s.since.Before(other.since.Add(voteTimeout))
 }
 
@@ -120,7 +122,8 @@
 	if phase < 0 || j.Get("MaxShare").Num > 1 {
 		return fmt.Errorf("release API: invalid State or MaxShare in %.120q", j.Raw)
 	}
-	update(int(j.Get("Revision").Int()), int(j.Get("Wave").Int()), balance.Phase(phase), j.Get("MaxShare").Num, j.Get("AgeMs").Num, reply)
+	update(int(j.Get("Revision").Int()), int(j.Get("Wave").Int()), balance.Phase(phase),
+		j.Get("MaxShare").Num, j.Get("AgeMs").Num, reply)
 	return nil
 }
 
@@ -134,7 +137,7 @@
 }
 
 // sendVote sends a vote and publishes the state in its answer. An answer that can't be understood leaves the result of
-// the vote open, like a time-out.
+// the vote open, like a timeout.
 func (c *RolloutClient) sendVote(ver, stage int, verdict balance.Verdict) balance.Outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), c.VoteTimeout)
 	defer cancel()
