--- a/internal/back/back_test.go
+++ b/internal/back/back_test.go
@@ -102,7 +102,8 @@
 			wg.Go(func() { io.Copy(io.Discard, bufio.NewReader(c)) })
 		}
 	})
-	p := &Pool{Limits: h1.Limits{LineBytes: 100, HeaderBytes: 100}, DialTimeout: time.Second, IdleTimeout: 60 * time.Millisecond, MaxIdlePerNode: 2}
+	p := &Pool{Limits: h1.Limits{LineBytes: 100, HeaderBytes: 100}, DialTimeout: time.Second,
+		IdleTimeout: 60 * time.Millisecond, MaxIdlePerNode: 2}
 	defer func() {
 		p.Close()
 		ln.Close()
