--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -39,7 +39,8 @@
 	})
 }
 
-// FuzzHandleLine checks that a line from the rollout service calls a callback with values in range, or is an error and calls none.
+// FuzzHandleLine checks that a line from the rollout service calls a callback with values in range, or is an error and
+// calls none.
 func FuzzHandleLine(f *testing.F) {
 	for _, s := range []string{"STAGE 2 0 trial 0.1 5", "VOTED 1 ok 2 0 trial 0.1 5", "VOTED 1 busy",
 		"TALLY 2 0 10 1 5 5", "FLAG 1 0 5"} {
@@ -205,8 +206,8 @@
 	})
 	failed := make(chan bool, 10)
 	r := &RegistryClient{Address: s.ln.Addr().String(), WatchOnDemand: true, InitialBackoff: time.Millisecond,
-		MaxBackoff: 10 * time.Millisecond,
-		Log:        slog.New(slog.DiscardHandler), OnNodesListed: func(bool, []NodeEntry) {}, OnNodeListFailed: func() { failed <- true }}
+		MaxBackoff: 10 * time.Millisecond, Log: slog.New(slog.DiscardHandler),
+		OnNodesListed: func(bool, []NodeEntry) {}, OnNodeListFailed: func() { failed <- true }}
 	r.Fetch() // not connected yet
 	<-failed
 	run(t, r.Run)
--- a/internal/control/lines.go
+++ b/internal/control/lines.go
@@ -93,7 +93,8 @@
 	maxVersion = math.MaxInt64 // upper bound of epochs and versions of the node list
 )
 
-// healthNames, phaseNames and verdictNames are words of the protocol, indexed by the values of balance.Health, balance.Phase and balance.Verdict.
+// healthNames, phaseNames and verdictNames are words of the protocol, indexed by the values of balance.Health,
+// balance.Phase and balance.Verdict.
 var healthNames = []string{"serving", "draining", "gone"}
 var phaseNames = []string{"trial", "back", "released", "withdrawn"}
 var verdictNames = []string{"none", "on", "hold", "back"}
