--- a/internal/platform/platform_test.go
+++ b/internal/platform/platform_test.go
@@ -259,7 +259,8 @@
 	var hosts []string
 	for i, n := range s.nodes {
 		hosts = append(hosts, fmt.Sprintf(
-			`{"host":"s-%d","dial":%q,"site":"there","class":"m2","block":0,"health":"in_service","share":1,"born_ms":0,"build":7}`, i, n.Addr()))
+			`{"host":"s-%d","dial":%q,"site":"there","class":"m2","block":0,"health":"in_service","share":1,"born_ms":0,"build":7}`,
+			i, n.Addr()))
 	}
 	return fmt.Sprintf(`{"seq":%d,"whole":true,"hosts":[%s]}`+"\n", seq, strings.Join(hosts, ","))
 }
