--- a/internal/settings/load.go
+++ b/internal/settings/load.go
@@ -309,7 +309,8 @@
 		c.checkRange("instance.cores", float64(s.Instance.Cores), 1, 64, "")
 	}
 	if s.Instance.Number >= s.Instance.Marshals && s.Instance.Marshals > 0 {
-		c.report("AC307", "instance.number", "%d is out of range: %d marshals are numbered from 0", s.Instance.Number, s.Instance.Marshals)
+		c.report("AC307", "instance.number", "%d is out of range: %d marshals are numbered from 0",
+			s.Instance.Number, s.Instance.Marshals)
 	}
 	c.checkAddress("listen.invocations", s.Listen.Invocations)
 	if len(s.Zone) == 0 {
@@ -426,7 +427,7 @@
 		}
 		lineByName[o.Name] = c.lineOf(at + "name")
 		if len(o.Match) == 0 {
-			c.report("AC301", at+"match", `missing; say which requests it takes: match { method: "GET" path: "/..." }`)
+			c.report("AC301", at+"match", `missing; specify which requests it matches: match { method: "GET" path: "/..." }`)
 		}
 		for j, m := range o.Match {
 			if !strings.HasPrefix(m.Path, "/") {
--- a/internal/settings/pools.go
+++ b/internal/settings/pools.go
@@ -82,7 +82,8 @@
 		c.checkOverridable("", s.Roster, s.Conveyor, s.Rules, s.Rollout)
 		for i, o := range s.Operation {
 			if o.Pool != "" {
-				c.report("AC307", fmt.Sprintf("operation[%d].pool", i), "no pool is called %s; describe it: pool { name: %q roster { ... } }", o.Pool, o.Pool)
+				c.report("AC307", fmt.Sprintf("operation[%d].pool", i),
+					"no pool is called %s; describe it: pool { name: %q roster { ... } }", o.Pool, o.Pool)
 			}
 		}
 		return
@@ -108,8 +109,8 @@
 		c.checkOverridable(prefix, p.Roster, p.Conveyor, p.Rules, p.Rollout)
 	}
 	// The top-level blocks that pools share are checked once.
-	c.checkOverridable("", ifWritten(c.written["roster"], s.Roster), ifWritten(c.written["conveyor"], s.Conveyor), ifWritten(c.written["rules"], s.Rules),
-		ifWritten(c.written["rollout"], s.Rollout))
+	c.checkOverridable("", ifWritten(c.written["roster"], s.Roster), ifWritten(c.written["conveyor"], s.Conveyor),
+		ifWritten(c.written["rules"], s.Rules), ifWritten(c.written["rollout"], s.Rollout))
 	used, allAssigned := map[string]bool{}, true
 	for i, o := range s.Operation {
 		at := fmt.Sprintf("operation[%d].pool", i)
@@ -126,7 +127,8 @@
 	}
 	for i, name := range names {
 		if allAssigned && !used[name] && name != "" {
-			c.report("AC404", fmt.Sprintf("pool[%d].name", i), "no operation goes to the pool %s; remove it, or name it in an operation", name)
+			c.report("AC404", fmt.Sprintf("pool[%d].name", i),
+				"no operation goes to the pool %s; remove it, or name it in an operation", name)
 		}
 	}
 }
@@ -148,7 +150,8 @@
 	for i, o := range c.s.Operation {
 		for j, name := range o.Listener {
 			if !slices.Contains(names, name) {
-				c.report("AC307", fmt.Sprintf("operation[%d].listener[%d]", i, j), "no listener is called %s%s", name, suggestion(name, names))
+				c.report("AC307", fmt.Sprintf("operation[%d].listener[%d]", i, j),
+					"no listener is called %s%s", name, suggestion(name, names))
 			}
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -91,7 +91,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for request, want := range map[string]int{"GET /look/1": 0, "POST /look/1": -1, "GET /look": -1, "PUT /book": 1, "GET /book/1": -1} {
+	for request, want := range map[string]int{"GET /look/1": 0, "POST /look/1": -1, "GET /look": -1,
+		"PUT /book": 1, "GET /book/1": -1} {
 		method, path, _ := strings.Cut(request, " ")
 		if got := s.FindOperation(MainListener, method, path); got != want {
 			t.Errorf("%s: got operation %d, want %d", request, got, want)
