--- a/internal/lang/compile.go
+++ b/internal/lang/compile.go
@@ -26,7 +26,8 @@
 	c := newCompiler(read)
 	c.include(path, nil, nil)
 	if len(c.diagnostics) == 0 && len(c.statements) == 0 {
-		c.report(c.locate(""), "AC009", "the file contains no settings: it is empty or has only comments", "docs/language.md begins with the shortest working file")
+		c.report(c.locate(""), "AC009", "the file contains no settings: it is empty or has only comments",
+			"docs/language.md begins with the shortest working file")
 	}
 	if len(c.diagnostics) == 0 {
 		c.collectDefinitions()
@@ -36,7 +37,8 @@
 		c.checkSettings()
 	}
 	slices.SortStableFunc(c.diagnostics, func(a, b *Diagnostic) int {
-		return cmp.Or(cmp.Compare(c.fileOrder[a.File], c.fileOrder[b.File]), cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
+		return cmp.Or(cmp.Compare(c.fileOrder[a.File], c.fileOrder[b.File]),
+			cmp.Compare(a.Line, b.Line), cmp.Compare(a.Column, b.Column))
 	})
 	if slices.ContainsFunc(c.diagnostics, func(d *Diagnostic) bool { return !d.Warning }) {
 		return nil, c.diagnostics
@@ -54,8 +56,10 @@
 	})
 }
 
+// newCompiler returns a compiler that reads files with read.
 func newCompiler(read ReadFunc) *compiler {
-	return &compiler{read: read, out: &settings.Settings{}, fileOrder: map[string]int{}, locations: map[string]location{}, sources: map[string]*source{},
+	return &compiler{read: read, out: &settings.Settings{}, fileOrder: map[string]int{},
+		locations: map[string]location{}, sources: map[string]*source{},
 		lets: map[string]*definition{}, defines: map[string]*definition{}}
 }
 
@@ -115,27 +119,31 @@
 func (c *compiler) include(path string, includedBy *location, chain []string) {
 	includedFrom := []string{}
 	if includedBy != nil {
-		includedFrom = append([]string{fmt.Sprintf("%s:%d", includedBy.source.name, includedBy.pos.Line)}, includedBy.source.includedFrom...)
+		includedFrom = append([]string{fmt.Sprintf("%s:%d", includedBy.source.name, includedBy.pos.Line)},
+			includedBy.source.includedFrom...)
 	}
 	realPath, err := filepath.EvalSymlinks(path)
 	if err != nil {
 		realPath = path
 	}
 	if slices.Contains(chain, realPath) {
-		c.report(*includedBy, "AC101", "include cycle: "+path+" includes this file, directly or through other files", "remove one of the includes of the cycle")
+		c.report(*includedBy, "AC101", "include cycle: "+path+" includes this file, directly or through other files",
+			"remove one of the includes of the cycle")
 		return
 	}
 	if earlier := c.sources[realPath]; earlier != nil {
-		c.report(*includedBy, "AC102", path+" is included twice", "remove this include; the first is at "+strings.Join(earlier.includedFrom[:min(1, len(earlier.includedFrom))], ""))
+		c.report(*includedBy, "AC102", path+" is included twice",
+			"remove this include; the first is at "+strings.Join(earlier.includedFrom[:min(1, len(earlier.includedFrom))], ""))
 		return
 	}
 	text, err := c.read(path)
 	if err != nil {
 		if includedBy == nil {
-			c.diagnostics = append(c.diagnostics, &Diagnostic{File: path, Line: 1, Column: 1, Code: "AC103", Message: "can't be read: " + errorReason(err),
-				Fix: "check the name and the permissions of the file"})
+			c.diagnostics = append(c.diagnostics, &Diagnostic{File: path, Line: 1, Column: 1, Code: "AC103",
+				Message: "can't be read: " + errorReason(err), Fix: "check the name and the permissions of the file"})
 		} else {
-			c.report(*includedBy, "AC103", path+" can't be read: "+errorReason(err), "check the name, which is relative to the folder of this file, and the permissions")
+			c.report(*includedBy, "AC103", path+" can't be read: "+errorReason(err),
+				"check the name, which is relative to the folder of this file, and the permissions")
 		}
 		return
 	}
@@ -207,14 +215,16 @@
 			continue
 		}
 		here := location{st.source, st.Pos}
-		if len(st.Values) == 0 || st.Values[0].Word == "" || !isLetter(st.Values[0].Word[0]) || keyword == "let" && (len(st.Values) < 2 || st.Block != nil) ||
-			keyword == "define" && st.Block == nil {
-			c.report(here, "AC105", keyword+" is malformed", map[string]string{"let": "write let NAME VALUE", "define": "write define NAME PARAMETER... { ... }"}[keyword])
+		if len(st.Values) == 0 || st.Values[0].Word == "" || !isLetter(st.Values[0].Word[0]) ||
+			keyword == "let" && (len(st.Values) < 2 || st.Block != nil) || keyword == "define" && st.Block == nil {
+			c.report(here, "AC105", keyword+" is malformed", map[string]string{"let": "write let NAME VALUE",
+				"define": "write define NAME PARAMETER... { ... }"}[keyword])
 			continue
 		}
 		name := st.Values[0].Word
 		if earlier := definitions[name]; earlier != nil {
-			c.report(location{st.source, st.Values[0].Pos}, "AC106", name+" is already defined", fmt.Sprintf("the other definition is at %s:%d", earlier.source.name, earlier.Pos.Line))
+			c.report(location{st.source, st.Values[0].Pos}, "AC106", name+" is already defined",
+				fmt.Sprintf("the other definition is at %s:%d", earlier.source.name, earlier.Pos.Line))
 			continue
 		}
 		d := &definition{fileStatement: st}
@@ -259,7 +269,8 @@
 				continue
 			}
 			if d.resolving {
-				c.report(at, "AC108", "the value "+name+" is defined in terms of itself", fmt.Sprintf("give the let at %s:%d a value of its own", d.source.name, d.Pos.Line))
+				c.report(at, "AC108", "the value "+name+" is defined in terms of itself",
+					fmt.Sprintf("give the let at %s:%d a value of its own", d.source.name, d.Pos.Line))
 				ok = false
 				continue
 			}
@@ -311,7 +322,8 @@
 			if schema == rootSchema {
 				allowed = "allowed at the top level: let, define, include, " + strings.Join(schema.names, ", ")
 			}
-			c.report(here, "AC201", "no setting is called "+st.Name+" here", c.suggest(st.Name, append(slices.Clone(schema.names), "let", "define", "include", "use"), allowed))
+			c.report(here, "AC201", "no setting is called "+st.Name+" here",
+				c.suggest(st.Name, append(slices.Clone(schema.names), "let", "define", "include", "use"), allowed))
 			continue
 		}
 		values, ok := c.resolveValues(st.source, st.Values, sc)
@@ -341,7 +353,8 @@
 			continue
 		}
 		if earlier, twice := c.locations[fieldPath+"[0]"]; twice {
-			c.report(here, "AC204", st.Name+" is already set", fmt.Sprintf("the other one is at %s:%d", earlier.source.name, earlier.pos.Line))
+			c.report(here, "AC204", st.Name+" is already set",
+				fmt.Sprintf("the other one is at %s:%d", earlier.source.name, earlier.pos.Line))
 			continue
 		}
 		if len(values) != 1 {
@@ -382,7 +395,8 @@
 	path = fmt.Sprintf("%s[%d]", path, index)
 	if !s.field.IsList() {
 		if earlier, twice := c.locations[path]; twice {
-			c.report(here, "AC204", st.Name+" is already set", fmt.Sprintf("the other one is at %s:%d", earlier.source.name, earlier.pos.Line))
+			c.report(here, "AC204", st.Name+" is already set",
+				fmt.Sprintf("the other one is at %s:%d", earlier.source.name, earlier.pos.Line))
 			return
 		}
 	}
@@ -397,7 +411,8 @@
 			c.report(here, "AC203", fmt.Sprintf("%s takes one name, not %d", st.Name, len(values)), "write "+st.Name+" NAME { ... }")
 			return
 		}
-		if x, ok := c.parseValue(&setting{kind: kindOf(schema.message, s.labelField), field: s.labelField, name: st.Name}, values[0]); ok {
+		if x, ok := c.parseValue(&setting{kind: kindOf(schema.message, s.labelField), field: s.labelField, name: st.Name},
+			values[0]); ok {
 			sub.Set(s.labelField, x)
 			c.locations[path+"."+string(s.labelField.Name())+"[0]"] = values[0].at
 		}
@@ -468,7 +483,7 @@
 
 const maxUseDepth = 20 // levels of defined blocks that use others
 
-// expandUse applies the statements of a defined block at the place of its use.
+// expandUse applies the statements of a defined block where it is used.
 func (c *compiler) expandUse(st fileStatement, schema *blockSchema, m protoreflect.Message, path string, sc scope) {
 	here := location{st.source, st.Pos}
 	values, ok := c.resolveValues(st.source, st.Values, sc)
@@ -481,7 +496,8 @@
 	}
 	d := c.defines[values[0].text]
 	if d == nil {
-		c.report(values[0].at, "AC107", "no block is named "+values[0].text, c.suggest(values[0].text, definedNames(c.defines), "define it: define "+values[0].text+" { ... }"))
+		c.report(values[0].at, "AC107", "no block is named "+values[0].text,
+			c.suggest(values[0].text, definedNames(c.defines), "define it: define "+values[0].text+" { ... }"))
 		return
 	}
 	if len(values)-1 != len(d.params) {
@@ -528,7 +544,8 @@
 	n, err := strconv.ParseFloat(number, 64)
 	suffix := v.text[len(number):]
 	if err != nil || v.quoted || math.IsInf(n, 0) || strings.ContainsAny(number, "_xX") {
-		return fail("AC206", s.name+" must be "+kindDescriptions[s.kind][0]+", not "+v.text, "write "+s.name+" "+kindDescriptions[s.kind][1])
+		return fail("AC206", s.name+" must be "+kindDescriptions[s.kind][0]+", not "+v.text,
+			"write "+s.name+" "+kindDescriptions[s.kind][1])
 	}
 	if list := units[s.kind]; list != nil {
 		i := slices.IndexFunc(list, func(u unit) bool { return u.name == suffix })
@@ -555,7 +572,8 @@
 		return protoreflect.ValueOfUint64(whole), true
 	}
 	if n != math.Trunc(n) || n < 0 || n > math.MaxUint32 {
-		return fail("AC206", s.name+" must be a whole number from 0 to 4294967295, not "+v.text, "write "+s.name+" "+strconv.Itoa(int(min(max(1, math.Abs(n)), 1e9))))
+		return fail("AC206", s.name+" must be a whole number from 0 to 4294967295, not "+v.text,
+			"write "+s.name+" "+strconv.Itoa(int(min(max(1, math.Abs(n)), 1e9))))
 	}
 	return protoreflect.ValueOfUint32(uint32(n)), true
 }
@@ -635,7 +653,8 @@
 			fix = "write repeat idempotent, repeat fingerprinted or, if in doubt, repeat side-effecting"
 		case p.Code == "AC307" && strings.HasPrefix(fix, "describe it"):
 			fix = "describe it: write pool NAME { roster { ... } }"
-		case p.Code == "AC301" && strings.HasSuffix(what, "at the top: write "+last+" { ... }"), strings.Contains(what, "here and at the top"):
+		case p.Code == "AC301" && strings.HasSuffix(what, "at the top: write "+last+" { ... }"),
+			strings.Contains(what, "here and at the top"):
 			what, fix = "the block is missing, here and at the top", "write "+last+" { ... }"
 		case p.Code == "AC306" && !strings.HasPrefix(p.Path, "operation"): // the text of package settings is kept
 		case p.Code == "AC306" && strings.HasSuffix(p.Path, ".name"):
@@ -666,7 +685,7 @@
 	}
 }
 
-// locateSameName says where the earlier operation of the same name is.
+// locateSameName returns a text with the location of the earlier operation of the same name.
 func (c *compiler) locateSameName(path string) string {
 	var i int
 	fmt.Sscanf(path, "operation[%d]", &i)
@@ -702,7 +721,8 @@
 				}
 				if (e.Method == "" || e.Method == m.Method) && (e.Path == m.Path || star && strings.HasPrefix(m.Path, prefix)) {
 					c.warn(c.locate(fmt.Sprintf("operation[%d].match[%d].path", i, j)), "AC401",
-						o.Name+" can't be reached by "+strings.TrimSpace(m.Method+" "+m.Path)+": "+e.operation+" matches it first", "put it before "+e.operation)
+						o.Name+" can't be reached by "+strings.TrimSpace(m.Method+" "+m.Path)+": "+e.operation+" matches it first",
+						"put it before "+e.operation)
 					break
 				}
 			}
@@ -727,8 +747,9 @@
 	for i, o := range c.out.Operation {
 		at := func(name string) location { return c.locate(fmt.Sprintf("operation[%d].%s", i, name)) }
 		if o.Repeat == settings.Repeat_FINGERPRINTED && o.MemoryMs > 0 && o.MemoryMs < o.LimitMs {
-			c.warn(at("memory_ms"), "AC402", fmt.Sprintf("%s: nodes remember a repeat for %s, less than its time limit of %s", o.Name,
-				formatQuantity(kindTime, o.MemoryMs), formatQuantity(kindTime, o.LimitMs)), "an invocation that fails after that can't be sent again")
+			c.warn(at("memory_ms"), "AC402", fmt.Sprintf("%s: nodes remember a repeat for %s, less than its time limit of %s",
+				o.Name, formatQuantity(kindTime, o.MemoryMs), formatQuantity(kindTime, o.LimitMs)),
+				"an invocation that fails after that can't be sent again")
 		}
 	}
 	for i, pool := range c.out.PoolSettings() {
@@ -745,11 +766,14 @@
 		}
 	}
 	if len(rollout.Stage) > 0 && rollout.Allowance < 1 && rollout.Stage[0].Cap*rollout.CountedOverMs < 1 {
-		c.warn(c.locate("rollout.allowance"), "AC403", "without an allowance and with so small a first cap, a build may never get an invocation", "write allowance 1")
+		c.warn(c.locate("rollout.allowance"), "AC403",
+			"without an allowance and with so small a first cap, a build may never get an invocation", "write allowance 1")
 	}
 	if c.out.Times.DialMs >= c.out.Rules.GraceMs && c.out.Rules.GraceMs > 0 {
-		c.warn(c.locate("times.dial_ms"), "AC403", fmt.Sprintf("a connection may open %s after a dispatch, later than the grace of %s for draining nodes",
-			formatQuantity(kindTime, c.out.Times.DialMs), formatQuantity(kindTime, c.out.Rules.GraceMs)), "write a dial time shorter than the grace")
+		c.warn(c.locate("times.dial_ms"), "AC403",
+			fmt.Sprintf("a connection may open %s after a dispatch, later than the grace of %s for draining nodes",
+				formatQuantity(kindTime, c.out.Times.DialMs), formatQuantity(kindTime, c.out.Rules.GraceMs)),
+			"write a dial time shorter than the grace")
 	}
 }
 
--- a/internal/lang/diff.go
+++ b/internal/lang/diff.go
@@ -84,10 +84,12 @@
 		case s.kind == kindBlock && s.field.IsList():
 			d.compareBlocks(a.Get(s.field).List(), b.Get(s.field).List(), s, fieldPath, fullName, rule)
 		case s.kind == kindBlock:
-			if a.Has(s.field) != b.Has(s.field) && proto.Size(a.Get(s.field).Message().Interface())+proto.Size(b.Get(s.field).Message().Interface()) == 0 {
+			if a.Has(s.field) != b.Has(s.field) &&
+				proto.Size(a.Get(s.field).Message().Interface())+proto.Size(b.Get(s.field).Message().Interface()) == 0 {
 				continue // an empty block means the same as none
 			}
-			d.compareMessages(a.Get(s.field).Message(), b.Get(s.field).Message(), schemas[s.field.Message().FullName()], fieldPath+".", fullName+":")
+			d.compareMessages(a.Get(s.field).Message(), b.Get(s.field).Message(),
+				schemas[s.field.Message().FullName()], fieldPath+".", fullName+":")
 		default:
 			from, to := formatField(s, a), formatField(s, b)
 			if from != to {
@@ -127,7 +129,8 @@
 				to = formatInline(s, b.Get(i).Message())
 			}
 			if from != to {
-				d.changes = append(d.changes, Change{Path: fmt.Sprintf("%s[%d]", path, i), Name: fmt.Sprintf("%s %d", name, i+1), From: from, To: to, AffectsRules: rule})
+				d.changes = append(d.changes, Change{Path: fmt.Sprintf("%s[%d]", path, i),
+					Name: fmt.Sprintf("%s %d", name, i+1), From: from, To: to, AffectsRules: rule})
 			}
 		}
 		return
@@ -150,7 +153,8 @@
 		if j >= 0 {
 			d.compareMessages(m, b.Get(j).Message(), schema, at+".", name+" "+quote(label(m))+":")
 			if j < lastMatch { // order has a meaning: the first operation that matches a request gets it
-				d.changes = append(d.changes, Change{Path: at, Name: name + " " + quote(label(m)), From: fmt.Sprint(i + 1), To: fmt.Sprint(j + 1), Moved: true, AffectsRules: true})
+				d.changes = append(d.changes, Change{Path: at, Name: name + " " + quote(label(m)),
+					From: fmt.Sprint(i + 1), To: fmt.Sprint(j + 1), Moved: true, AffectsRules: true})
 			}
 			lastMatch = max(lastMatch, j)
 			continue
@@ -169,14 +173,17 @@
 			}
 		}
 		if j >= 0 {
-			d.changes = append(d.changes, Change{Path: at, Name: name, From: quote(label(m)), To: quote(label(b.Get(j).Message())), Renamed: true})
+			d.changes = append(d.changes, Change{Path: at, Name: name, From: quote(label(m)),
+				To: quote(label(b.Get(j).Message())), Renamed: true})
 		} else {
-			d.changes = append(d.changes, Change{Path: at, Name: name + " " + quote(label(m)), From: formatInline(s, m), AffectsRules: true})
+			d.changes = append(d.changes, Change{Path: at, Name: name + " " + quote(label(m)),
+				From: formatInline(s, m), AffectsRules: true})
 		}
 	}
 	for j := range b.Len() {
 		if m := b.Get(j).Message(); find(a, label(m)) < 0 && !renamed[j] {
-			d.changes = append(d.changes, Change{Path: fmt.Sprintf("%s[%d]", path, j), Name: name + " " + quote(label(m)), To: formatInline(s, m), AffectsRules: true})
+			d.changes = append(d.changes, Change{Path: fmt.Sprintf("%s[%d]", path, j),
+				Name: name + " " + quote(label(m)), To: formatInline(s, m), AffectsRules: true})
 		}
 	}
 }
--- a/internal/lang/fleet_test.go
+++ b/internal/lang/fleet_test.go
@@ -18,7 +18,8 @@
 		}
 		return string(text)
 	}
-	main := base("marshal") + base("listen") + base("limits") + base("times") + base("control") + base("rules") + base("release") + base("rest")
+	main := base("marshal") + base("listen") + base("limits") + base("times") + base("control") +
+		base("rules") + base("release") + base("rest")
 	main += "define usual slo limit {\n  repeat fingerprinted\n  group zone\n  memory 10s\n  slo-time $slo\n  time-limit $limit\n}\n"
 	for i := range operations {
 		name := fmt.Sprintf("op%d.cleat", i)
--- a/internal/lang/lang_test.go
+++ b/internal/lang/lang_test.go
@@ -281,7 +281,8 @@
 		if syntaxErr != nil || !bytes.Equal(once, twice) {
 			t.Fatalf("%q is formatted as %q, then as %q, %v", text, once, twice, syntaxErr)
 		}
-		if recompiled, _ := Compile("f.cleat", once); (set == nil) != (recompiled == nil) || set != nil && !proto.Equal(set, recompiled) {
+		if recompiled, _ := Compile("f.cleat", once); (set == nil) != (recompiled == nil) ||
+			set != nil && !proto.Equal(set, recompiled) {
 			t.Fatalf("formatting changes the meaning of %q", text)
 		}
 	})
--- a/internal/lang/parse.go
+++ b/internal/lang/parse.go
@@ -49,6 +49,7 @@
 	Items []*item `parser:"Open @@* Close"`
 }
 
+// lexerRules are the tokens of the language.
 var lexerRules = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `#[^\n]*`},
 	{Name: "Break", Pattern: `[\n;]`},
@@ -98,7 +99,8 @@
 // unbalanced braces.
 func (s *source) checkLexical() *Diagnostic {
 	if len(s.text) > maxFileBytes {
-		return s.diagnostic(1, 1, "AC001", fmt.Sprintf("the file has %d bytes; the limit is %d", len(s.text), maxFileBytes), "split it into several files with include")
+		return s.diagnostic(1, 1, "AC001", fmt.Sprintf("the file has %d bytes; the limit is %d", len(s.text), maxFileBytes),
+			"split it into several files with include")
 	}
 	type brace struct{ line, lineStart, offset int }
 	var openBraces []brace
@@ -124,7 +126,8 @@
 				}
 				if s.text[i] == '\\' {
 					if i+1 >= len(s.text) || s.text[i+1] != '"' && s.text[i+1] != '\\' {
-						return s.diagnostic(line, utf8.RuneCount(s.text[lineStart:i])+1, "AC004", "invalid escape sequence", `write \\ for a backslash`)
+						return s.diagnostic(line, utf8.RuneCount(s.text[lineStart:i])+1, "AC004", "invalid escape sequence",
+							`write \\ for a backslash`)
 					}
 					i++
 				}
@@ -134,7 +137,8 @@
 			}
 		case c == '{':
 			if openBraces = append(openBraces, brace{line, lineStart, i}); len(openBraces) > maxBlockDepth {
-				return s.diagnostic(line, column(), "AC005", fmt.Sprintf("blocks are nested more than %d levels deep", maxBlockDepth), "no setting needs that depth")
+				return s.diagnostic(line, column(), "AC005", fmt.Sprintf("blocks are nested more than %d levels deep", maxBlockDepth),
+					"no setting needs that depth")
 			}
 		case c == '}':
 			if len(openBraces) == 0 {
@@ -142,7 +146,8 @@
 			}
 			openBraces = openBraces[:len(openBraces)-1]
 		case c == '$' && (i+1 >= len(s.text) || !isLetter(s.text[i+1])):
-			return s.diagnostic(line, column(), "AC008", "$ is not followed by a name", `write $name for a named value, or put the text in "quotes"`)
+			return s.diagnostic(line, column(), "AC008", "$ is not followed by a name",
+				`write $name for a named value, or put the text in "quotes"`)
 		case c < ' ' && c != '\t' && c != '\r' || c == 0x7f:
 			return s.diagnostic(line, column(), "AC002", fmt.Sprintf("the control character 0x%02x is not allowed", c), "remove it")
 		case c >= utf8.RuneSelf:
@@ -156,14 +161,15 @@
 	}
 	if len(openBraces) > 0 {
 		last := openBraces[len(openBraces)-1]
-		return s.diagnostic(last.line, utf8.RuneCount(s.text[last.lineStart:last.offset])+1, "AC006", "this { has no matching }", "add a } at the end of the block")
+		return s.diagnostic(last.line, utf8.RuneCount(s.text[last.lineStart:last.offset])+1, "AC006",
+			"this { has no matching }", "add a } at the end of the block")
 	}
 	return nil
 }
 
 func isLetter(c byte) bool { return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' }
 
-// Diagnostic is an error or a warning, with its place in a file.
+// Diagnostic is an error or a warning, with its location in a file.
 type Diagnostic struct {
 	File         string   `json:"file"`
 	Line         int      `json:"line"`   // from 1
@@ -178,7 +184,7 @@
 
 const maxSourceLineBytes = 160 // longer lines are not shown
 
-// diagnostic makes a Diagnostic for a place in the file, with the text of its line.
+// diagnostic makes a Diagnostic for a location in the file, with the text of its line.
 func (s *source) diagnostic(line, column int, code, message, fix string) *Diagnostic {
 	d := &Diagnostic{File: s.name, Line: line, Column: column, Code: code, Message: message, Fix: fix, IncludedFrom: s.includedFrom}
 	rest := s.text // from the start of the requested line
--- a/internal/lang/schema.go
+++ b/internal/lang/schema.go
@@ -49,7 +49,8 @@
 
 // nameOverrides maps fields to their names in the language, for names that are not derived from the field's own.
 var nameOverrides = map[string]string{
-	"Settings.instance": "marshal", "Settings.zone": "zones", "Settings.model": "models", "Settings.rollout": "release", "Pool.rollout": "release", "Operation.listener": "listeners",
+	"Settings.instance": "marshal", "Settings.zone": "zones", "Settings.model": "models", "Settings.rollout": "release",
+	"Pool.rollout": "release", "Operation.listener": "listeners",
 	"Operation.slo_ms": "slo-time", "Operation.limit_ms": "time-limit", "Rollout.counted_over_ms": "window",
 	"Rollout.votes_per_s": "votes", "Tenant.per_s": "quota", "Roster.reconnect_ms": "reconnect", "Times.header_ms": "header",
 	"Headers.time_ms": "time", "Headers.cost_ms": "cost", "Rollout.tally_ms": "tally-every",
