--- a/internal/platform/config.go
+++ b/internal/platform/config.go
@@ -68,8 +68,8 @@
 // environmentVariables are the variables that correspond to fields of the configuration.
 var environmentVariables = map[string]string{"name": "GW_NAME", "listen": "GW_LISTEN", "discovery": "GW_DISCOVERY"}
 
-// ReadConfig reads a configuration file. Errors name the field that is missing or invalid. An environment variable is
-// used only if its field is missing.
+// ReadConfig reads a configuration file. Errors name the field that is missing or invalid, or quote an address that is
+// not host:port. An environment variable is used only if its field is missing.
 func ReadConfig(path string, getenv func(variable string) string) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
