--- a/cmd/arrowcleat/day.go
+++ b/cmd/arrowcleat/day.go
@@ -22,7 +22,7 @@
 	"arrowcleat/internal/settings"
 )
 
-// errRulesBroken is the error of a scenario or an audit that found a broken rule.
+// errRulesBroken is the error of a scenario, a soak or an audit that found a broken rule.
 var errRulesBroken = errors.New("rules were broken")
 
 // dayCommand returns the command that runs a fault scenario and checks the rules.
@@ -98,7 +98,7 @@
 				}
 				fmt.Fprintln(c.OutOrStdout(), string(b))
 			} else {
-				printOutcome(c, plan, out)
+				printResult(c, plan, out)
 			}
 			if !out.Clean() {
 				return errRulesBroken
@@ -116,7 +116,8 @@
 	f.Uint32Var(&marshals, "marshals", 0, "number of marshals (default: as in the scenario)")
 	f.Float64Var(&rate, "rate", 0, "invocations per second (default: as in the scenario)")
 	f.StringVar(&dir, "dir", "", "folder to keep the records in (default: a temporary folder, removed at the end)")
-	f.StringVar(&fault, "plant", "", "software fault to inject into the marshals, which the checks must detect: "+strings.Join(plant.Faults(), ", "))
+	f.StringVar(&fault, "plant", "",
+		"software fault to inject into the marshals, which the checks must detect: "+strings.Join(plant.Faults(), ", "))
 	f.StringVar(&level, "log", "error", "log level of the marshals: debug, info, warn, error")
 	f.BoolVar(&asJSON, "json", false, "print one JSON object and nothing else")
 	f.BoolVar(&processes, "processes", false, "run each marshal and node in its own process")
@@ -126,8 +127,8 @@
 	return c
 }
 
-// printOutcome prints the builds, the response times by operation and the checked rules.
-func printOutcome(c *cobra.Command, plan *settings.Day, out *day.Result) {
+// printResult prints the builds, the response times by operation and the checked rules.
+func printResult(c *cobra.Command, plan *settings.Day, out *day.Result) {
 	w := c.OutOrStdout()
 	fmt.Fprintf(w, "\nseed %d\n", out.Seed)
 	for _, b := range out.Builds {
@@ -196,11 +197,11 @@
 			if err != nil {
 				return badInput{fmt.Errorf("%s: %w", args[0], err)}
 			}
-			torn := ""
+			truncated := ""
 			if out.Truncated {
-				torn = ", last entry incomplete"
+				truncated = ", last entry incomplete"
 			}
-			fmt.Fprintf(c.OutOrStdout(), "%d events, %d calls%s\n", out.Events, out.Calls, torn)
+			fmt.Fprintf(c.OutOrStdout(), "%d events, %d calls%s\n", out.Events, out.Calls, truncated)
 			if out.FirstDifference != "" {
 				return fmt.Errorf("the first different decision is at event %d (clock %.3f ms): %s", out.EventNumber, out.ClockMs,
 					out.FirstDifference)
--- a/cmd/arrowcleat/lang.go
+++ b/cmd/arrowcleat/lang.go
@@ -36,7 +36,8 @@
 	for _, e := range all {
 		var p settings.Problem
 		if errors.As(e, &p) {
-			found = append(found, &lang.Diagnostic{File: path, Line: p.Line, Column: 1, Code: p.Code, Message: strings.TrimPrefix(p.Path+": "+p.Message, ": ")})
+			found = append(found, &lang.Diagnostic{File: path, Line: p.Line, Column: 1, Code: p.Code,
+				Message: strings.TrimPrefix(p.Path+": "+p.Message, ": ")})
 		}
 	}
 	return nil, found
@@ -103,7 +104,7 @@
 		},
 	}
 	c.Flags().BoolVar(&asJSON, "json", false, "print one JSON array for each file")
-	c.Flags().StringVar(&config, "config", "", "another file to check; the same flag as of serve")
+	c.Flags().StringVar(&config, "config", "", "another file to check, as serve would read it")
 	return c
 }
 
--- a/cmd/arrowcleat/main.go
+++ b/cmd/arrowcleat/main.go
@@ -60,11 +60,12 @@
 	}
 	c.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return badInput{err} })
 	c.AddCommand(serveCommand(), checkCommand(), fmtCommand(), diffCommand(), compileCommand(), decompileCommand(),
-		explainCommand(), syntaxCommand(), standinCommand(), dayCommand(), auditCommand(), platformCommand(), soakCommand(), faultsCommand(),
-		replayCommand(), measureCommand(), versionCommand())
+		explainCommand(), syntaxCommand(), standinCommand(), dayCommand(), auditCommand(), platformCommand(), soakCommand(),
+		faultsCommand(), replayCommand(), measureCommand(), versionCommand())
 	return c
 }
 
+// versionCommand returns the command that prints the version.
 func versionCommand() *cobra.Command {
 	return &cobra.Command{
 		Use:   "version",
@@ -116,14 +117,16 @@
 const flushTimeout = 100 * time.Millisecond
 
 // newServiceLog returns a logger on standard error for a process in service. It does not block if nobody reads the log,
-// and the process does not end if the reader does. flush writes the lines logged so far.
+// and the process does not end if the reader does. flush waits until the lines logged so far are written, for at most
+// flushTimeout.
 func newServiceLog(l *settings.Log, level *slog.LevelVar) (log *slog.Logger, flush func()) {
 	signal.Ignore(syscall.SIGPIPE) // otherwise writing to a closed pipe ends the process
 	out := logsink.New(os.Stderr)
 	return newLogger(out, l, level), func() { out.Flush(flushTimeout) }
 }
 
-// handleSignals returns a channel that receives TERM and INT. USR1 makes the log more verbose, USR2 less. done ends both.
+// handleSignals returns a channel that receives TERM and INT. USR1 makes the log more verbose, USR2 less. done stops the
+// handling of all four.
 func handleSignals(level *slog.LevelVar, log *slog.Logger) (stop chan os.Signal, done func()) {
 	stop, levels := make(chan os.Signal, 2), make(chan os.Signal, 2)
 	signal.Notify(stop, syscall.SIGTERM, os.Interrupt)
--- a/cmd/arrowcleat/measure.go
+++ b/cmd/arrowcleat/measure.go
@@ -38,8 +38,8 @@
 			fmt.Fprintf(w, "%5s %-14s %6s %9s %10s %6s %6s %9s %9s %9s %8s %7s\n", "cores", "way", "apart", "inv/s", "inv/CPU-s", "busy",
 				"load", "p50 ms", "p99 ms", "p99.9 ms", "behind", "failed")
 			return measure.RunOnCores(c.Context(), o, counts, func(r measure.CoresResult) {
-				fmt.Fprintf(w, "%5d %-14s %6t %9.0f %10.0f %6.2f %6.2f %9.3f %9.3f %9.3f %8d %7d\n", r.Cores, r.Target, r.Isolated, r.InvocationsPerS,
-					r.InvocationsPerCPUS, r.TargetCPUs, r.LoadCPUs, r.P50Ms, r.P99Ms, r.P999Ms, r.LateSends, r.Failed)
+				fmt.Fprintf(w, "%5d %-14s %6t %9.0f %10.0f %6.2f %6.2f %9.3f %9.3f %9.3f %8d %7d\n", r.Cores, r.Target, r.Isolated,
+					r.InvocationsPerS, r.InvocationsPerCPUS, r.TargetCPUs, r.LoadCPUs, r.P50Ms, r.P99Ms, r.P999Ms, r.LateSends, r.Failed)
 			})
 		},
 	}
@@ -79,13 +79,13 @@
 				return err
 			}
 			w := c.OutOrStdout()
-			fmt.Fprintf(w, "%d nodes, %d clients; open loop at %g per second; GOMAXPROCS %d for the measured process\n\n", o.Nodes, o.Clients,
-				o.RatePerS, o.GoMaxProcs)
+			fmt.Fprintf(w, "%d nodes, %d clients; open loop at %g per second; GOMAXPROCS %d for the measured process\n\n", o.Nodes,
+				o.Clients, o.RatePerS, o.GoMaxProcs)
 			fmt.Fprintf(w, "%-14s %10s %12s %9s %9s %9s %8s %10s %7s\n", "way", "inv/s", "inv/CPU-s", "p50 ms", "p99 ms", "p99.9 ms",
 				"behind", "KiB/conn", "failed")
 			for _, r := range rows {
-				fmt.Fprintf(w, "%-14s %10.0f %12.0f %9.3f %9.3f %9.3f %8d %10.1f %7d\n", r.Target, r.InvocationsPerS, r.InvocationsPerCPUS, r.P50Ms, r.P99Ms,
-					r.P999Ms, r.LateSends, r.KiBPerConn, r.Failed)
+				fmt.Fprintf(w, "%-14s %10.0f %12.0f %9.3f %9.3f %9.3f %8d %10.1f %7d\n", r.Target, r.InvocationsPerS,
+					r.InvocationsPerCPUS, r.P50Ms, r.P99Ms, r.P999Ms, r.LateSends, r.KiBPerConn, r.Failed)
 			}
 			return nil
 		},
@@ -97,7 +97,8 @@
 	f.Float64Var(&seconds, "seconds", seconds, "duration of each loop in seconds")
 	f.IntVar(&o.IdleConns, "idle", o.IdleConns, "number of idle connections whose memory is measured")
 	f.IntVar(&o.GoMaxProcs, "procs", o.GoMaxProcs, "GOMAXPROCS of the measured process")
-	c.AddCommand(measureCoresCommand(), &cobra.Command{Use: "proxy ADDRESS...", Hidden: true, Short: "Run the reverse proxy that measure compares with",
-		RunE: func(c *cobra.Command, args []string) error { return measure.Proxy(args, os.Stdin, os.Stdout) }})
+	c.AddCommand(measureCoresCommand(), &cobra.Command{Use: "proxy ADDRESS...", Hidden: true,
+		Short: "Run the reverse proxy that measure compares with",
+		RunE:  func(c *cobra.Command, args []string) error { return measure.Proxy(args, os.Stdin, os.Stdout) }})
 	return c
 }
--- a/cmd/arrowcleat/platform.go
+++ b/cmd/arrowcleat/platform.go
@@ -53,7 +53,8 @@
 func runPlatformMarshal(path, level string, hooks serve.Hooks) error {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
-	// These signals end a process that does not handle them. Ignore them before the log exists and while the process exits.
+	// These signals end a process that does not handle them. Ignore them before the log exists and while the process
+	// exits.
 	signal.Ignore(syscall.SIGUSR1, syscall.SIGUSR2)
 	defer signal.Ignore(syscall.SIGHUP, syscall.SIGUSR1, syscall.SIGUSR2)
 	c, err := platform.ReadConfig(path, os.Getenv)
--- a/cmd/arrowcleat/platform_test.go
+++ b/cmd/arrowcleat/platform_test.go
@@ -143,7 +143,7 @@
 	return startCommand(t, exec.Command(os.Args[0], "platform"), config)
 }
 
-// startCommand does the same with a given command.
+// startCommand does the same as startMarshal with a given command.
 func startCommand(t *testing.T, command *exec.Cmd, config func(address string) string) *process {
 	t.Helper()
 	reserved, err := loopback.Reserve()
@@ -151,7 +151,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(reserved.Release)
-	p := &process{Cmd: command, t: t, address: reserved.Address(loopback.RequestPort), configFile: filepath.Join(t.TempDir(), "config.json")}
+	p := &process{Cmd: command, t: t, address: reserved.Address(loopback.RequestPort),
+		configFile: filepath.Join(t.TempDir(), "config.json")}
 	p.writeConfig(config(p.address))
 	p.Env = append(os.Environ(), programVariable+"=1", "GW_CONFIG="+p.configFile)
 	p.Stderr = &p.log
@@ -216,7 +217,11 @@
 		p.Process.Signal(syscall.SIGCONT)
 		time.Sleep(20 * time.Millisecond)
 	}
-	p.waitFor("no more dispatches", func() bool { n := received.Load(); time.Sleep(20 * time.Millisecond); return received.Load() == n })
+	p.waitFor("no more dispatches", func() bool {
+		n := received.Load()
+		time.Sleep(20 * time.Millisecond)
+		return received.Load() == n
+	})
 	if n := received.Load(); n > 0 {
 		t.Errorf("%d of 100 requests reached the node after their clients had left", n)
 	}
@@ -262,7 +267,8 @@
 	number := 0
 	send := func(c net.Conn) {
 		number++
-		fmt.Fprintf(c, "GET /look HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\nX-Qos: look\r\nX-Expires-In-Ms: %d\r\n\r\n", number, timeLimit.Milliseconds())
+		fmt.Fprintf(c, "GET /look HTTP/1.1\r\nHost: x\r\nX-Trace-Id: %d\r\nX-Qos: look\r\nX-Expires-In-Ms: %d\r\n\r\n", number,
+			timeLimit.Milliseconds())
 	}
 	readAnswer := func(c net.Conn) error {
 		c.SetReadDeadline(time.Now().Add(timeLimit))
@@ -418,7 +424,8 @@
 	node := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { <-release }))
 	defer node.Close()
 	defer close(release)
-	hosts := fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`, node.Listener.Addr())
+	hosts := fmt.Sprintf(`{"seq":1,"whole":true,"hosts":[{"host":"a","dial":%q,"site":"here","health":"in_service","build":7}]}`,
+		node.Listener.Addr())
 	var lists [3]string
 	var requests [3]*atomic.Int64
 	for i := range lists {
@@ -426,14 +433,17 @@
 	}
 	api, _ := streamServer(t, "{}\n")
 	p := startMarshal(t, func(address string) string { return fmt.Sprintf(configTemplate, address, lists[0], api) })
-	if err := errors.Join(os.Remove(p.configFile), os.Mkdir(p.configFile, 0o755)); err != nil { // a folder can be opened but not read (EISDIR)
+	// A folder can be opened but not read (EISDIR).
+	if err := errors.Join(os.Remove(p.configFile), os.Mkdir(p.configFile, 0o755)); err != nil {
 		t.Fatal(err)
 	}
 	p.Process.Signal(syscall.SIGHUP)
-	p.waitFor("the log line of the failed reload", func() bool { return strings.Contains(p.log.String(), "configuration not applied") })
+	p.waitFor("the log line of the failed reload", func() bool {
+		return strings.Contains(p.log.String(), "configuration not applied")
+	})
 	next := p.configFile + ".next"
-	if err := errors.Join(os.WriteFile(next, []byte(fmt.Sprintf(configTemplate, p.address, lists[1], api)), 0o644), os.Remove(p.configFile),
-		os.Rename(next, p.configFile)); err != nil {
+	if err := errors.Join(os.WriteFile(next, []byte(fmt.Sprintf(configTemplate, p.address, lists[1], api)), 0o644),
+		os.Remove(p.configFile), os.Rename(next, p.configFile)); err != nil {
 		t.Fatal(err)
 	}
 	p.waitFor("the configuration to be applied once it can be read", func() bool { return requests[1].Load() > 0 })
--- a/cmd/arrowcleat/serve.go
+++ b/cmd/arrowcleat/serve.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return badInput{err}
 	}
-	fmt.Fprintln(os.Stdout, m.Address()) // tells the port if the configured one is 0
+	fmt.Fprintln(os.Stdout, m.Address()) // shows the port if the configured one is 0
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer func() { signal.Stop(hup); close(hup) }()
--- a/cmd/arrowcleat/soak.go
+++ b/cmd/arrowcleat/soak.go
@@ -54,11 +54,12 @@
 	c.Flags().Uint64Var(&seed, "seed", 1, "seed of the first run")
 	c.Flags().IntVar(&runs, "runs", 1, "number of runs, with consecutive seeds")
 	c.Flags().StringVar(&program, "program", "", "arrowcleat binary to run (default: this one)")
-	c.Flags().StringVar(&dir, "dir", "", "folder for logs and configurations, with a sub-folder for each seed (default: a temporary folder)")
+	c.Flags().StringVar(&dir, "dir", "",
+		"folder for logs and configurations, with a sub-folder for each seed (default: a temporary folder)")
 	return c
 }
 
-// faultsCommandName is the sub-command by which the soak starts a marshal.
+// faultsCommandName is the sub-command with which the soak starts a marshal.
 const faultsCommandName = "platform-under-faults"
 
 // faultsCommand returns the command that runs a marshal like platform, with injected machine faults if the environment
@@ -86,7 +87,7 @@
 	return c
 }
 
-// runSoaks executes runs with consecutive seeds, some in parallel, and prints the outcome of each and the totals.
+// runSoaks executes runs with consecutive seeds, some in parallel, and prints the result of each and the totals.
 func runSoaks(out io.Writer, o soak.Options, seed uint64, runs int) error {
 	var wg sync.WaitGroup
 	var mu sync.Mutex
@@ -99,7 +100,7 @@
 		slots <- struct{}{}
 		wg.Go(func() {
 			defer func() { <-slots }()
-			outcome, err := runSoak(options)
+			result, err := runSoak(options)
 			mu.Lock()
 			defer mu.Unlock()
 			if err != nil {
@@ -107,18 +108,19 @@
 				fmt.Fprintf(out, "seed %d: %v\n", options.Plan.Seed, err)
 				return
 			}
-			requests += outcome.Invocations
-			for rule, n := range outcome.Checked {
+			requests += result.Invocations
+			for rule, n := range result.Checked {
 				checked[rule] += n
 			}
-			if !outcome.Clean() {
+			if !result.Clean() {
 				failed++
 			}
-			outcome.Print(out)
+			result.Print(out)
 		})
 	}
 	wg.Wait()
-	fmt.Fprintf(out, "%d runs, %d requests accepted, checked %v; %d runs with findings; logs in %s\n", runs, requests, checked, failed, o.Dir)
+	fmt.Fprintf(out, "%d runs, %d requests accepted, checked %v; %d runs with findings; logs in %s\n", runs, requests, checked,
+		failed, o.Dir)
 	if failed > 0 {
 		return errRulesBroken
 	}
--- a/cmd/arrowcleat/soak_test.go
+++ b/cmd/arrowcleat/soak_test.go
@@ -96,15 +96,16 @@
 		t.Skip("takes about twenty seconds")
 	}
 	var out bytes.Buffer
-	err := runSoaks(&out, soak.Options{Dir: logFolder(t), Program: []string{os.Args[0], faultsCommandName}, Env: []string{programVariable + "=1", noExitDelay}}, 1, 24)
+	err := runSoaks(&out, soak.Options{Dir: logFolder(t), Program: []string{os.Args[0], faultsCommandName},
+		Env: []string{programVariable + "=1", noExitDelay}}, 1, 24)
 	t.Log(out.String())
 	if err != nil {
 		t.Error(err)
 	}
 }
 
-// TestSoakFindsPlantedFaults checks each check of the soak: a marshal process with an injected fault is detected by the
-// check for that fault.
+// TestSoakFindsPlantedFaults checks the checks of the soak: each injected fault of a marshal process is found by the
+// check that is meant for it.
 func TestSoakFindsPlantedFaults(t *testing.T) {
 	ms := time.Millisecond
 	quiet := soak.Process{LoadTime: 1500 * ms, End: soak.EndIdle, ConnectAfterTerm: 300 * ms}
@@ -113,11 +114,21 @@
 		rule    string // broken rule, or part of the text of another finding
 		process soak.Process
 	}{
-		"twice": {audit.RuleAnswered, term}, audit.RuleAnswered: {audit.RuleAnswered, term}, audit.RuleEffects: {audit.RuleEffects, term},
-		audit.RuleOneInFlight: {audit.RuleOneInFlight, term}, audit.RuleDrain: {audit.RuleDrain, term}, audit.RuleExposure: {audit.RuleExposure, term},
-		audit.RuleTimeBudget: {audit.RuleTimeBudget, term}, audit.RuleClientGone: {audit.RuleClientGone, term}, "close": {audit.RuleAnswered, term}, "discards": {audit.RuleAnswered, term},
-		"start": {"before it was ready", term}, "exit": {"exit status 3 after TERM", term}, "crash": {"it crashed", term},
-		"left over": {"at rest", quiet}, "strangers": {"neither an error nor a close", soak.Process{LoadTime: 4500 * ms, End: soak.EndTerm}},
+		"twice":               {audit.RuleAnswered, term},
+		audit.RuleAnswered:    {audit.RuleAnswered, term},
+		audit.RuleEffects:     {audit.RuleEffects, term},
+		audit.RuleOneInFlight: {audit.RuleOneInFlight, term},
+		audit.RuleDrain:       {audit.RuleDrain, term},
+		audit.RuleExposure:    {audit.RuleExposure, term},
+		audit.RuleTimeBudget:  {audit.RuleTimeBudget, term},
+		audit.RuleClientGone:  {audit.RuleClientGone, term},
+		"close":               {audit.RuleAnswered, term},
+		"discards":            {audit.RuleAnswered, term},
+		"start":               {"before it was ready", term},
+		"exit":                {"exit status 3 after TERM", term},
+		"crash":               {"it crashed", term},
+		"left over":           {"at rest", quiet},
+		"strangers":           {"neither an error nor a close", soak.Process{LoadTime: 4500 * ms, End: soak.EndTerm}},
 	} {
 		t.Run(fault, func(t *testing.T) {
 			t.Parallel()
--- a/cmd/arrowcleat/standin.go
+++ b/cmd/arrowcleat/standin.go
@@ -26,7 +26,8 @@
 		Long: `standin runs a small stand-in for a service around a marshal in its own process. It prints the address that it
 listens on, and ends at the end of its standard input or on TERM.`,
 	}
-	c.AddCommand(standinSubcommand("node", "a node that executes invocations and reads faults to simulate from standard input", runNode),
+	c.AddCommand(
+		standinSubcommand("node", "a node that executes invocations and reads faults to simulate from standard input", runNode),
 		standinSubcommand("roster", "a service registry that lists the nodes of its file", runRegistry),
 		standinSubcommand("conveyor", "a rollout service that offers the builds named on standard input", runRolloutService))
 	return c
