--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -86,7 +86,7 @@
 	maxExamplesPerRule = 6
 )
 
-// CheckDir audits the records of a directory: settings.txtpb and all *.seen files.
+// CheckDir audits the records of a folder: settings.txtpb and all *.seen files.
 func CheckDir(dir string) (*Report, error) {
 	set, err := settings.Load(filepath.Join(dir, "settings.txtpb"))
 	if err != nil {
@@ -94,7 +94,7 @@
 	}
 	files, _ := filepath.Glob(filepath.Join(dir, "*.seen"))
 	if len(files) == 0 {
-		return nil, fmt.Errorf("%s: no *.seen files; is this the directory of a recorded day?", dir)
+		return nil, fmt.Errorf("%s: no *.seen files; is this the folder of a recorded scenario?", dir)
 	}
 	var seen []*record.Seen
 	for _, file := range files {
@@ -188,6 +188,7 @@
 	accepted                   []*invocation
 }
 
+// marshal returns the entry of a marshal, which it creates if there is none.
 func (a *auditor) marshal(n int64) *marshal {
 	m := a.marshals[n]
 	if m == nil {
@@ -197,6 +198,7 @@
 	return m
 }
 
+// invocation returns the entry of an invocation, which it creates if there is none.
 func (a *auditor) invocation(id string) *invocation {
 	i := a.byID[id]
 	if i == nil {
@@ -207,6 +209,7 @@
 	return i
 }
 
+// add adds an observation. Nodes overloaded while warming up are counted here, since nodes report that themselves.
 func (a *auditor) add(s *record.Seen) {
 	switch s.Kind {
 	case "asked":
@@ -263,6 +266,7 @@
 	}
 }
 
+// violated counts a violation of a rule, and describes it if it is one of the first.
 func (a *auditor) violated(rule, format string, args ...any) {
 	a.Violations[rule]++
 	if a.Violations[rule] <= maxExamplesPerRule && len(a.Examples) < maxExamples {
@@ -572,6 +576,7 @@
 	return oldest
 }
 
+// check checks each dispatch against the stage and cap of its build at that time.
 func (c *exposureCheck) check() {
 	rollout := c.auditor.set.Rollout
 	type scope struct{ ver, op int64 }
@@ -689,7 +694,7 @@
 	return out
 }
 
-// ruleTexts describe the rules in the table.
+// ruleTexts describes the rules in the table.
 var ruleTexts = map[string]string{
 	RuleAnswered:    "exactly one final answer within the time limit",
 	RuleEffects:     "no effect happens twice",
--- a/internal/audit/audit_test.go
+++ b/internal/audit/audit_test.go
@@ -9,6 +9,7 @@
 	"arrowcleat/internal/settings"
 )
 
+// set holds the settings that all tests use.
 var set = &settings.Settings{
 	Operation: []*settings.Operation{{Name: "look", Repeat: settings.Repeat_IDEMPOTENT},
 		{Name: "book", Repeat: settings.Repeat_FINGERPRINTED, Group: "zone", MemoryMs: 1000},
@@ -36,7 +37,7 @@
 	return func(s *record.Seen) { s.Stage, s.Phase, s.Cap = n, phase, cap }
 }
 
-// Each rule accepts what keeps it, and finds what breaks it.
+// TestChecks checks that each rule passes what keeps it and finds what breaks it.
 func TestChecks(t *testing.T) {
 	released := at(0, "staged", "", 0, 0, stage(1, 2, 1))
 	var many []*record.Seen // 40 invocations, 30 of them to build 2
@@ -116,10 +117,11 @@
 	}
 }
 
-// Rules and tolerances of a platform's protocol are checked with its bounds: what keeps them passes, and each violation
+// TestPlatformBounds checks the rules and tolerances of a platform's protocol: what keeps them passes, and each violation
 // is found.
 func TestPlatformBounds(t *testing.T) {
-	bounds := Bounds{LowerCapGraceMs: 150, ExtraAttempts: 2, ExtraAttemptsShare: 0.04, TimeLimitSlackMs: 150, ClientGoneGraceMs: 100, StopGraceMs: 700, ResendOnClose: true}
+	bounds := Bounds{LowerCapGraceMs: 150, ExtraAttempts: 2, ExtraAttemptsShare: 0.04, TimeLimitSlackMs: 150,
+		ClientGoneGraceMs: 100, StopGraceMs: 700, ResendOnClose: true}
 	timeLimit := func(ms float64) func(*record.Seen) { return func(s *record.Seen) { s.LimitMs = ms } }
 	answered := at(90, "answered", "a", 0, 0, final("succeeded"))
 	for _, c := range []struct {
