--- a/internal/faults/faults_test.go
+++ b/internal/faults/faults_test.go
@@ -39,7 +39,7 @@
 	return ln.Addr().String()
 }
 
-// The proxy injects faults into the share of connections that it is given.
+// TestProxyInjectsFaults checks that the proxy injects faults into the share of connections that it is given.
 func TestProxyInjectsFaults(t *testing.T) {
 	const connections, timeout = 40, 300 * time.Millisecond
 	target := startServer(t)
@@ -73,7 +73,8 @@
 	}
 }
 
-// Connecting fails during a shortage and works after it, and the wall clock is stepped.
+// TestMachineInjectsShortageAndClockStep checks that connecting fails during a shortage and works after it, and that the
+// wall clock is stepped.
 func TestMachineInjectsShortageAndClockStep(t *testing.T) {
 	target := startServer(t)
 	m := NewMachine(3)
--- a/internal/faults/machine.go
+++ b/internal/faults/machine.go
@@ -1,6 +1,6 @@
 // Package faults injects faults that Linux documents into what a program runs on: sockets that are unavailable for a
 // moment, short reads, writes in pieces, broken connections, delays between any two steps, a wall clock that is
-// stepped. All are drawn from a seed. Tests pass them to the program under test; no serving code uses them.
+// stepped. All are drawn from a seed. Only the soak and tests use them; the commands that serve do not.
 package faults
 
 import (
@@ -47,7 +47,8 @@
 // NewMachine draws the faults of a machine from a seed.
 func NewMachine(seed uint64) *Machine {
 	m := &Machine{rnd: rand.New(rand.NewPCG(seed, 21)), started: time.Now()}
-	errnos := []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EMFILE, syscall.ECONNABORTED, syscall.EADDRNOTAVAIL, syscall.ENETUNREACH}
+	errnos := []syscall.Errno{syscall.ENFILE, syscall.ENOBUFS, syscall.EMFILE, syscall.ECONNABORTED, syscall.EADDRNOTAVAIL,
+		syscall.ENETUNREACH}
 	for at := m.upTo(2 * time.Second); at < faultPeriod; at += m.upTo(1500 * time.Millisecond) {
 		s := shortage{at, at + m.upTo(120*time.Millisecond), errnos[m.rnd.IntN(len(errnos))]}
 		m.shortages = append(m.shortages, s)
@@ -65,12 +66,14 @@
 	return serve.Hooks{Clock: slowClock{loop.Monotonic(), m}, Listen: m.Listen, Connect: m.Connect, WallClock: m.WallClock}
 }
 
+// upTo draws a time below most.
 func (m *Machine) upTo(most time.Duration) time.Duration {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return time.Duration(m.rnd.Float64() * float64(most))
 }
 
+// chance returns true with probability p.
 func (m *Machine) chance(p float64) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -161,7 +164,8 @@
 	c.m.delay()
 	if errors.Is(err, syscall.ECONNRESET) {
 		errnos := []syscall.Errno{syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH}
-		err = &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", errnos[int(c.m.upTo(time.Duration(len(errnos))))%len(errnos)])}
+		err = &net.OpError{Op: "read", Net: "tcp",
+			Err: os.NewSyscallError("read", errnos[int(c.m.upTo(time.Duration(len(errnos))))%len(errnos)])}
 	}
 	return n, err
 }
--- a/internal/faults/proxy.go
+++ b/internal/faults/proxy.go
@@ -9,7 +9,7 @@
 )
 
 // Proxy forwards connections to a server and injects a fault into some of them. Bytes to the server pass at once or not
-// at all, so that the server sees when they were sent. Bytes from the server may be late, cut off, held back once, or
+// at all, so that the server sees when they were sent. Bytes from the server may be late, cut off, stalled once, or
 // never come, and the connection may be reset.
 type Proxy struct {
 	Target      string  // the server's address
@@ -32,16 +32,16 @@
 	faultReset    faultKind = iota // it is reset, before or after some bytes from the server
 	faultCut                       // it ends in the middle
 	faultLate                      // from some moment on every read from the server is delayed
-	faultHeld                      // one read from the server is delayed, and for longer
+	faultStall                     // one read from the server is delayed, and for longer
 	faultHalfOpen                  // from some moment on nothing comes from the server, and the connection stays open
 	faultKinds                     // the number of kinds
 )
 
 const (
 	maxLateDelay  = 60 * time.Millisecond
-	maxHeldDelay  = 2 * time.Second
+	maxStallDelay = 2 * time.Second
 	maxFaultBytes = 4000 // from the server, after which a fault occurs at the latest
-	noFault       = -1
+	noFault       = -1   // in place of the number of bytes: the connection gets no fault
 )
 
 // Start listens at a loopback address and returns it.
@@ -96,8 +96,8 @@
 	delete(p.conns, nc)
 }
 
-// draw draws the fault of a connection, the bytes after which it occurs, its delay as a share of the longest, and
-// whether the connection gets it at all.
+// draw draws the fault of a connection, the number of bytes after which it occurs, its delay as a share of the longest,
+// and whether the connection gets it at all.
 func (p *Proxy) draw() (kind faultKind, after int, delayShare float64, faulty bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -137,7 +137,8 @@
 }
 
 // copyResponse copies bytes from the server to the client, and injects a fault after a number of them.
-func copyResponse(client *net.TCPConn, upstream net.Conn, clientGone <-chan struct{}, kind faultKind, after int, delayShare float64) {
+func copyResponse(client *net.TCPConn, upstream net.Conn, clientGone <-chan struct{}, kind faultKind, after int,
+	delayShare float64) {
 	b := make([]byte, 2048)
 	for {
 		n, err := upstream.Read(b)
@@ -167,8 +168,8 @@
 		case faultLate:
 			time.Sleep(time.Duration(delayShare * float64(maxLateDelay)))
 			after = 0 // delay the next read too
-		case faultHeld:
-			time.Sleep(time.Duration(delayShare * float64(maxHeldDelay)))
+		case faultStall:
+			time.Sleep(time.Duration(delayShare * float64(maxStallDelay)))
 		case faultHalfOpen:
 			io.Copy(io.Discard, upstream)
 			<-clientGone
--- a/internal/plant/plant.go
+++ b/internal/plant/plant.go
@@ -13,8 +13,8 @@
 	"arrowcleat/internal/serve"
 )
 
-// Faults returns the names of the faults that can be injected: the audit's rules, of which a fault breaks one each, and
-// "twice", with which every answer is sent twice.
+// Faults returns the names of the faults that can be injected: one for each of audit.Rules, named after the rule that it
+// breaks, and "twice", with which every answer is sent twice.
 func Faults() []string { return append(slices.Clone(audit.Rules), "twice") }
 
 // Hooks returns the hooks that inject a fault into a marshal; without a name they inject none.
@@ -56,14 +56,14 @@
 	balance.Host
 	fault    string
 	arrivals int
-	// newestReleased is the newest build that has been released.
+	// newestReleased is the newest build that was reported as released.
 	newestReleased int
-	// coldNode is the node to overload while it warms up, 0 for none; overloadUntilMs is when that ends.
-	coldNode        uint32
+	// warmingNode is the node to overload while it warms up, 0 for none; overloadUntilMs is when that ends.
+	warmingNode     uint32
 	overloadUntilMs float64
 }
 
-// InvocationArrived drops every thirtieth invocation.
+// InvocationArrived drops every thirtieth invocation with the fault of audit.RuleAnswered.
 func (f *faultyModule) InvocationArrived(id string, op, tenant int, key string, budget, cost float64, retry, write bool) {
 	f.arrivals++
 	if f.fault == audit.RuleAnswered && f.arrivals%30 == 0 {
@@ -95,9 +95,9 @@
 	}
 	for _, n := range list {
 		if f.fault == audit.RuleColdNodes && n.Health == balance.Serving && n.Started > f.Now()-500 && n.Ver <= f.newestReleased {
-			f.coldNode, f.overloadUntilMs = n.ID, f.Now()+2500
-		} else if n.ID == f.coldNode && n.Health != balance.Serving {
-			f.coldNode = 0
+			f.warmingNode, f.overloadUntilMs = n.ID, f.Now()+2500
+		} else if n.ID == f.warmingNode && n.Health != balance.Serving {
+			f.warmingNode = 0
 		}
 	}
 	f.Module.NodesListed(whole && f.fault != audit.RuleDrain, list)
@@ -106,8 +106,8 @@
 // Dispatch sends everything to the node that started last while it warms up. Nodes of trial builds are never selected
 // for that, so that no build exceeds its cap.
 func (f *faultyModule) Dispatch(inv string, node uint32, within float64) {
-	if f.coldNode != 0 && f.Now() < f.overloadUntilMs {
-		node = f.coldNode
+	if f.warmingNode != 0 && f.Now() < f.overloadUntilMs {
+		node = f.warmingNode
 	}
 	f.Host.Dispatch(inv, node, within)
 }
