--- a/internal/connlimit/connlimit_test.go
+++ b/internal/connlimit/connlimit_test.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// A connection that never had an answer goes before one that had. A new, recently used or busy connection stays.
+// ExampleSelectVictim shows that a connection that never had an answer goes before one that had. A new, recently used or
+// busy connection stays.
 func ExampleSelectVictim() {
 	fmt.Println(SelectVictim([]Conn{{IdleMs: 10}, {IdleMs: 200}, {IdleMs: 5000, Busy: true}, {IdleMs: 1000, Served: true}}))
 	fmt.Println(SelectVictim([]Conn{{IdleMs: 9000, Served: true}, {IdleMs: 400}, {IdleMs: 500}}))
@@ -13,6 +14,7 @@
 	// 1
 }
 
+// ExampleDivide shows that clients and nodes get equal shares of what is not reserved.
 func ExampleDivide() {
 	fmt.Println(Divide(256))
 	fmt.Println(Divide(1024))
--- a/internal/logsink/logsink.go
+++ b/internal/logsink/logsink.go
@@ -44,7 +44,8 @@
 func (w *Writer) run() {
 	for line := range w.lines {
 		if n := w.dropped.Swap(0); n > 0 {
-			fmt.Fprintf(w.out, "time=%s level=WARN msg=\"log lines dropped\" count=%d\n", time.Now().UTC().Format(time.RFC3339Nano), n)
+			fmt.Fprintf(w.out, "time=%s level=WARN msg=\"log lines dropped\" count=%d\n",
+				time.Now().UTC().Format(time.RFC3339Nano), n)
 		}
 		w.out.Write(line) // there is nowhere to report an error
 		w.pending.Add(-1)
--- a/internal/logsink/logsink_test.go
+++ b/internal/logsink/logsink_test.go
@@ -29,8 +29,8 @@
 	return w.written.String()
 }
 
-// Logging never waits for a blocked destination. Once the destination accepts lines again, it gets them in order and
-// the number of dropped lines.
+// TestBlockedDestination checks that logging never waits for a blocked destination. Once the destination accepts lines
+// again, it gets them in order and the number of dropped lines.
 func TestBlockedDestination(t *testing.T) {
 	const lines, timeout = 3 * maxQueuedLines, 100 * time.Millisecond
 	out := &blockedWriter{unblock: make(chan struct{})}
--- a/internal/loopback/loopback_test.go
+++ b/internal/loopback/loopback_test.go
@@ -6,6 +6,7 @@
 	"testing"
 )
 
+// TestReservedAddress checks that reserved addresses differ, and that IsListening knows which process listens.
 func TestReservedAddress(t *testing.T) {
 	seen := map[string]bool{}
 	for range 20 {
--- a/internal/schedlag/schedlag.go
+++ b/internal/schedlag/schedlag.go
@@ -1,5 +1,5 @@
-// Package schedlag measures scheduling delay: for how long a process is not scheduled, because the machine or the
-// process itself is busy.
+// Package schedlag measures the scheduling delay: for how long a process that could run does not run, because the machine
+// or the process itself is busy, or because it is stopped.
 package schedlag
 
 import "time"
--- a/internal/schedlag/schedlag_test.go
+++ b/internal/schedlag/schedlag_test.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// The delay of a stopped process is measured, also if the measurement ends before the goroutine runs again.
+// TestWatch checks that the delay of a stopped process is measured, also if the measurement ends before the goroutine
+// runs again.
 func TestWatch(t *testing.T) {
 	const stoppedFor = 100 * time.Millisecond
 	for _, before := range []time.Duration{0, 30 * time.Millisecond} {
--- a/internal/tcpstate/tcpstate_test.go
+++ b/internal/tcpstate/tcpstate_test.go
@@ -24,6 +24,7 @@
 	return client, server
 }
 
+// TestResetWithin checks that a reset is distinguished from a close after the request was read.
 func TestResetWithin(t *testing.T) {
 	const timeout = 100 * time.Millisecond
 	for name, c := range map[string]struct {
@@ -31,10 +32,14 @@
 		closeFirst bool // the client sends after the server has closed
 		reset      bool
 	}{
-		"read before the close":   {func(s net.Conn) { s.Read(make([]byte, 8)); s.Close() }, false, false},
-		"unread at the close":     {func(s net.Conn) { time.Sleep(20 * time.Millisecond); s.Close() }, false, true},
-		"sent after the close":    {func(s net.Conn) { s.Close() }, true, true},
-		"read after a half-close": {func(s net.Conn) { s.(*net.TCPConn).CloseWrite(); s.Read(make([]byte, 8)); s.Close() }, false, false},
+		"read before the close": {func(s net.Conn) { s.Read(make([]byte, 8)); s.Close() }, false, false},
+		"unread at the close":   {func(s net.Conn) { time.Sleep(20 * time.Millisecond); s.Close() }, false, true},
+		"sent after the close":  {func(s net.Conn) { s.Close() }, true, true},
+		"read after a half-close": {func(s net.Conn) {
+			s.(*net.TCPConn).CloseWrite()
+			s.Read(make([]byte, 8))
+			s.Close()
+		}, false, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			client, server := pair(t)
