--- a/internal/day/bench.go
+++ b/internal/day/bench.go
@@ -96,6 +96,7 @@
 	return d, nil
 }
 
+// shortestSLOMs returns the shortest SLO time of all operations.
 func shortestSLOMs(s *settings.Settings) float64 {
 	shortest := math.Inf(1)
 	for _, o := range s.Operation {
--- a/internal/day/clients.go
+++ b/internal/day/clients.go
@@ -141,6 +141,7 @@
 	v.id = fmt.Sprintf("%d-%d", c.tb.Seed, c.seq)
 }
 
+// drawKey draws the number of a key by the Zipf weights.
 func (c *clients) drawKey() int {
 	u := c.rnd.Float64() * c.keyWeights[len(c.keyWeights)-1]
 	for k, sum := range c.keyWeights {
@@ -152,19 +153,19 @@
 }
 
 // pickWeighted draws an index with the given weights.
-func pickWeighted(shares []float64, rnd *rand.Rand) int {
+func pickWeighted(weights []float64, rnd *rand.Rand) int {
 	sum := 0.0
-	for _, s := range shares {
-		sum += s
+	for _, w := range weights {
+		sum += w
 	}
 	u := rnd.Float64() * sum
-	for i, s := range shares {
-		if u < s {
+	for i, w := range weights {
+		if u < w {
 			return i
 		}
-		u -= s
+		u -= w
 	}
-	return len(shares) - 1
+	return len(weights) - 1
 }
 
 // encode returns the invocation as an HTTP/1.1 request.
@@ -208,6 +209,7 @@
 	return b.Bytes()
 }
 
+// record records an event of an invocation.
 func (c *clients) record(v *requestSpec, kind, final, text string, at time.Time) {
 	c.tb.record(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: v.id, Instance: int64(v.marshal), Op: int64(v.op), Key: v.key,
 		LimitMs: float64(v.timeLimit) / float64(time.Millisecond), Final: final, Text: text})
@@ -351,6 +353,7 @@
 	lastRequest *requestSpec
 }
 
+// get returns an idle connection that can be used again, or a new one.
 func (p *pool) get(c *clients) (*conn, error) {
 	for {
 		p.mu.Lock()
@@ -374,6 +377,7 @@
 	return &conn{Conn: nc, reader: bufio.NewReader(nc)}, nil
 }
 
+// put keeps a connection for the next invocation.
 func (p *pool) put(cc *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -403,7 +407,7 @@
 	return open
 }
 
-// send writes b in one go, or with trickle a few bytes at a time, as over a bad line.
+// send writes b in one go, or with trickle a few bytes at a time, as over a slow link.
 func (cc *conn) send(b []byte, trickle bool) error {
 	cc.SetWriteDeadline(time.Now().Add(5 * time.Second))
 	step := len(b)
--- a/internal/day/day_test.go
+++ b/internal/day/day_test.go
@@ -19,6 +19,7 @@
 	"arrowcleat/internal/settings"
 )
 
+// TestMain checks that the tests leave no goroutines behind.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
 // shortScenario is a scenario of some seconds with the most frequent faults.
@@ -35,7 +36,8 @@
 	return d
 }
 
-// Marshals keep all rules in a scenario, and the records of their modules replay to the same decisions.
+// TestDayIsClean checks that marshals keep all rules in a scenario, and that the records of their modules replay to the
+// same decisions.
 func TestDayIsClean(t *testing.T) {
 	t.Parallel()
 	dir := t.TempDir()
@@ -74,7 +76,8 @@
 	}
 }
 
-// The scenarios that are hardest on the rules: marshals keep them, and the situation in question did occur.
+// TestHardDays runs the scenarios that are hardest on the rules. Marshals keep the rules, and the situation in question
+// did occur.
 func TestHardDays(t *testing.T) {
 	for name, c := range map[string]struct {
 		change   func(*settings.Day)
@@ -108,13 +111,14 @@
 			}
 			if !out.Clean() || !c.occurred(out) {
 				t.Errorf("accepted %d, succeeded %d, not accepted %d, checked %v, builds %v, scheduling delay %v ms, rules broken %v: %v",
-					out.Invocations, out.Succeeded, out.NotAccepted, out.Checked, out.Builds, out.MaxSchedulingDelayMs, out.RulesBroken, out.Examples)
+					out.Invocations, out.Succeeded, out.NotAccepted, out.Checked, out.Builds, out.MaxSchedulingDelayMs,
+					out.RulesBroken, out.Examples)
 			}
 		})
 	}
 }
 
-// Every check of the audit works: it finds a marshal with a fault injected that breaks the rule.
+// TestInjectedFaultsAreFound checks the checks of the audit: each finds an injected fault that breaks its rule.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for _, rule := range plant.Faults() {
 		t.Run(rule, func(t *testing.T) {
@@ -136,8 +140,9 @@
 	}
 }
 
-// Background tasks that start while a run ends are waited for, or do not start. Without this, three of nine runs of
-// TestInjectedFaultsAreFound failed under the race detector (sync.WaitGroup: Add concurrent with Wait).
+// TestNoTaskStartsAtTheEnd checks that background tasks that start while a run ends are waited for, or do not start.
+// Without this, three of nine runs of TestInjectedFaultsAreFound failed under the race detector (sync.WaitGroup: Add
+// concurrent with Wait).
 func TestNoTaskStartsAtTheEnd(t *testing.T) {
 	for range 200 {
 		var background tasks
@@ -158,7 +163,7 @@
 	}
 }
 
-// Every kind of fault can be run alone, under its own name and the bench's.
+// TestFaultKinds checks that every kind of fault can be run alone, under its own name and the bench's.
 func TestFaultKinds(t *testing.T) {
 	for _, kind := range append(FaultKinds(), "balancer_roll", "balancer_stall", "control_down", "discovery_stale") {
 		if d, err := DefaultWithFault(kind); err != nil || len(d.Trouble)+len(d.Build) == 0 {
--- a/internal/day/processes.go
+++ b/internal/day/processes.go
@@ -28,6 +28,7 @@
 	Kill()
 }
 
+// launchNode starts a node in this process, or in a process of its own if there is a binary.
 func (tb *testbed) launchNode(set *settings.Standin) (node, error) {
 	if tb.Binary != "" {
 		set.Record = filepath.Join(tb.Dir, fmt.Sprintf("node-%d-%d.seen", set.Node, set.Seed))
@@ -157,6 +158,7 @@
 	return m, nil
 }
 
+// start starts the marshal's next incarnation.
 func (m *testMarshal) start() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/day/scenario.go
+++ b/internal/day/scenario.go
@@ -38,6 +38,7 @@
 	return parseScenario(path, text)
 }
 
+// parseScenario parses and checks a scenario in protobuf text format.
 func parseScenario(name string, text []byte) (*settings.Day, error) {
 	d := &settings.Day{}
 	if err := prototext.Unmarshal(text, d); err != nil {
--- a/internal/day/testbed.go
+++ b/internal/day/testbed.go
@@ -30,11 +30,11 @@
 	Scenario      *settings.Day
 	Seed          uint64
 	Dir           string // for the records
-	InjectFault   string // the rule that the marshals are made to break; empty for none
+	InjectFault   string // to inject into the marshals, one of plant.Faults; empty for none
 	Binary        string // this program, to run marshals and nodes as processes of their own; empty: in this process
 	RecordModules bool   // the marshals record the events and calls of their modules
 	Logger        *slog.Logger
-	Progressf     func(format string, a ...any) // is called with each event of the run; may be nil
+	Progressf     func(format string, a ...any) // called with each event of the run; may be nil
 }
 
 // Result is the result of a run with its audit.
@@ -194,7 +194,7 @@
 	return out, nil
 }
 
-// delay returns the random delays of a stand-in's updates: around a mean in ms, plus an extra delay.
+// delay returns a function that draws the delay of a stand-in's update: around a mean in ms, plus an extra delay.
 func (tb *testbed) delay(meanMs float64, extra *atomic.Int64) func() time.Duration {
 	return func() time.Duration {
 		tb.delayMu.Lock()
@@ -349,14 +349,14 @@
 	}
 }
 
-// startNode starts a node on a slot and registers it. An old node is registered as warmed up long ago.
-func (tb *testbed) startNode(s *slot, old bool) error {
+// startNode starts a node on a slot and registers it. A warm node is registered as started long ago.
+func (tb *testbed) startNode(s *slot, warm bool) error {
 	tb.mu.Lock()
 	if tb.closed {
 		tb.mu.Unlock()
 		return nil
 	}
-	if old || s.entry.ID == 0 {
+	if warm || s.entry.ID == 0 {
 		tb.lastNodeID++
 		s.entry.ID = tb.lastNodeID
 	}
@@ -365,7 +365,7 @@
 		Queue: 200, Seed: tb.Seed + tb.lastIncarnation}
 	up := time.Hour
 	s.entry.UptimeMs = 0
-	if !old {
+	if !warm {
 		set.Rules, up, s.entry.UptimeMs = tb.rules, 0, 1
 	}
 	if b := tb.builds[s.ver]; b != nil {
@@ -381,7 +381,8 @@
 	defer tb.mu.Unlock()
 	s.node = n
 	tb.nodes = append(tb.nodes, n)
-	s.entry = control.NodeEntry{Node: balance.Node{ID: set.Node, Ver: s.ver, Zone: s.zone, Size: s.speed * float64(tb.Scenario.Cores)},
+	s.entry = control.NodeEntry{
+		Node:    balance.Node{ID: set.Node, Ver: s.ver, Zone: s.zone, Size: s.speed * float64(tb.Scenario.Cores)},
 		Address: n.Address(), Incarnation: inc, UptimeMs: s.entry.UptimeMs}
 	tb.registry.Set(s.entry, up)
 	return nil
@@ -472,6 +473,7 @@
 	return some
 }
 
+// command has the node of a slot run a command.
 func (tb *testbed) command(s *slot, line string) {
 	tb.mu.Lock()
 	n := s.node
@@ -492,7 +494,7 @@
 	tb.registry.Set(entry, 0)
 }
 
-// restartNode starts a killed slot again, with a cold node of the wanted build.
+// restartNode starts a node of the wanted build, which has to warm up, on the slot of a killed one.
 func (tb *testbed) restartNode(s *slot) {
 	tb.mu.Lock()
 	s.down = false
