--- a/internal/measure/cores.go
+++ b/internal/measure/cores.go
@@ -18,10 +18,10 @@
 }
 
 // RunOnCores measures the marshal and the reverse proxy on each number of cores in counts, with the same nodes and
-// clients, and passes each result to each. If the machine has processors to spare, the target has the first ones to
+// clients, and calls report with each result. If the machine has processors to spare, the target has the first ones to
 // itself, and clients and nodes have the others. Otherwise they share all processors, and Isolated is false. Threads are
 // bound with sched_setaffinity(2), which needs no privilege.
-func RunOnCores(ctx context.Context, o Options, counts []int, each func(CoresResult)) error {
+func RunOnCores(ctx context.Context, o Options, counts []int, report func(CoresResult)) error {
 	nodes, err := startNodes(o.Nodes)
 	if err != nil {
 		return err
@@ -55,7 +55,7 @@
 			if err != nil {
 				return fmt.Errorf("%s on %d cores: %w", target.name, n, err)
 			}
-			each(row)
+			report(row)
 		}
 	}
 	return nil
--- a/internal/measure/measure.go
+++ b/internal/measure/measure.go
@@ -52,10 +52,10 @@
 	InvocationsPerCPUS   float64 // invocations per CPU second of the target; 0 for direct connections
 	P50Ms, P99Ms, P999Ms float64 // latency from the scheduled send time, open loop
 	LateSends            int64   // invocations that the open loop sent over 1 ms late
-	KiBPerConn           float64
+	KiBPerConn           float64 // memory of the target per idle connection
 	TargetCPUs, LoadCPUs float64 // processors used in the closed loop: by the target, and by clients and nodes
-	Failed               int64   // answers with a status other than 200
-	ClosedSuccesses      int64
+	Failed               int64   // closed loop: answers with a status other than 200
+	ClosedSuccesses      int64   // closed loop: answers with status 200
 }
 
 // Run measures direct connections and then each target.
@@ -98,6 +98,7 @@
 	listeners []net.Listener
 }
 
+// startNodes starts the nodes, each on a port of its own.
 func startNodes(count int) (*nodeSet, error) {
 	n := &nodeSet{}
 	for range count {
@@ -162,9 +163,10 @@
 	return resp.StatusCode == 200, err
 }
 
+// measureTarget measures one target: direct connections if c is nil, else the process c.
 func (o Options) measureTarget(ctx context.Context, name string, addresses []string, c *child) (Result, error) {
 	row := Result{Target: name}
-	if c != nil { // before the load, since connections would reuse memory that it has left
+	if c != nil { // before the load, since connections would reuse memory that the load has freed
 		before := c.rssKiB()
 		conns, err := o.openIdle(addresses[0])
 		row.KiBPerConn = (c.rssKiB() - before) / float64(o.IdleConns)
@@ -310,6 +312,7 @@
 	registry *standin.Registry
 }
 
+// spawn starts this program with the given arguments and waits until it prints its address.
 func (o Options) spawn(args ...string) (*child, error) {
 	c := &child{cmd: exec.Command(o.Binary, args...)}
 	c.cmd.Env = append(os.Environ(), "GOMAXPROCS="+strconv.Itoa(o.GoMaxProcs))
@@ -335,6 +338,7 @@
 	return c, nil
 }
 
+// stop ends the process, after 3 s by a kill.
 func (c *child) stop() {
 	c.stdin.Close()
 	c.cmd.Process.Signal(os.Interrupt)
@@ -380,10 +384,12 @@
 	return pages * float64(os.Getpagesize()) / 1024
 }
 
+// startProxy starts the reverse proxy.
 func startProxy(o Options, n *nodeSet) (*child, error) {
 	return o.spawn(append([]string{"measure", "proxy"}, n.addresses...)...)
 }
 
+// startMarshal starts a marshal, and a service registry that lists the nodes.
 func startMarshal(o Options, n *nodeSet) (*child, error) {
 	r := &standin.Registry{}
 	if err := r.Start("127.0.0.1:0"); err != nil {
@@ -410,7 +416,7 @@
 }
 
 // Proxy runs net/http/httputil's reverse proxy with a random node for each request. It prints its address on out and
-// stops when in ends.
+// stops at the end of in.
 func Proxy(addresses []string, in io.Reader, out io.Writer) error {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
