--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// drawPause draws the pause before the next request. Long pauses are longer than a marshal accepts new connections
-// after TERM, so that requests are sent while the marshal closes idle connections.
+// drawPause draws the pause before the next request. Long pauses last longer than a marshal accepts new
+// connections after TERM, so that requests are sent while the marshal closes idle connections.
 func (c *client) drawPause() time.Duration {
 	switch {
 	case c.rnd.Float64() < c.m.run.plan.LongPauseShare:
@@ -115,7 +115,7 @@
 	return err
 }
 
-// record records an event of a request.
+// record records an event of a request, which happened at a time.
 func (c *client) record(r request, kind, final, text string, at time.Time) {
 	c.m.run.record(&record.Seen{Kind: kind, AtUs: at.UnixMicro(), Inv: r.id, Instance: int64(c.m.number), Op: int64(r.class),
 		LimitMs: float64(r.limit) / float64(time.Millisecond), Final: final, Text: text})
@@ -184,7 +184,8 @@
 		return
 	}
 	if unanswered := time.Unix(0, killedAtNs).Sub(sent); unanswered > maxUnansweredAtKill {
-		c.m.run.addFinding("%s was sent %v before the kill that came after TERM, and got no answer", r.id, unanswered.Round(time.Millisecond))
+		c.m.run.addFinding("%s was sent %v before the kill that came after TERM, and got no answer", r.id,
+			unanswered.Round(time.Millisecond))
 	}
 }
 
@@ -233,8 +234,8 @@
 	final := response.Header.Get(front.AnswerHeader)
 	c.record(r, "answered", final, response.Status, now)
 	rejected := response.StatusCode == http.StatusServiceUnavailable || response.StatusCode == http.StatusTooManyRequests
-	if (response.StatusCode == http.StatusOK) != (final == front.Succeeded) || final == front.Throttled && !rejected || rejected && final == front.Terminated ||
-		final == front.Succeeded && string(body) != "made for "+r.id {
+	if (response.StatusCode == http.StatusOK) != (final == front.Succeeded) || final == front.Throttled && !rejected ||
+		rejected && final == front.Terminated || final == front.Succeeded && string(body) != "made for "+r.id {
 		c.record(r, "mixed", final, fmt.Sprintf("%d %.40q", response.StatusCode, body), now)
 	}
 	c.answered, c.lastID = true, r.id
--- a/internal/soak/events.go
+++ b/internal/soak/events.go
@@ -21,12 +21,13 @@
 	ChangeRelease              // the newest build advances or is rolled back, or another build goes on trial
 )
 
-// startEvents starts to play events, until the returned function is called.
+// startEvents starts events at random intervals, until the returned function is called.
 func (tb *testbed) startEvents() (stop func()) {
 	done := make(chan struct{})
 	var wg sync.WaitGroup
 	rnd := rand.New(rand.NewPCG(tb.run.plan.Seed, 4))
-	events := map[Event]func(*rand.Rand, <-chan struct{}){DrainNode: tb.drainNode, KillNode: tb.killNode, AddNode: tb.addNode, SilenceAgents: tb.silenceAgents, ChangeRelease: tb.changeRelease}
+	events := map[Event]func(*rand.Rand, <-chan struct{}){DrainNode: tb.drainNode, KillNode: tb.killNode, AddNode: tb.addNode,
+		SilenceAgents: tb.silenceAgents, ChangeRelease: tb.changeRelease}
 	kinds := tb.run.plan.EventKinds
 	wg.Go(func() {
 		for {
@@ -42,7 +43,7 @@
 	return func() { close(done); wg.Wait() }
 }
 
-// drawServing draws one of the serving nodes, if enough are left without it.
+// drawServing draws one of the serving nodes, if enough are left without it. The caller holds tb.mu.
 func (tb *testbed) drawServing(rnd *rand.Rand) (h standin.Host, ok bool) {
 	const minServing = 3 // that are left
 	var serving []standin.Host
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -1,6 +1,6 @@
-// Package soak plays seeded runs of the real marshal process with the operators' platform's protocol: stand-ins for
+// Package soak executes seeded runs of the real marshal process with the operators' platform's protocol: stand-ins for
 // discovery, the release API and nodes, clients that use their connections until the process is killed, and series of
-// signals. What passes on the sockets is audited.
+// signals. What is observed on the sockets is audited.
 package soak
 
 import (
@@ -17,8 +17,8 @@
 const (
 	maxCountedLimit   = 3 * time.Second         // a longer time limit counts as this for the time of KILL
 	killMargin        = 700 * time.Millisecond  // from the end of the longest time limit until KILL
-	answerSlack       = 500 * time.Millisecond  // after the time limit: an answer in it is worth nothing, a later one counts as lost
-	incompleteTimeout = 3 * time.Second         // until a client that sends nothing or half a request has to get an error or a close
+	answerSlack       = 500 * time.Millisecond  // after the time limit: an answer in it is too late, one after it counts as lost
+	incompleteTimeout = 3 * time.Second         // for an error or a close, if a client sends nothing or half a request
 	retireAfter       = 1500 * time.Millisecond // until a replaced agent or release API closes its connections
 	readyTimeout      = 10 * time.Second
 	maxPause          = 150 * time.Millisecond // of a process between STOP and CONT
@@ -124,11 +124,13 @@
 	rnd := rand.New(rand.NewPCG(seed, 0))
 	ms := time.Millisecond
 	p := &Plan{Seed: seed, Marshals: 1 + rnd.IntN(2), PeerMessages: rnd.IntN(2) == 0, Sockets: pick(rnd, 200, 256, 400),
-		NodeIdleTimeout: pick(rnd, 400*ms, 1000*ms, 30000*ms), DialTimeout: pick(rnd, 100*ms, 250*ms), DrainGrace: pick(rnd, 300*ms, 500*ms),
-		Caps: pick(rnd, []float64{0.1, 1}, []float64{0.2, 0.5, 1}), Allowance: float64(rnd.IntN(4)), CapWindow: pick(rnd, 1000*ms, 2000*ms),
+		NodeIdleTimeout: pick(rnd, 400*ms, 1000*ms, 30000*ms), DialTimeout: pick(rnd, 100*ms, 250*ms),
+		DrainGrace: pick(rnd, 300*ms, 500*ms), Caps: pick(rnd, []float64{0.1, 1}, []float64{0.2, 0.5, 1}),
+		Allowance: float64(rnd.IntN(4)), CapWindow: pick(rnd, 1000*ms, 2000*ms),
 		Nodes: 4 + rnd.IntN(5), Clients: 6 + rnd.IntN(15), SplitLines: rnd.IntN(2) == 0, LeaveShare: 0.08 * rnd.Float64(),
 		PartialShare: pick(rnd, 0, 0.005, 0.02), NodeFaultShare: 0.3 * rnd.Float64(),
-		EventInterval: between(rnd, 120*ms, 500*ms), EventKinds: []Event{DrainNode, KillNode, AddNode, SilenceAgents, ChangeRelease, ChangeRelease}}
+		EventInterval: between(rnd, 120*ms, 500*ms),
+		EventKinds:    []Event{DrainNode, KillNode, AddNode, SilenceAgents, ChangeRelease, ChangeRelease}}
 	p.LongPauseShare = pick(rnd, 0, 0.1, 0.5)
 	p.SplitShare = pick(rnd, 0, 0.1)
 	p.MachineFaults, p.ConnFaultShare = rnd.IntN(2) == 0, pick(rnd, 0, 0.1, 0.3)
@@ -184,7 +186,8 @@
 	p.HangNodes = rnd.IntN(3) == 0
 	if p.LoadTime > earliestHUP+100*ms && rnd.IntN(3) > 0 {
 		at := between(rnd, earliestHUP+50*ms, p.LoadTime)
-		series := pick(rnd, []string{Reload}, []string{Reload, HUP}, []string{HUP, HUP}, []string{Reload, USR1, HUP, USR2}, []string{Reload, Reload})
+		series := pick(rnd, []string{Reload}, []string{Reload, HUP}, []string{HUP, HUP}, []string{Reload, USR1, HUP, USR2},
+			[]string{Reload, Reload})
 		for _, name := range series {
 			p.Signals = append(p.Signals, Signal{at, name})
 			at += between(rnd, 0, 3*ms)
@@ -207,27 +210,30 @@
 
 // settings returns the settings of the plan that the audit reads.
 func (p *Plan) settings() *settings.Settings {
-	s := &settings.Settings{Rules: &settings.Rules{AnswerSlackMs: float64(answerSlack.Milliseconds()), GraceMs: float64(p.DrainGrace.Milliseconds())},
+	s := &settings.Settings{
+		Rules: &settings.Rules{AnswerSlackMs: float64(answerSlack.Milliseconds()),
+			GraceMs: float64(p.DrainGrace.Milliseconds())},
 		Rollout: &settings.Rollout{Allowance: p.Allowance, CountedOverMs: float64(p.CapWindow.Milliseconds()), CapScope: "all"}}
 	for _, c := range p.Caps {
 		s.Rollout.Stage = append(s.Rollout.Stage, &settings.Stage{Cap: c})
 	}
 	for _, c := range p.Classes {
-		s.Operation = append(s.Operation, &settings.Operation{Name: c.Name, Repeat: c.Repeat, Group: c.DedupGroup, SloMs: float64(c.Limit.Milliseconds()),
-			LimitMs: float64(c.Limit.Milliseconds()), MemoryMs: float64(c.DedupWindow.Milliseconds())})
+		s.Operation = append(s.Operation, &settings.Operation{Name: c.Name, Repeat: c.Repeat, Group: c.DedupGroup,
+			SloMs: float64(c.Limit.Milliseconds()), LimitMs: float64(c.Limit.Milliseconds()), MemoryMs: float64(c.DedupWindow.Milliseconds())})
 	}
 	return s
 }
 
-// repeatWords are the platform's words for the kinds of repeat.
-var repeatWords = map[settings.Repeat]string{settings.Repeat_IDEMPOTENT: "free", settings.Repeat_FINGERPRINTED: "guarded",
+// repeatNames are the platform's names of the kinds of repeat.
+var repeatNames = map[settings.Repeat]string{settings.Repeat_IDEMPOTENT: "free", settings.Repeat_FINGERPRINTED: "guarded",
 	settings.Repeat_SIDE_EFFECTING: "single_shot"}
 
 // configuration returns the configuration of a marshal process in the platform's form.
 func (p *Plan) configuration(m *marshalRun, release standin.Release, known []standin.Host) string {
 	var classes, zones []string
 	for _, c := range p.Classes {
-		text := fmt.Sprintf(`{"name":%q,"aim-s":%g,"deadline-s":%g,"repeat":%q`, c.Name, c.Limit.Seconds()/2, c.Limit.Seconds(), repeatWords[c.Repeat])
+		text := fmt.Sprintf(`{"name":%q,"aim-s":%g,"deadline-s":%g,"repeat":%q`, c.Name, c.Limit.Seconds()/2, c.Limit.Seconds(),
+			repeatNames[c.Repeat])
 		if c.Repeat == settings.Repeat_FINGERPRINTED {
 			text += fmt.Sprintf(`,"group":%q,"window-s":%g`, c.DedupGroup, c.DedupWindow.Seconds())
 		}
@@ -244,9 +250,10 @@
 "rules":{"stop-sending-within-s":%g,"warm-up-s":1.0},
 "domain":{"api-timeout-s":0.3,"api-rate":20.0,"vote-ttl-s":4.0,"most-shares":[%s],"stage-share":[%s],"counted-over-s":%g,"allowance":%g,
 "cap-scope":"all","gate-mode":"first_voice"},"request-classes":[%s]}}`,
-		m.number, m.address, m.agentAddress, p.Seed, p.Sockets, m.peerAddress, strings.Join(m.run.quotedPeers, ","), m.run.unreachablePeer, m.apiAddress,
-		release.JSON(), standin.DiscoveryMessage(1, true, known), p.Marshals, m.number, strings.Join(zones, ","), p.PeerMessages, p.NodeIdleTimeout.Seconds(), p.DialTimeout.Seconds(),
-		p.DrainGrace.Seconds(), caps, caps, p.CapWindow.Seconds(), p.Allowance, strings.Join(classes, ","))
+		m.number, m.address, m.agentAddress, p.Seed, p.Sockets, m.peerAddress, strings.Join(m.run.quotedPeers, ","),
+		m.run.unreachablePeer, m.apiAddress, release.JSON(), standin.DiscoveryMessage(1, true, known), p.Marshals, m.number,
+		strings.Join(zones, ","), p.PeerMessages, p.NodeIdleTimeout.Seconds(), p.DialTimeout.Seconds(), p.DrainGrace.Seconds(),
+		caps, caps, p.CapWindow.Seconds(), p.Allowance, strings.Join(classes, ","))
 }
 
 // killAfter returns the time from TERM to KILL, the shortest that the protocol allows.
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -108,6 +108,7 @@
 	return err
 }
 
+// loadOver reports whether clients send no more requests.
 func (r *processRun) loadOver() bool {
 	select {
 	case <-r.loadEnded:
@@ -117,6 +118,7 @@
 	}
 }
 
+// endLoad has clients send no more requests.
 func (r *processRun) endLoad() { r.endLoadOnce.Do(func() { close(r.loadEnded) }) }
 
 // wait waits for a time, or until the load ends.
@@ -133,8 +135,8 @@
 	return !r.loadOver() && (until == 0 || time.Now().UnixNano() < until)
 }
 
-// play plays one process from its start to its end.
-func (m *marshalRun) play(number int, plan Process) error {
+// runProcess runs one process from its start to its end.
+func (m *marshalRun) runProcess(number int, plan Process) error {
 	r, err := m.start(number, plan)
 	if err != nil {
 		return err
@@ -165,7 +167,7 @@
 	if m.run.plan.BurstConns > 0 && number == 0 {
 		r.burst(m.rnd)
 	}
-	if err := r.playSignals(ready); err != nil {
+	if err := r.runLoad(ready); err != nil {
 		return err
 	}
 	switch plan.End {
@@ -183,10 +185,12 @@
 	return r.terminate()
 }
 
-var osSignals = map[string]syscall.Signal{HUP: syscall.SIGHUP, Reload: syscall.SIGHUP, USR1: syscall.SIGUSR1, USR2: syscall.SIGUSR2}
+// osSignals maps names of signals to what is sent.
+var osSignals = map[string]syscall.Signal{HUP: syscall.SIGHUP, Reload: syscall.SIGHUP, USR1: syscall.SIGUSR1,
+	USR2: syscall.SIGUSR2}
 
-// playSignals sends the signals of the plan, and waits for the end of the load.
-func (r *processRun) playSignals(ready time.Time) error {
+// runLoad sends the signals of the plan while clients send requests, and waits for the end of the load.
+func (r *processRun) runLoad(ready time.Time) error {
 	if err := r.sendSignals(r.Signals, ready); err != nil {
 		return err
 	}
@@ -298,7 +302,8 @@
 	}
 }
 
-const maxViolations = 5 // log lines that are reported of one process
+// maxViolations is the number of violation lines of one process that are reported.
+const maxViolations = 5
 
 // viewGoroutines matches the number of goroutines in a view, a line with the marshal's state.
 var viewGoroutines = regexp.MustCompile(`msg=view .*goroutines=(\d+)`)
@@ -329,7 +334,7 @@
 // longer than a broken stream takes to be reopened.
 const steadyTime = 100 * time.Millisecond
 
-// resourcesAtRest returns the resources of the process before it has got any request.
+// resourcesAtRest returns the resources of the process before it has received any request.
 func (r *processRun) resourcesAtRest() (last resources, err error) {
 	for end := time.Now().Add(3 * viewInterval); time.Now().Before(end); time.Sleep(steadyTime) {
 		now, views, err := r.measureResources(0)
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -19,10 +19,10 @@
 	"arrowcleat/internal/standin"
 )
 
-// maxRecordDelay is the longest time between an event and its record entry; the audit allows as much.
+// maxRecordDelay is the longest time between an event and its record entry. The audit tolerates as much.
 const maxRecordDelay = 100 * time.Millisecond
 
-// Options says how to play a run.
+// Options are the options of a run.
 type Options struct {
 	Plan    *Plan
 	Program []string // the marshal's program and its arguments
@@ -34,7 +34,7 @@
 type Result struct {
 	*audit.Report
 	Seed               uint64
-	Findings           []string      // beside the audit's: failed starts and ends, leaks, clients that send no whole request
+	Findings           []string      // besides the audit's: failed starts and ends, leaks, clients that got no error for a part of a request
 	MaxSchedulingDelay time.Duration // of this process
 }
 
@@ -43,15 +43,17 @@
 
 // Print writes a line for the run, and one for each finding.
 func (r *Result) Print(out io.Writer) {
-	fmt.Fprintf(out, "seed %d: %d taken, %d succeeded, %d throttled, %d terminated, %d left, %d not taken; %d unanswered, broken %v, scheduling delay %v\n",
-		r.Seed, r.Invocations, r.Succeeded, r.Throttled, r.Terminated, r.ClientsLeft, r.NotAccepted, r.Unanswered, r.RulesBroken, r.MaxSchedulingDelay.Round(time.Millisecond))
+	fmt.Fprintf(out, "seed %d: %d accepted, %d succeeded, %d throttled, %d terminated, %d left, %d not accepted; "+
+		"%d unanswered, broken %v, scheduling delay %v\n", r.Seed, r.Invocations, r.Succeeded, r.Throttled, r.Terminated,
+		r.ClientsLeft, r.NotAccepted, r.Unanswered, r.RulesBroken, r.MaxSchedulingDelay.Round(time.Millisecond))
 	for _, text := range append(append([]string{}, r.Findings...), r.Examples...) {
 		fmt.Fprintln(out, "  "+text)
 	}
 }
 
 // bounds are the bounds of the platform's protocol.
-var bounds = audit.Bounds{LowerCapGraceMs: 150, ExtraAttempts: 2, ExtraAttemptsShare: 0.04, TimeLimitSlackMs: 150, ClientGoneGraceMs: 100, StopGraceMs: 700, ResendOnClose: true}
+var bounds = audit.Bounds{LowerCapGraceMs: 150, ExtraAttempts: 2, ExtraAttemptsShare: 0.04, TimeLimitSlackMs: 150,
+	ClientGoneGraceMs: 100, StopGraceMs: 700, ResendOnClose: true}
 
 // run is the state of a run.
 type run struct {
@@ -64,10 +66,11 @@
 
 	ids      atomic.Int64
 	mu       sync.Mutex
-	entries  []*record.Seen // what passed on the sockets
+	entries  []*record.Seen // what was observed on the sockets
 	findings []string
 }
 
+// record adds an observation to the record of the run.
 func (r *run) record(s *record.Seen) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,11 +83,12 @@
 	r.findings = append(r.findings, fmt.Sprintf(format, args...))
 }
 
+// nextID returns a new id for a request to a marshal.
 func (r *run) nextID(marshal int) string {
 	return fmt.Sprintf("%d-%d-%d", marshal, r.plan.Seed, r.ids.Add(1))
 }
 
-// Run plays a plan and audits what passed.
+// Run executes a plan and audits what was observed on the sockets.
 func Run(o Options) (*Result, error) {
 	p := o.Plan
 	r := &run{plan: p, dir: o.Dir, opts: o}
@@ -100,7 +104,7 @@
 	stopEvents := r.testbed.startEvents()
 	var wg sync.WaitGroup
 	for _, m := range marshals {
-		wg.Go(m.playAll)
+		wg.Go(m.runProcesses)
 	}
 	wg.Wait()
 	stopEvents()
@@ -108,11 +112,12 @@
 		m.close()
 	}
 	r.testbed.close()
-	result := &Result{Report: audit.CheckWithBounds(p.settings(), bounds, r.entries), Seed: p.Seed, Findings: r.findings, MaxSchedulingDelay: schedulingDelay()}
+	result := &Result{Report: audit.CheckWithBounds(p.settings(), bounds, r.entries), Seed: p.Seed, Findings: r.findings,
+		MaxSchedulingDelay: schedulingDelay()}
 	return result, r.writeEntries()
 }
 
-// writeEntries writes what passed on the sockets to a file beside the marshals' logs, an entry per line.
+// writeEntries writes what was observed on the sockets to a file beside the marshals' logs, an entry per line.
 func (r *run) writeEntries() error {
 	var b bytes.Buffer
 	for _, s := range r.entries { // the audit has sorted them
@@ -176,6 +181,7 @@
 	return os.WriteFile(m.configFile, []byte(text), 0o644)
 }
 
+// close releases the address and stops the services.
 func (m *marshalRun) close() {
 	m.reservation.Release()
 	m.agent.Close()
@@ -190,10 +196,10 @@
 	m.run.record(&record.Seen{Kind: kind, AtUs: time.Now().UnixMicro(), Instance: int64(m.number)})
 }
 
-// playAll plays the marshal's processes one after the other.
-func (m *marshalRun) playAll() {
+// runProcesses runs the marshal's processes one after the other.
+func (m *marshalRun) runProcesses() {
 	for i, p := range m.run.plan.Processes[m.number] {
-		if err := m.play(i, p); err != nil {
+		if err := m.runProcess(i, p); err != nil {
 			m.run.addFinding("marshal %d, process %d (%s): %v", m.number, i, p.End, err)
 		}
 	}
--- a/internal/soak/testbed.go
+++ b/internal/soak/testbed.go
@@ -36,8 +36,9 @@
 
 // newTestbed starts the nodes that a plan has at the start.
 func newTestbed(r *run) (*testbed, error) {
-	tb := &testbed{run: r, rnd: rand.New(rand.NewPCG(r.plan.Seed, 3)), nodes: map[string]*standin.PlatformNode{}, hosts: map[string]standin.Host{},
-		currentRelease: standin.Release{Build: firstBuild, Stage: len(r.plan.Caps) - 1, Phase: balance.Released, Cap: 1, Since: time.Now().Add(-90 * time.Second)}}
+	tb := &testbed{run: r, rnd: rand.New(rand.NewPCG(r.plan.Seed, 3)), nodes: map[string]*standin.PlatformNode{},
+		hosts: map[string]standin.Host{}, currentRelease: standin.Release{Build: firstBuild, Stage: len(r.plan.Caps) - 1,
+			Phase: balance.Released, Cap: 1, Since: time.Now().Add(-90 * time.Second)}}
 	for range r.plan.Nodes {
 		if err := tb.startNode(firstBuild); err != nil {
 			return nil, err
@@ -56,7 +57,8 @@
 		zone = tb.lastNode % len(tb.run.plan.Zones)
 		site = tb.run.plan.Zones[zone]
 	}
-	n := &standin.PlatformNode{ID: uint32(tb.lastNode), Ver: build, Zone: zone, IdleTimeout: tb.run.plan.NodeIdleTimeout, Reply: tb.reply, Record: tb.run.record}
+	n := &standin.PlatformNode{ID: uint32(tb.lastNode), Ver: build, Zone: zone, IdleTimeout: tb.run.plan.NodeIdleTimeout,
+		Reply: tb.reply, Record: tb.run.record}
 	reservation, err := loopback.Reserve() // without it a node of another run may get the port once this node is killed
 	if err != nil {
 		return err
@@ -69,7 +71,8 @@
 	if err != nil {
 		return err
 	}
-	h := standin.Host{Name: fmt.Sprintf("s-%d", tb.lastNode), NodeID: n.ID, Address: address, Site: site, Zone: zone, Health: standin.InService, Build: build}
+	h := standin.Host{Name: fmt.Sprintf("s-%d", tb.lastNode), NodeID: n.ID, Address: address, Site: site, Zone: zone,
+		Health: standin.InService, Build: build}
 	tb.nodes[h.Name] = n
 	tb.publish(h)
 	return nil
@@ -82,7 +85,8 @@
 	if tb.run.plan.ConnFaultShare == 0 {
 		return address, nil
 	}
-	p := &faults.Proxy{Target: address, FaultShare: tb.run.plan.ConnFaultShare, AllowDelays: allowDelays, Seed: tb.run.plan.Seed + uint64(len(tb.proxies))<<32}
+	p := &faults.Proxy{Target: address, FaultShare: tb.run.plan.ConnFaultShare, AllowDelays: allowDelays,
+		Seed: tb.run.plan.Seed + uint64(len(tb.proxies))<<32}
 	address, err := p.Start()
 	if err == nil {
 		tb.proxies = append(tb.proxies, p)
@@ -112,7 +116,8 @@
 	if tb.rnd.IntN(6) == 0 {
 		return standin.Served, between(tb.rnd, 100*time.Millisecond, 2*time.Second) // a late answer
 	}
-	return pick(tb.rnd, standin.Rejected, standin.Error, standin.Hung, standin.Reset, standin.Closed, standin.Truncated, standin.Malformed, standin.Duplicated), took
+	return pick(tb.rnd, standin.Rejected, standin.Error, standin.Hung, standin.Reset, standin.Closed, standin.Truncated,
+		standin.Malformed, standin.Duplicated), took
 }
 
 // startServices starts an agent and a release API for a marshal, with the current hosts and release.
@@ -145,9 +150,11 @@
 func (tb *testbed) vote() int {
 	tb.rndMu.Lock()
 	defer tb.rndMu.Unlock()
-	return pick(tb.rnd, http.StatusOK, http.StatusOK, http.StatusOK, http.StatusTooManyRequests, http.StatusConflict, http.StatusInternalServerError)
+	return pick(tb.rnd, http.StatusOK, http.StatusOK, http.StatusOK, http.StatusTooManyRequests, http.StatusConflict,
+		http.StatusInternalServerError)
 }
 
+// release returns the state of the newest build.
 func (tb *testbed) release() standin.Release {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
@@ -165,6 +172,7 @@
 	}
 }
 
+// close kills the nodes, closes the proxies and releases the addresses.
 func (tb *testbed) close() {
 	tb.mu.Lock()
 	defer tb.mu.Unlock()
