--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -42,6 +42,7 @@
 		Zone: int64(h.Zone), Text: health}
 }
 
+// json returns h in discovery's form.
 func (h Host) json() string {
 	startedMs := int64(0)
 	if !h.Started.IsZero() {
@@ -110,6 +111,7 @@
 // heartbeatInterval is how often a watch without changes gets an empty line.
 const heartbeatInterval = 2 * time.Second
 
+// watch writes the list to a stream and then its changes.
 func (a *DiscoveryAgent) watch(s *stream, q *http.Request) {
 	if !strings.HasPrefix(q.RequestURI, "/v1/servers?follow=1") {
 		return
@@ -170,6 +172,7 @@
 	server *streams
 }
 
+// start listens at an address and calls serve with each request and its open response.
 func (s *streams) start(address string, serve func(*stream, *http.Request)) error {
 	ln, err := net.Listen("tcp", address)
 	if err != nil {
@@ -200,6 +203,7 @@
 	return nil
 }
 
+// serve reads the request of a connection and begins the response to a GET.
 func (s *streams) serve(c net.Conn, serve func(*stream, *http.Request)) {
 	q, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
@@ -214,7 +218,7 @@
 // Address returns the address that the server listens at.
 func (s *streams) Address() string { return s.ln.Addr().String() }
 
-// SetSilent stops all writes on the open connections, or lets them go on.
+// SetSilent stops all writes on the open connections, or resumes them.
 func (s *streams) SetSilent(silent bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -31,7 +31,7 @@
 )
 
 // Node is a stand-in node. Its cores work off a queue. It is slower while it warms up, and too much work in that time
-// makes it stop answering for good.
+// overloads it, and it never answers again.
 type Node struct {
 	ID             uint32
 	Ver            int
@@ -39,7 +39,7 @@
 	Cores          int
 	Speed          float64 // ms of work that a core does in a ms once it is warm
 	Queue          int     // dispatches that may wait; more are rejected
-	ColdShare      float64 // of its speed at the start
+	ColdShare      float64 // of Speed that it has at the start
 	WarmUp         time.Duration
 	OverloadFactor float64 // more than this many times its capacity overloads it while it warms up
 	OverloadWindow time.Duration
@@ -52,19 +52,19 @@
 	server  *http.Server
 	cores   chan struct{} // holds an element for each busy core
 
-	mu           sync.Mutex
-	rnd          *rand.Rand
-	machineFault Fault // on command
-	waiting      int   // dispatches without a core
-	held         int   // dispatches that wait or run
-	coldArrivals []arrival
-	overloaded   bool
-	dead         bool
-	serviceMs    float64       // moving average of the service times
-	served       []time.Time   // within the last second
-	hangEnded    chan struct{} // closed when a hang ends
-	recent       map[string]time.Time
-	stats        map[int]*OperationStats // by operation
+	mu             sync.Mutex
+	rnd            *rand.Rand
+	machineFault   Fault // on command
+	waiting        int   // dispatches without a core
+	held           int   // dispatches that wait or run
+	warmUpArrivals []arrival
+	overloaded     bool
+	dead           bool
+	serviceMs      float64       // moving average of the service times
+	served         []time.Time   // within the last second
+	hangEnded      chan struct{} // closed when a hang ends
+	recent         map[string]time.Time
+	stats          map[int]*OperationStats // by operation
 }
 
 // OperationStats counts the answers of one operation.
@@ -192,6 +192,7 @@
 	return nil
 }
 
+// recordSeen records an observation of this node, if it has a recorder.
 func (n *Node) recordSeen(s *record.Seen) {
 	if n.Record == nil {
 		return
@@ -240,7 +241,7 @@
 	recordSeen("got", "")
 	// stopWatch ends the watch for a lost connection. It returns false if the connection was lost before, and recorded
 	// as that.
-	stopWatch := context.AfterFunc(r.Context(), func() { recordSeen("cut", "connection gone") })
+	stopWatch := context.AfterFunc(r.Context(), func() { recordSeen("cut", "connection lost") })
 	delay, lost := n.linkFaults(int(marshal))
 	if lost {
 		<-r.Context().Done()
@@ -249,7 +250,7 @@
 	sleep(r.Context(), delay)
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		if stopWatch() {
-			recordSeen("cut", "body broken off")
+			recordSeen("cut", "body truncated")
 		}
 		panic(http.ErrAbortHandler)
 	}
@@ -400,7 +401,7 @@
 	select {
 	case n.cores <- struct{}{}:
 		stopWaiting()
-	case <-ctx.Done(): // cancelled work that still waits is dropped
+	case <-ctx.Done(): // canceled work that still waits is dropped
 		stopWaiting()
 		return 0, false, "", false
 	}
@@ -440,15 +441,15 @@
 func (n *Node) checkOverload(workMs float64) {
 	now := time.Now()
 	if n.WarmUp <= 0 || n.OverloadFactor <= 0 || now.Sub(n.started) > n.WarmUp || n.overloaded {
-		n.coldArrivals = nil
+		n.warmUpArrivals = nil
 		return
 	}
-	n.coldArrivals = append(n.coldArrivals, arrival{now, workMs})
+	n.warmUpArrivals = append(n.warmUpArrivals, arrival{now, workMs})
 	sumMs := 0.0
-	for len(n.coldArrivals) > 0 && now.Sub(n.coldArrivals[0].at) > n.OverloadWindow {
-		n.coldArrivals = n.coldArrivals[1:]
+	for len(n.warmUpArrivals) > 0 && now.Sub(n.warmUpArrivals[0].at) > n.OverloadWindow {
+		n.warmUpArrivals = n.warmUpArrivals[1:]
 	}
-	for _, a := range n.coldArrivals {
+	for _, a := range n.warmUpArrivals {
 		sumMs += a.workMs
 	}
 	windowMs := float64(n.OverloadWindow) / float64(time.Millisecond)
@@ -471,6 +472,7 @@
 		float64(len(n.cores))/float64(n.Cores), len(n.served), n.serviceMs, n.held, n.waiting))
 }
 
+// count adds an answer to the statistics of its operation.
 func (n *Node) count(op, status int, took time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -517,6 +519,7 @@
 	conns map[net.Conn]bool
 }
 
+// trackedConn is a connection that its listener can reset. Its reads may be delayed.
 type trackedConn struct {
 	net.Conn
 	l         *listener
@@ -561,7 +564,7 @@
 	}
 }
 
-// resetAll closes the listener and resets every connection, as the death of a process does.
+// resetAll closes the listener and resets every connection, as happens when a process is killed.
 func (l *listener) resetAll() {
 	l.Listener.Close()
 	l.mu.Lock()
--- a/internal/standin/platformnode.go
+++ b/internal/standin/platformnode.go
@@ -101,11 +101,13 @@
 	return true
 }
 
+// recordSeen records an observation of this node.
 func (n *PlatformNode) recordSeen(s *record.Seen) {
 	s.AtUs, s.Node, s.Ver, s.Zone = time.Now().UnixMicro(), n.ID, int64(n.Ver), int64(n.Zone)
 	n.Record(s)
 }
 
+// serve reads and answers the requests of a connection.
 func (n *PlatformNode) serve(c net.Conn) {
 	defer func() {
 		c.Close()
@@ -150,7 +152,7 @@
 		after = time.Hour
 	}
 	if !waitConnected(c, b, after) {
-		recordSeen("cut", "given up")
+		recordSeen("cut", "abandoned")
 		return false
 	}
 	end := func(kind, text string) { recordSeen(kind, text); c.Close() }
--- a/internal/standin/registry.go
+++ b/internal/standin/registry.go
@@ -31,6 +31,7 @@
 	duplicate bool // every list is sent twice
 }
 
+// entry is a node of the list.
 type entry struct {
 	control.NodeEntry
 	started time.Time
@@ -49,7 +50,7 @@
 type marshalConn struct {
 	*control.LineConn
 	nc       net.Conn
-	marshal  int // -1 until it has said its number
+	marshal  int // its number; -1 before its HELLO
 	watching bool
 	queue    chan func() // called in order
 	ctx      context.Context
@@ -125,6 +126,7 @@
 	}
 }
 
+// close closes the listener and all connections, and waits until they have ended.
 func (s *lineServer) close(ln net.Listener) {
 	ln.Close()
 	s.mu.Lock()
@@ -193,6 +195,7 @@
 	}
 }
 
+// delay returns the delay of the next message.
 func (r *Registry) delay() time.Duration {
 	if r.Delay == nil {
 		return 0
@@ -237,7 +240,7 @@
 	}
 }
 
-// handleLine takes a line from a marshal.
+// handleLine handles a line from a marshal.
 func (r *Registry) handleLine(c *marshalConn, line string) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/standin/releaseapi.go
+++ b/internal/standin/releaseapi.go
@@ -23,14 +23,14 @@
 
 // JSON returns the state in the platform's form.
 func (r Release) JSON() string {
-	return fmt.Sprintf(`{"Revision":%d,"Wave":%d,"State":%q,"MaxShare":%g,"AgeMs":%d}`, r.Build, r.Stage, releaseStates[r.Phase], r.Cap,
-		time.Since(r.Since).Milliseconds())
+	return fmt.Sprintf(`{"Revision":%d,"Wave":%d,"State":%q,"MaxShare":%g,"AgeMs":%d}`, r.Build, r.Stage, releaseStates[r.Phase],
+		r.Cap, time.Since(r.Since).Milliseconds())
 }
 
 // Seen returns the record entry of a marshal having received r.
 func (r Release) Seen(instance int) *record.Seen {
-	return &record.Seen{Kind: "staged", AtUs: time.Now().UnixMicro(), Instance: int64(instance), Ver: int64(r.Build), Stage: int64(r.Stage),
-		Phase: int64(r.Phase), Cap: r.Cap}
+	return &record.Seen{Kind: "staged", AtUs: time.Now().UnixMicro(), Instance: int64(instance), Ver: int64(r.Build),
+		Stage: int64(r.Stage), Phase: int64(r.Phase), Cap: r.Cap}
 }
 
 // ReleaseAPI is a stand-in for the platform's rollout service, for one marshal.
@@ -58,6 +58,7 @@
 	a.wake()
 }
 
+// current returns the current state.
 func (a *ReleaseAPI) current() Release {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -67,6 +68,7 @@
 // voteErrors are the error codes of a vote's answer, by its status.
 var voteErrors = map[int]string{429: "BUSY", 409: "STALE", 500: "FAILED", 400: "SYNTAX"}
 
+// serve answers a vote, or writes the state to a stream and then its changes.
 func (a *ReleaseAPI) serve(s *stream, q *http.Request) {
 	if q.Method == http.MethodPost {
 		io.Copy(io.Discard, q.Body)
--- a/internal/standin/rolloutservice.go
+++ b/internal/standin/rolloutservice.go
@@ -21,30 +21,31 @@
 	Delay          func() time.Duration // of each stage update; nil for none
 	ResendInterval time.Duration        // between two updates of the same state
 	Record         func(*record.Seen)
-	// Deploy has a share of the fleet run a build; ready says whether it does.
+	// Deploy has a share of the fleet run a build; ready reports whether it does.
 	Deploy func(ver int, share float64) (ready func() bool)
 	// Undeploy removes a build from the fleet.
 	Undeploy func(ver int)
 
 	ln net.Listener
 	lineServer
-	ver, stage int
-	phase      balance.Phase
-	since      time.Time // when it entered this state
-	soakBegan  time.Time // when all nodes of the stage were ready; zero before
-	ready      func() bool
-	votes      map[int]vote // by marshal
-	silent     bool         // sends no updates and answers no votes
-	errors     bool         // answers votes with errors
-	countVote  bool         // while silent: alternates, so that every other vote counts
-	stop       chan struct{}
-	done       sync.WaitGroup
-	History    []string // of state changes, for people
-	began      time.Time
-	Released   map[int]bool // builds that have been released
-	RolledBack map[int]bool // builds that have been rolled back
+	ver, stage   int
+	phase        balance.Phase
+	since        time.Time // when it entered this state
+	soakBegan    time.Time // when all nodes of the stage were ready; zero before
+	ready        func() bool
+	votes        map[int]vote // by marshal
+	unresponsive bool         // sends no updates and answers no votes
+	errors       bool         // answers votes with errors
+	countVote    bool         // while unresponsive: alternates, so that every other vote counts
+	stop         chan struct{}
+	done         sync.WaitGroup
+	History      []string // of state changes, for display
+	began        time.Time
+	Released     map[int]bool // builds that have been released
+	RolledBack   map[int]bool // builds that have been rolled back
 }
 
+// vote is the last vote of a marshal.
 type vote struct {
 	ver, stage int
 	verdict    balance.Verdict
@@ -77,14 +78,15 @@
 	s.close(s.ln)
 }
 
-// SetFaults makes the service silent or has it answer votes with errors. While silent it sends nothing and stays in its
-// state, but counts every other vote, if it is valid, as if only its answer were lost.
-func (s *RolloutService) SetFaults(silent, errors bool) {
+// SetFaults makes the service unresponsive, or has it answer votes with errors. While unresponsive it sends nothing and
+// stays in its state, but counts every other vote, if it is valid, as if only the answer to it were lost.
+func (s *RolloutService) SetFaults(unresponsive, errors bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent, s.errors = silent, errors
+	s.unresponsive, s.errors = unresponsive, errors
 }
 
+// run advances the rollout and sends the state again at intervals, until Close.
 func (s *RolloutService) run() {
 	defer s.done.Done()
 	sent := time.Now()
@@ -121,11 +123,12 @@
 	s.since, s.soakBegan = time.Now(), time.Time{}
 	s.votes = map[int]vote{}
 	s.History = append(s.History, fmt.Sprintf("%5.1f s  %s", time.Since(s.began).Seconds(), what))
-	if !s.silent {
+	if !s.unresponsive {
 		s.sendToAll()
 	}
 }
 
+// rollBack rolls the newest build back; the caller holds s.mu.
 func (s *RolloutService) rollBack() {
 	ver := s.ver
 	s.phase = balance.RollingBack
@@ -137,7 +140,7 @@
 // step counts the votes that have not expired, and rolls the newest build back or advances it.
 func (s *RolloutService) step() {
 	now := time.Now()
-	if s.silent || s.phase != balance.OnTrial && s.phase != balance.Released || s.ver == 0 {
+	if s.unresponsive || s.phase != balance.OnTrial && s.phase != balance.Released || s.ver == 0 {
 		return
 	}
 	advanceVotes, rollBackVotes := 0, 0
@@ -187,8 +190,9 @@
 	return 0
 }
 
+// sendToAll sends the state to all marshals; the caller holds s.mu.
 func (s *RolloutService) sendToAll() {
-	if s.silent {
+	if s.unresponsive {
 		return
 	}
 	for c := range s.conns {
@@ -217,7 +221,7 @@
 	})
 }
 
-// handleLine takes a line from a marshal: its number, or a vote.
+// handleLine handles a line from a marshal: its number, or a vote.
 func (s *RolloutService) handleLine(c *marshalConn, line string) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -226,7 +230,7 @@
 		if c.marshal, err = strconv.Atoi(number); err != nil {
 			return err
 		}
-		if !s.silent {
+		if !s.unresponsive {
 			s.sendState(c, "")
 		}
 		return nil
@@ -242,7 +246,7 @@
 			time.Now().Add(time.Duration(s.Rollout.VoteTtlMs * float64(time.Millisecond)))}
 	}
 	switch {
-	case s.silent:
+	case s.unresponsive:
 		if s.countVote = !s.countVote; s.countVote && valid {
 			count()
 		}
@@ -265,7 +269,7 @@
 	meanMs := stats.TotalMs / float64(stats.Samples)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.silent {
+	if s.unresponsive {
 		return
 	}
 	for c := range s.conns {
@@ -276,7 +280,7 @@
 	}
 }
 
-// SendWrongAnswer tells a marshal that an answer that it forwarded was found wrong.
+// SendWrongAnswer notifies a marshal that an answer that it forwarded was wrong.
 func (s *RolloutService) SendWrongAnswer(marshal int, node uint32, op int, age time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -9,6 +9,7 @@
 	"arrowcleat/internal/settings"
 )
 
+// millis returns a duration in ms as a time.Duration.
 func millis(v float64) time.Duration { return time.Duration(v * float64(time.Millisecond)) }
 
 // NewNode returns a node with the given settings.
@@ -26,8 +27,8 @@
 		n.OverloadFactor, n.OverloadWindow = r.FallMultiple, millis(r.FallMs)
 	}
 	if b := s.Build; b != nil {
-		n.BuildFault = Fault{ErrorShare: b.Errors, ErrorOp: int(b.ErrorsOp), WrongShare: b.Wrong, WorkFactor: b.Work, After: millis(b.AfterMs),
-			BusyOver: b.BusyOver}
+		n.BuildFault = Fault{ErrorShare: b.Errors, ErrorOp: int(b.ErrorsOp), WrongShare: b.Wrong, WorkFactor: b.Work,
+			After: millis(b.AfterMs), BusyOver: b.BusyOver}
 	}
 	return n
 }
