--- a/cmd/arrowcleat/measure.go
+++ b/cmd/arrowcleat/measure.go
@@ -39,7 +39,8 @@
 				"load", "p50 ms", "p99 ms", "p99.9 ms", "behind", "failed")
 			return measure.RunOnCores(c.Context(), o, counts, func(r measure.CoresResult) {
 				fmt.Fprintf(w, "%5d %-14s %6t %9.0f %10.0f %6.2f %6.2f %9.3f %9.3f %9.3f %8d %7d\n", r.Cores, r.Target, r.Isolated,
-					r.InvocationsPerS, r.InvocationsPerCPUS, r.TargetCPUs, r.LoadCPUs, r.P50Ms, r.P99Ms, r.P999Ms, r.LateSends, r.Failed)
+					r.InvocationsPerS, r.InvocationsPerCPUS, r.TargetCPUs, r.LoadCPUs, r.P50Ms, r.P99Ms, r.P999Ms,
+					r.LateSends, r.Failed)
 			})
 		},
 	}
