--- a/internal/audit/audit.go
+++ b/internal/audit/audit.go
@@ -390,7 +390,8 @@
 			a.Checked[RuleTimeBudget]++
 			leftMs := i.LimitMs - float64(d.AtUs-i.AtUs)/1000
 			if d.LimitMs > leftMs+a.bounds.TimeLimitSlackMs+skewUs/1000 {
-				a.violated(RuleTimeBudget, "%s gave node %d %.0f ms when its client had %.0f ms left", i.id, d.Node, d.LimitMs, leftMs)
+				a.violated(RuleTimeBudget, "%s gave node %d %.0f ms when its client had %.0f ms left", i.id, d.Node, d.LimitMs,
+					leftMs)
 			}
 		}
 	}
@@ -436,10 +437,11 @@
 					a.violated(RuleEffects, "%s (%s) was sent to node %d though it may have run on node %d", i.id, o.Name, d.Node,
 						e.Node)
 				} else if d.AtUs-e.AtUs > int64(o.MemoryMs*1000)+skewUs {
-					a.violated(RuleEffects, "%s (%s) was repeated after %d ms; nodes remember idempotency keys for %g ms", i.id, o.Name,
-						(d.AtUs-e.AtUs)/1000, o.MemoryMs)
+					a.violated(RuleEffects, "%s (%s) was repeated after %d ms; nodes remember idempotency keys for %g ms", i.id,
+						o.Name, (d.AtUs-e.AtUs)/1000, o.MemoryMs)
 				} else if o.Group == "zone" && d.Zone != e.Zone || o.Group == "cell" && d.Node != e.Node {
-					a.violated(RuleEffects, "%s (%s) was repeated outside its group: node %d, then node %d", i.id, o.Name, e.Node, d.Node)
+					a.violated(RuleEffects, "%s (%s) was repeated outside its group: node %d, then node %d", i.id, o.Name, e.Node,
+						d.Node)
 				}
 			}
 		}
