--- a/internal/soak/clients.go
+++ b/internal/soak/clients.go
@@ -96,7 +96,8 @@
 	if class.Repeat == settings.Repeat_FINGERPRINTED {
 		rest = "Idempotency-Key: k" + r.id + "\r\n" + rest
 	}
-	r.text = fmt.Sprintf("%s /%s HTTP/1.1\r\nHost: service.internal\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Object: o%d\r\nX-Expires-In-Ms: %d\r\n%s",
+	r.text = fmt.Sprintf(
+		"%s /%s HTTP/1.1\r\nHost: service.internal\r\nX-Trace-Id: %s\r\nX-Qos: %s\r\nX-Object: o%d\r\nX-Expires-In-Ms: %d\r\n%s",
 		method, class.Name, r.id, class.Name, c.rnd.IntN(20), r.limit.Milliseconds(), rest)
 	return r
 }
--- a/internal/soak/plan.go
+++ b/internal/soak/plan.go
@@ -140,8 +140,8 @@
 	p.Zones = pick(rnd, []string{"here"}, []string{"here", "there"}, nil)
 	p.Classes = []Class{{Name: "look", Repeat: settings.Repeat_IDEMPOTENT}}
 	if rnd.IntN(3) > 0 {
-		p.Classes = append(p.Classes, Class{Name: "book", Repeat: settings.Repeat_FINGERPRINTED, DedupGroup: pick(rnd, "zone", "all"),
-			DedupWindow: pick(rnd, 150*ms, 600*ms, 8000*ms)})
+		p.Classes = append(p.Classes, Class{Name: "book", Repeat: settings.Repeat_FINGERPRINTED,
+			DedupGroup: pick(rnd, "zone", "all"), DedupWindow: pick(rnd, 150*ms, 600*ms, 8000*ms)})
 	}
 	if rnd.IntN(3) > 0 {
 		p.Classes = append(p.Classes, Class{Name: "once", Repeat: settings.Repeat_SIDE_EFFECTING})
@@ -219,7 +219,8 @@
 	}
 	for _, c := range p.Classes {
 		s.Operation = append(s.Operation, &settings.Operation{Name: c.Name, Repeat: c.Repeat, Group: c.DedupGroup,
-			SloMs: float64(c.Limit.Milliseconds()), LimitMs: float64(c.Limit.Milliseconds()), MemoryMs: float64(c.DedupWindow.Milliseconds())})
+			SloMs: float64(c.Limit.Milliseconds()), LimitMs: float64(c.Limit.Milliseconds()),
+			MemoryMs: float64(c.DedupWindow.Milliseconds())})
 	}
 	return s
 }
--- a/internal/soak/run.go
+++ b/internal/soak/run.go
@@ -34,7 +34,7 @@
 type Result struct {
 	*audit.Report
 	Seed               uint64
-	Findings           []string      // besides the audit's: failed starts and ends, leaks, clients that got no error for a part of a request
+	Findings           []string      // besides the audit's: failed starts and ends, leaks, partial requests without an error
 	MaxSchedulingDelay time.Duration // of this process
 }
 
