--- a/internal/faults/machine.go
+++ b/internal/faults/machine.go
@@ -1,6 +1,6 @@
 // Package faults injects faults that Linux documents into what a program runs on: sockets that are unavailable for a
 // moment, short reads, writes in pieces, broken connections, delays between any two steps, a wall clock that is
-// stepped. All are drawn from a seed. Only the soak and tests use them; the commands that serve do not.
+// stepped. All are drawn from a seed. Only soaks and tests use them, never a marshal in service.
 package faults
 
 import (
