--- a/internal/standin/agent.go
+++ b/internal/standin/agent.go
@@ -38,8 +38,8 @@
 // Seen returns the record entry of a marshal having received h.
 func (h Host) Seen(instance int) *record.Seen {
 	health := map[string]string{InService: "serving", Terminating: "draining", Terminated: "gone"}[h.Health]
-	return &record.Seen{Kind: "told", AtUs: time.Now().UnixMicro(), Instance: int64(instance), Node: h.NodeID, Ver: int64(h.Build),
-		Zone: int64(h.Zone), Text: health}
+	return &record.Seen{Kind: "told", AtUs: time.Now().UnixMicro(), Instance: int64(instance), Node: h.NodeID,
+		Ver: int64(h.Build), Zone: int64(h.Zone), Text: health}
 }
 
 // json returns h in discovery's form.
@@ -203,7 +203,7 @@
 	return nil
 }
 
-// serve reads the request of a connection and begins the response to a GET.
+// serve reads the request of a connection, begins the response to a GET, and calls serve with both.
 func (s *streams) serve(c net.Conn, serve func(*stream, *http.Request)) {
 	q, err := http.ReadRequest(bufio.NewReader(c))
 	if err != nil {
