--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -241,7 +241,7 @@
 	recordSeen("got", "")
 	// stopWatch ends the watch for a lost connection. It returns false if the connection was lost before, and recorded
 	// as that.
-	stopWatch := context.AfterFunc(r.Context(), func() { recordSeen("cut", "connection lost") })
+	stopWatch := context.AfterFunc(r.Context(), func() { recordSeen("cut", "connection gone") })
 	delay, lost := n.linkFaults(int(marshal))
 	if lost {
 		<-r.Context().Done()
@@ -250,7 +250,7 @@
 	sleep(r.Context(), delay)
 	if _, err := io.Copy(io.Discard, r.Body); err != nil {
 		if stopWatch() {
-			recordSeen("cut", "body truncated")
+			recordSeen("cut", "body broken off")
 		}
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/standin/platformnode.go
+++ b/internal/standin/platformnode.go
@@ -152,7 +152,7 @@
 		after = time.Hour
 	}
 	if !waitConnected(c, b, after) {
-		recordSeen("cut", "abandoned")
+		recordSeen("cut", "given up")
 		return false
 	}
 	end := func(kind, text string) { recordSeen(kind, text); c.Close() }
